--- a/benchmarks/account_limits.py
+++ b/benchmarks/account_limits.py
@@ -16,8 +16,8 @@
 
 from benchmarks.counted_limits import CountedLimits
 from citrondyke.decisions.accounts.account import Account
-from citrondyke.decisions.accounts.fleet_limits import VerdictKind
-from citrondyke.decisions.accounts.steward_limits import StewardLimits
+from citrondyke.decisions.accounts.fleet_rate_limiter import VerdictKind
+from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
 from citrondyke.ids import TenantId
 from tests.support.limit_world import LimitWorld, Make, allowed_in_window
 
--- a/benchmarks/admission_ways.py
+++ b/benchmarks/admission_ways.py
@@ -21,8 +21,8 @@
 )
 from benchmarks.kept_admission import KeptAdmission, KeptHalf
 from citrondyke.decisions.core.context import Context
-from citrondyke.decisions.forwarding.admission_rule import LONGEST_RETRY_MS, TurnedAway
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.forwarding.admission_rule import LONGEST_RETRY_MS, Rejected
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.ids import ServerId
 
 __all__ = ('main',)
@@ -43,7 +43,7 @@
 class PlacesInTheFuture(Ours):
     """Those turned away are given places one after the other, by this instance's part of them."""
 
-    def __init__(self, context: Context, book: ServerBook) -> None:
+    def __init__(self, context: Context, book: ServerRegistry) -> None:
         """Give none out yet."""
         super().__init__(context, book)
         self._due_ms = 0.0
@@ -53,7 +53,7 @@
         state = self.book.choose(SERVICE, (), '')
         assert state is not None
         answer = self.decide(state)
-        if not isinstance(answer, TurnedAway):
+        if not isinstance(answer, Rejected):
             return state.listed.id
         now_ms = self.context.now_ms()
         slots = sum(each.listed.slots_count for each in self.book.usable(SERVICE))
@@ -66,7 +66,7 @@
 class LearnedLimit(Policy):
     """A limit on each server's requests that follows the wait which they were expected to have."""
 
-    def __init__(self, context: Context, book: ServerBook) -> None:
+    def __init__(self, context: Context, book: ServerRegistry) -> None:
         """Begin at the places."""
         super().__init__(context, book)
         self._factor = 1.0
@@ -77,7 +77,7 @@
         assert state is not None
         places = state.listed.slots_count
         taken = state.online_count(self.context.now_ms())
-        is_late = isinstance(self.decide(state), TurnedAway)
+        is_late = isinstance(self.decide(state), Rejected)
         self._factor *= LIMIT_CUT if is_late else 1 + LIMIT_GROWTH
         self._factor = min(MOST_LIMIT, max(LEAST_LIMIT, self._factor))
         if taken < places * self._factor:
--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -24,7 +24,7 @@
         """Give the slots."""
         return self._slots
 
-    def cut_limit(self, now_ms: float) -> int:
+    def batch_preempt_limit(self, now_ms: float) -> int:
         """Never cut."""
         return self.running_count
 
--- a/benchmarks/counted_limits.py
+++ b/benchmarks/counted_limits.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING
 
 from benchmarks.drained_bucket import DrainedBucket
-from citrondyke.decisions.accounts.fleet_limits import (
-    FleetLimits,
+from citrondyke.decisions.accounts.fleet_rate_limiter import (
+    FleetRateLimiter,
     LimitVerdict,
-    Question,
+    RequiredLookup,
     VerdictKind,
 )
 from citrondyke.decisions.accounts.limit_messages import (
@@ -23,7 +23,7 @@
     from collections.abc import Callable
 
     from citrondyke.decisions.accounts.account import Account
-    from citrondyke.decisions.accounts.tolerance import LimitTolerance
+    from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
     from citrondyke.decisions.core.context import Context
     from citrondyke.ids import InstanceId
 
@@ -36,7 +36,7 @@
     uses: list[tuple[TenantId, int]]
 
 
-class CountedLimits(FleetLimits):
+class CountedLimits(FleetRateLimiter):
     """Each instance has a bucket of its own for each account and takes out what the others tell.
 
     A request waits for nobody; what is told late lets too much through.
@@ -47,7 +47,7 @@
         context: Context,
         members: Callable[[], tuple[InstanceId, ...]],
         find: Callable[[TenantId], Account | None],
-        tolerance: LimitTolerance,
+        tolerance: LimitOvershootBudget,
     ) -> None:
         """Start with empty buckets."""
         self._context = context
@@ -60,7 +60,7 @@
 
     def next_step(
         self, account: Account, need: UseNeed, tried: set[InstanceId]
-    ) -> LimitVerdict | Question:
+    ) -> LimitVerdict | RequiredLookup:
         """Decide about one request."""
         del need, tried
         if not account.has_limit:
@@ -79,7 +79,7 @@
     ) -> LimitVerdict | None:
         """Take in nothing: nobody is asked."""
 
-    def note_silent(self, account: Account, receiver: InstanceId) -> None:
+    def record_no_reply(self, account: Account, receiver: InstanceId) -> None:
         """Take in nothing: nobody is asked."""
 
     def take(self, sender: InstanceId, message: LimitMessage) -> list[Addressed]:
--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -11,7 +11,7 @@
 from benchmarks.scenario import MODEL, Arrival, Scenario, ScenarioRun, poisson_arrivals
 from citrondyke.decisions.configuration.entries import ClassEntry, ClassKind
 from citrondyke.decisions.instance_limits import InstanceLimits
-from citrondyke.decisions.jobs.job_wish import AcceptedJob
+from citrondyke.decisions.jobs.job_request import AcceptedJob
 from citrondyke.decisions.jobs.rows import JobRow, JobState, job_row_key
 from citrondyke.driver.virtual.virtual_fleet import VirtualFleet
 from citrondyke.driver.virtual.virtual_server import VirtualEngine
--- a/benchmarks/gateway_load.py
+++ b/benchmarks/gateway_load.py
@@ -21,17 +21,17 @@
     Policy,
     RandomOfTwo,
 )
-from citrondyke.decisions.batch.give_way import GiveWay, RunningItem, Urgency
-from citrondyke.decisions.batch.start_pace import StartPace
+from citrondyke.decisions.batch.batch_preemption import BatchPreemption, RunningItem, Urgency
+from citrondyke.decisions.batch.start_rate_limiter import StartRateLimiter
 from citrondyke.decisions.core.context import Context
-from citrondyke.decisions.forwarding.listed_backend import ListedBackend
 from citrondyke.decisions.forwarding.load_notices import RENEW_MS
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.forwarding.server_list_entry import ServerListEntry
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.ids import (
     AvailabilityZone,
     InstanceId,
     ServerId,
-    ServerLife,
+    ServerIncarnation,
 )
 from citrondyke.util.clock import Clock
 
@@ -111,7 +111,9 @@
         self.batch_ms = 0.0
         self._policies = [self._new_instance(policy, n) for n in range(INSTANCES)]
         self._ways = [
-            GiveWay(each.context, each.book, StartPace(each.context, each.book.neighbours))
+            BatchPreemption(
+                each.context, each.book, StartRateLimiter(each.context, each.book.neighbours)
+            )
             for each in self._policies
         ]
         self._arrivals(per_s)
@@ -138,11 +140,11 @@
         context = Context(
             InstanceId(f'i{number}'), AvailabilityZone('z'), self.clock, random.Random(number)
         )
-        book = ServerBook(context)
+        book = ServerRegistry(context)
         others = [InstanceId(f'i{n}') for n in range(INSTANCES) if n != number]
         book.neighbours.replace(dict.fromkeys(others, context.zone))
         book.replace(
-            ListedBackend(
+            ServerListEntry(
                 id=server_id,
                 service=SERVICE,
                 ip='',
@@ -273,12 +275,12 @@
                 self._count(instance, state.listed.id, batch=1)
                 self._enter(state.listed.id, _Run(instance, None, ITEM_MS))
 
-    def _life(self, instance: int, server_id: ServerId) -> ServerLife:
+    def _life(self, instance: int, server_id: ServerId) -> ServerIncarnation:
         state = self._policies[instance].book.state(server_id)
         assert state is not None
         return state.life
 
-    def _cut(self, instance: int, way: GiveWay) -> None:
+    def _cut(self, instance: int, way: BatchPreemption) -> None:
         runs = [
             (server_id, run)
             for server_id, server in self._servers.items()
--- a/benchmarks/gateway_policies.py
+++ b/benchmarks/gateway_policies.py
@@ -5,13 +5,13 @@
 from abc import ABC, abstractmethod
 from typing import TYPE_CHECKING
 
-from citrondyke.decisions.forwarding.admission_rule import AdmissionRule, Admitted, TurnedAway
+from citrondyke.decisions.forwarding.admission_rule import AdmissionRule, Admitted, Rejected
 from citrondyke.decisions.forwarding.route import Route, RouteKind, ServiceShare
 from citrondyke.ids import RouteName, ServerId, ServiceName
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.server_book import ServerBook
+    from citrondyke.decisions.forwarding.server_registry import ServerRegistry
     from citrondyke.decisions.forwarding.server_state import ServerState
 
 __all__ = (
@@ -43,14 +43,14 @@
 class Policy(ABC):
     """How one instance chooses; gives a server's number, or when to come back."""
 
-    def __init__(self, context: Context, book: ServerBook) -> None:
+    def __init__(self, context: Context, book: ServerRegistry) -> None:
         """Use what one instance believes of the servers."""
         self.context = context
         self.book = book
         self.rule = AdmissionRule(context, book)
-        self.rule.note_stay(ROUTE, STAY_MS)
+        self.rule.record_service_time(ROUTE, STAY_MS)
 
-    def decide(self, state: ServerState) -> Admitted | TurnedAway:
+    def decide(self, state: ServerState) -> Admitted | Rejected:
         """Give what the gateway's rule says of a server."""
         return self.rule.decide(ROUTE, state, 5_000.0)
 
@@ -72,7 +72,7 @@
         state = self.book.choose(SERVICE, (), '')
         assert state is not None
         answer = self.decide(state)
-        if isinstance(answer, TurnedAway):
+        if isinstance(answer, Rejected):
             return answer.retry_in_ms
         return state.listed.id
 
--- a/benchmarks/kept_admission.py
+++ b/benchmarks/kept_admission.py
@@ -8,13 +8,13 @@
 from citrondyke.decisions.forwarding.admission_rule import (
     LONGEST_RETRY_MS,
     WAIT_SHARE,
-    TurnedAway,
+    Rejected,
 )
-from citrondyke.decisions.places.kept_places import KeptPlaces
+from citrondyke.decisions.reservations.kept_places import KeptPlaces
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.server_book import ServerBook
+    from citrondyke.decisions.forwarding.server_registry import ServerRegistry
     from citrondyke.ids import ServerId
 
 __all__ = ('KeptAdmission', 'KeptHalf')
@@ -29,7 +29,7 @@
 
     share = 1.0
 
-    def __init__(self, context: Context, book: ServerBook) -> None:
+    def __init__(self, context: Context, book: ServerRegistry) -> None:
         """Keep nothing yet."""
         super().__init__(context, book)
         self._places = KeptPlaces()
@@ -48,7 +48,7 @@
         gap_ms = STAY_MS / slots * self.book.neighbours.instances_count / self.share
         # Places that are due are not given to who comes now.
         kept_ms = self._places.due_by(now_ms) * gap_ms * self.share
-        if not isinstance(answer, TurnedAway):
+        if not isinstance(answer, Rejected):
             if answer.expected_wait_ms + kept_ms <= WAIT_SHARE * AIM_MS:
                 return state.listed.id
             wait_ms = answer.expected_wait_ms
--- a/benchmarks/list_ways.py
+++ b/benchmarks/list_ways.py
@@ -16,9 +16,9 @@
 from rich.table import Table
 
 from citrondyke.decisions.core.context import Context
-from citrondyke.decisions.knowledge.list_position import ListPosition
-from citrondyke.decisions.knowledge.reader_rule import ReaderRule
-from citrondyke.decisions.knowledge.reader_watch import Lack, ReaderWatch
+from citrondyke.decisions.server_list.reader_election import ReaderElection
+from citrondyke.decisions.server_list.reader_lease_tracker import MissingRows, ReaderLeaseTracker
+from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
 from citrondyke.driver.virtual.virtual_time import VirtualTime
 from citrondyke.gateway.pauses import retry_ms
 from citrondyke.ids import AvailabilityZone, InstanceId
@@ -47,7 +47,7 @@
     number: int
     zone: str
     context: Context
-    watch: ReaderWatch
+    watch: ReaderLeaseTracker
     pages: int = 0
     is_whole: bool = False
     known: int = 0
@@ -80,7 +80,7 @@
         zone = f'zone-{number % ZONES}'
         name = InstanceId(f'i{number}')
         context = Context(name, AvailabilityZone(zone), self.time, self.random)
-        return Node(number, zone, context, ReaderWatch(context))
+        return Node(number, zone, context, ReaderLeaseTracker(context))
 
     def change(self) -> None:
         self.number += 1
@@ -226,7 +226,7 @@
 def by_readers(world: World, node: Node) -> None:
     """Two of each zone read, by the rules that the gateway runs."""
     zone = [each for each in world.nodes if each.zone == node.zone]
-    rule = ReaderRule(node.context)
+    rule = ReaderElection(node.context)
     by_id = {each.context.instance_id: each for each in zone}
     if not rule.pays(world.rows_count * VALUE_BYTES, len(world.nodes)):
         everybody(world, node)
@@ -246,12 +246,12 @@
                     world.send(node, each, size_bytes, partial(hear, each, told[0] - lacks))
 
         def hear(to: Node, since: int) -> None:
-            place = ListPosition('life', node.known + node.pages, node.known, node.is_whole)
+            place = ServerListCursor('life', node.known + node.pages, node.known, node.is_whole)
             name = node.context.instance_id
             if to.is_whole and since <= to.known:
                 world.learn(to, node.known, 0)
-            lack = to.watch.note_position(name, place, to.known if to.is_whole else -1)
-            if (lack is Lack.NOTHING and to.pages >= node.pages) or to.is_whole:
+            lack = to.watch.record_cursor(name, place, to.known if to.is_whole else -1)
+            if (lack is MissingRows.NOTHING and to.pages >= node.pages) or to.is_whole:
                 return
             rows = (node.pages - to.pages) * PAGE_ROWS
             if rows > 0:
--- a/benchmarks/scenario.py
+++ b/benchmarks/scenario.py
@@ -17,7 +17,7 @@
 )
 from citrondyke.decisions.core.signal import Signal
 from citrondyke.decisions.instance_limits import InstanceLimits
-from citrondyke.decisions.online.request import OnlineEnd, OnlineEndKind, OnlineRequest
+from citrondyke.decisions.online.request import OnlineRequest, OnlineResult, OnlineResultKind
 from citrondyke.decisions.online.server_view import ServerView
 from citrondyke.decisions.sharing.server_share import ServerShare
 from citrondyke.driver.virtual.virtual_fleet import VirtualFleet
@@ -71,7 +71,7 @@
     """What became of one online request."""
 
     arrival: Arrival
-    end: OnlineEnd | None = None
+    end: OnlineResult | None = None
     ended_ms: float = 0.0
     token_times_ms: list[float] = msgspec.field(default_factory=list)
 
@@ -83,7 +83,7 @@
     @property
     def is_answered(self) -> bool:
         """Tell whether the whole answer came."""
-        return self.end is not None and self.end.kind is OnlineEndKind.ANSWERED
+        return self.end is not None and self.end.kind is OnlineResultKind.ANSWERED
 
 
 def poisson_arrivals(
@@ -244,7 +244,7 @@
             cancel=Signal(),
         )
 
-        def end(found: OnlineEnd) -> None:
+        def end(found: OnlineResult) -> None:
             outcome.end = found
             outcome.ended_ms = self.fleet.time.now_ms()
 
--- a/citrondyke/cmd/lean_imports.py
+++ b/citrondyke/cmd/lean_imports.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citrondyke.util.put_off import put_off
+from citrondyke.util.lazy_import import put_off
 
 __all__ = ('put_off_unused',)
 
--- a/citrondyke/daemon.py
+++ b/citrondyke/daemon.py
@@ -35,7 +35,7 @@
 log = logbook.Logger(__name__)
 
 #: Pause between two looks whether the last calls are answered.
-DRAIN_LOOK_S = 0.05
+DRAIN_POLL_S = 0.05
 
 
 class Daemon:
@@ -107,7 +107,7 @@
         gevent.sleep(stop.balancer_delay_ms / 1e3)
         self._server.close()
         while self._server.open_requests and self._clock.now_ms() < finish_ms:
-            gevent.sleep(DRAIN_LOOK_S)
+            gevent.sleep(DRAIN_POLL_S)
         leaving.join(max(0.0, (finish_ms - self._clock.now_ms()) / 1e3) + 1.0)
         self._driver.run(self.instance.finish(finish_ms))
         self._server.stop(timeout=1)
--- a/citrondyke/decisions/accounts/account_uses.py
+++ b/citrondyke/decisions/accounts/account_quota_grants.py
@@ -4,35 +4,37 @@
 
 from typing import TYPE_CHECKING
 
+from citrondyke.decisions.accounts.limit_overshoot_budget import AHEAD_GRANT_MS, GRANT_MS
 from citrondyke.decisions.accounts.slot_lease import LEASE_MS
-from citrondyke.decisions.accounts.tolerance import ADVANCE_MS, GRANT_MS
-from citrondyke.decisions.accounts.use_ring import UseRing
-from citrondyke.decisions.places.kept_places import KeptPlaces
-from citrondyke.decisions.places.turned_away_work import TurnedAwayWork
+from citrondyke.decisions.accounts.use_window_counter import UseWindowCounter
+from citrondyke.decisions.reservations.kept_places import KeptPlaces
+from citrondyke.decisions.reservations.rejected_work import RejectedWork
 
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
     from citrondyke.decisions.accounts.bucket import TokenBucket
     from citrondyke.decisions.accounts.slot_lease import LEASE_MS
-from citrondyke.decisions.accounts.tolerance import LimitTolerance
+from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
 
-__all__ = ('AHEAD_PACE', 'AccountUses')
+__all__ = ('ADVANCE_RATE', 'AccountQuotaGrants')
 
 #: Places due before a moment push it back by their number; a few looks settle it.
-LOOKS = 4
+MAX_SCANS = 4
 #: Uses a second ahead of time, by the rate: a whole window's within the window, and no more at once
 #: than servers bear that are planned for the rates.
-AHEAD_PACE = 1.25
+ADVANCE_RATE = 1.25
 
 
-class AccountUses:
+class AccountQuotaGrants:
     """Counts an account's window; the uses that nobody counted here are bounded by the level.
 
     Ahead of time an account gets a little more than its rate, not all at once: a whole window's
     uses in a second would fill the servers, and leave nothing until the window is over.
     """
 
-    def __init__(self, tolerance: LimitTolerance, bucket: TokenBucket, since_ms: float) -> None:
+    def __init__(
+        self, tolerance: LimitOvershootBudget, bucket: TokenBucket, since_ms: float
+    ) -> None:
         """Begin with a lease.
 
         :param since_ms: since when the ring knows all uses.
@@ -40,12 +42,12 @@
         self._tolerance = tolerance
         self._bucket = bucket
         self._since_ms = since_ms
-        self._ring = UseRing(tolerance.window_ms + GRANT_MS)
-        self._refused = UseRing(tolerance.window_ms)
+        self._ring = UseWindowCounter(tolerance.window_ms + GRANT_MS)
+        self._refused = UseWindowCounter(tolerance.window_ms)
         #: The highest depth in this lease; by it keepers know the floor of an account not named.
         self.highest_depth = 0.0
         self.places = KeptPlaces()
-        self.turned_away = TurnedAwayWork()
+        self.turned_away = RejectedWork()
         self._next_ahead_ms = float('-inf')
         #: Until when some instance refuses without asking; it does not know of later places.
         self.paused_until_ms = float('-inf')
@@ -56,7 +58,7 @@
         self.highest_depth = max(self.highest_depth, depth)
         level = self._bucket.level(account.rate_per_s, depth, now_ms)
         # A limit that was lowered would hold back for longer than what it was lowered to.
-        lowest = -account.rate_per_s * (ADVANCE_MS + LEASE_MS) / 1e3
+        lowest = -account.rate_per_s * (AHEAD_GRANT_MS + LEASE_MS) / 1e3
         if level < lowest:
             self._bucket.add(lowest - level)
         return max(level, lowest)
@@ -65,7 +67,7 @@
         """Take in that the account had more left."""
         self._bucket.add(count)
 
-    def knows_window(self, now_ms: float) -> bool:
+    def has_full_window(self, now_ms: float) -> bool:
         """Tell whether all uses of the window were counted here."""
         return now_ms >= self._since_ms + self._tolerance.window_ms + GRANT_MS
 
@@ -83,7 +85,7 @@
         at_ms = self._free_behind(account, now_ms, 0, kept, may_advance=may_advance)
         if at_ms < self._next_ahead_ms and self.level(account, now_ms) < 1.0:
             at_ms = self._next_ahead_ms
-        for _ in range(LOOKS):
+        for _ in range(MAX_SCANS):
             ahead = self.places.due_by(at_ms)
             later_ms = self._free_behind(account, now_ms, ahead, kept, may_advance=may_advance)
             if later_ms <= at_ms:
@@ -94,12 +96,12 @@
     def take(self, account: Account, at_ms: float, now_ms: float) -> None:
         """Count a use that begins at a moment."""
         if self.level(account, now_ms) < 1.0:
-            gap_ms = 1e3 / (AHEAD_PACE * account.rate_per_s)
+            gap_ms = 1e3 / (ADVANCE_RATE * account.rate_per_s)
             self._next_ahead_ms = max(self._next_ahead_ms, at_ms) + gap_ms
         self._bucket.add(-1.0)
         self._ring.note(at_ms)
 
-    def note_refused(self, now_ms: float) -> None:
+    def record_refused(self, now_ms: float) -> None:
         """Count a refusal."""
         self._refused.note(now_ms)
 
@@ -122,10 +124,10 @@
         rate_per_s = account.rate_per_s
         level = self.level(account, now_ms) - ahead
         by_level_ms = now_ms + max(0.0, 1.0 - level) / rate_per_s * 1e3
-        if level >= 1.0 or not may_advance or not self.knows_window(now_ms):
+        if level >= 1.0 or not may_advance or not self.has_full_window(now_ms):
             return by_level_ms
-        lowest = 1.0 - rate_per_s * ADVANCE_MS / 1e3
+        lowest = 1.0 - rate_per_s * AHEAD_GRANT_MS / 1e3
         ahead_ms = now_ms + max(0.0, lowest - level) / rate_per_s * 1e3
-        allowed = self._tolerance.promised_uses(rate_per_s, account.burst)
+        allowed = self._tolerance.granted_ahead_uses(rate_per_s, account.burst)
         room_ms = self._ring.room_at_ms(now_ms, allowed, kept + 1)
         return min(by_level_ms, max(ahead_ms, room_ms))
--- a/citrondyke/decisions/accounts/turns.py
+++ b/citrondyke/decisions/accounts/fair_share_rejection.py
@@ -18,9 +18,9 @@
 RECENT_MS = 4_000.0
 RECENT_LIMIT = 2_000
 #: An account that asks for more than this many times the mean of all steps back.
-HEAVY_FACTOR = 2.0
+HEAVY_USER_FACTOR = 2.0
 #: Fewer requests than these make nobody heavy: they are chance.
-HEAVY_LEAST = 4
+HEAVY_USER_MINIMUM = 4
 #: After a more urgent request was turned away, less urgent ones step back for so long.
 SHORT_MS = 1_000.0
 #: Part of those that are to step back and do not, so that nobody is turned away for good.
@@ -64,11 +64,11 @@
             if not recent.counts[oldest]:
                 del recent.counts[oldest]
 
-    def note_turned_away(self, service: ServiceName, priority: int) -> None:
+    def record_rejected(self, service: ServiceName, priority: int) -> None:
         """Take in that a request of a priority got no place."""
         self._of(service).turned_away_ms[priority] = self._context.now_ms()
 
-    def steps_back(self, service: ServiceName, account: TenantId, priority: int) -> bool:
+    def must_yield(self, service: ServiceName, account: TenantId, priority: int) -> bool:
         """Tell whether a request leaves the places that are left to others."""
         recent = self._of(service)
         if not self._is_heavy(recent, account) and not self._is_less_urgent(recent, priority):
@@ -78,10 +78,10 @@
     @staticmethod
     def _is_heavy(recent: _Recent, account: TenantId) -> bool:
         own = recent.counts[account]
-        if not account or own < HEAVY_LEAST or len(recent.counts) < 2:  # noqa: PLR2004
+        if not account or own < HEAVY_USER_MINIMUM or len(recent.counts) < 2:  # noqa: PLR2004
             return False
         others_mean = (len(recent.asked) - own) / (len(recent.counts) - 1)
-        return own > HEAVY_FACTOR * others_mean
+        return own > HEAVY_USER_FACTOR * others_mean
 
     def _is_less_urgent(self, recent: _Recent, priority: int) -> bool:
         from_ms = self._context.now_ms() - SHORT_MS
--- a/citrondyke/decisions/accounts/stand_ins.py
+++ b/citrondyke/decisions/accounts/fallback_allowance.py
@@ -8,16 +8,16 @@
 
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
-    from citrondyke.decisions.accounts.tolerance import LimitTolerance
+    from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
     from citrondyke.ids import TenantId
 
-__all__ = ('StandIns',)
+__all__ = ('FallbackAllowance',)
 
 
-class StandIns:
+class FallbackAllowance:
     """A small part of what may pass a limit, for the time in which a slot has no steward."""
 
-    def __init__(self, tolerance: LimitTolerance, began_ms: float) -> None:
+    def __init__(self, tolerance: LimitOvershootBudget, began_ms: float) -> None:
         """Begin with a life."""
         self._tolerance = tolerance
         self._began_ms = began_ms
@@ -27,7 +27,7 @@
         """Take one use out."""
         bucket = self._buckets.get(account.id)
         if bucket is None:
-            first = self._tolerance.stand_in_first(account.rate_per_s)
+            first = self._tolerance.fallback_initial(account.rate_per_s)
             bucket = self._buckets[account.id] = TokenBucket(self._began_ms, first)
-        depth = self._tolerance.stand_in_depth(account.rate_per_s)
-        return bucket.take(self._tolerance.stand_in_rate_per_s, depth, now_ms)
+        depth = self._tolerance.fallback_depth(account.rate_per_s)
+        return bucket.take(self._tolerance.fallback_rate_per_s, depth, now_ms)
--- a/citrondyke/decisions/accounts/fleet_limits.py
+++ b/citrondyke/decisions/accounts/fleet_rate_limiter.py
@@ -18,9 +18,9 @@
         UseAnswered,
         UseNeed,
     )
-    from citrondyke.decisions.accounts.marks import MarkCall, MarkRow
+    from citrondyke.decisions.accounts.prepaid_accounts import PrepaidAccountRow, PrepaidStoreCall
 
-__all__ = ('FleetLimits', 'LimitVerdict', 'Question', 'VerdictKind')
+__all__ = ('FleetRateLimiter', 'LimitVerdict', 'RequiredLookup', 'VerdictKind')
 
 
 class VerdictKind(Enum):
@@ -46,7 +46,7 @@
     is_kept: bool = False
 
 
-class Question(msgspec.Struct, frozen=True):
+class RequiredLookup(msgspec.Struct, frozen=True):
     """What has to be asked first."""
 
     receiver: InstanceId
@@ -54,7 +54,7 @@
     number: int
 
 
-class FleetLimits(ABC):
+class FleetRateLimiter(ABC):
     """Keeps accounts within their limits over all instances; sends nothing itself.
 
     Answers one account that asks for many times what it may: in any window no more of its requests
@@ -65,7 +65,7 @@
     @abstractmethod
     def next_step(
         self, account: Account, need: UseNeed, tried: set[InstanceId]
-    ) -> LimitVerdict | Question:
+    ) -> LimitVerdict | RequiredLookup:
         """Decide about one request, or tell who must be asked.
 
         :param need: what the request needs of the limit.
@@ -79,7 +79,7 @@
         """Take in an answer; ``None`` when another one has to be asked."""
 
     @abstractmethod
-    def note_silent(self, account: Account, receiver: InstanceId) -> None:
+    def record_no_reply(self, account: Account, receiver: InstanceId) -> None:
         """Take in that somebody did not answer in time."""
 
     @abstractmethod
@@ -94,11 +94,13 @@
         """Give what is to be sent after a step beside the question."""
         return []
 
-    def mark_calls(self) -> list[MarkCall]:
+    def prepaid_calls(self) -> list[PrepaidStoreCall]:
         """Give what the store is to be asked now."""
         return []
 
-    def note_marks(self, call: MarkCall, row: MarkRow | None) -> list[Addressed]:
+    def record_prepaid(
+        self, call: PrepaidStoreCall, row: PrepaidAccountRow | None
+    ) -> list[Addressed]:
         """Take in what the store answered, ``None`` where it did not, and give what to send."""
         del call, row
         return []
--- a/citrondyke/decisions/accounts/floors.py
+++ b/citrondyke/decisions/accounts/level_floors.py
@@ -10,7 +10,7 @@
     from citrondyke.decisions.accounts.account import Account
     from citrondyke.ids import InstanceId, TenantId
 
-__all__ = ('FLOOR_SHARE', 'Floors', 'usual_floor')
+__all__ = ('FLOOR_SHARE', 'LevelFloors', 'default_floor')
 
 #: Part of its depth below which an account is told of by name: one within its limit stays above.
 FLOOR_SHARE = 0.5
@@ -18,7 +18,7 @@
 NAMED_LIMIT = 400
 
 
-def usual_floor(account: Account, depth: float, filled_ms: float) -> float:
+def default_floor(account: Account, depth: float, filled_ms: float) -> float:
     """Give the floor of an account that is not named.
 
     In the first seconds of a lease it lies below what has filled up, so that a use then need not
@@ -28,7 +28,7 @@
     return min(spare, account.rate_per_s * filled_ms / 1e3 - spare)
 
 
-class Floors:
+class LevelFloors:
     """The floors of one lease, on the side of its holder.
 
     A floor is lowered as soon as one keeper has acknowledged it, and raised as soon as that is
@@ -75,11 +75,11 @@
         believed = self._believed.get(account.id)
         if believed is not None:
             return believed
-        return usual_floor(account, depth, self.filled_ms(now_ms))
+        return default_floor(account, depth, self.filled_ms(now_ms))
 
     def look(self, account: Account, depth: float, level: float, now_ms: float) -> None:
         """Lower an account's floor before it is reached, and forget it when it has filled up."""
-        usual = usual_floor(account, depth, self.filled_ms(now_ms))
+        usual = default_floor(account, depth, self.filled_ms(now_ms))
         step = max(1.0, depth * FLOOR_SHARE)
         told = self._told.get(account.id)
         current = usual if told is None else told
--- a/citrondyke/decisions/accounts/tolerance.py
+++ b/citrondyke/decisions/accounts/limit_overshoot_budget.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-__all__ = ('ADVANCE_MS', 'GRANT_MS', 'LimitTolerance')
+__all__ = ('AHEAD_GRANT_MS', 'GRANT_MS', 'LimitOvershootBudget')
 
 #: Parts of what may pass a limit. A third lets callers through whose requests come unevenly; three
 #: fifths go to three keepers that stand in for a steward that is gone; the rest is left alone.
@@ -17,13 +17,13 @@
 #: An account may have so much of its rate ahead of time, where the window has room: at a quarter
 #: above its rate it has had its window's uses by then. Who follows a steward without knowing what
 #: it let through holds the account back for so long, about the time that a lease takes.
-ADVANCE_MS = 1_000.0
+AHEAD_GRANT_MS = 1_000.0
 #: A grant is used within this time, or asked for anew: one that lay in a machine which stood still
 #: would fall into another window.
 GRANT_MS = 250.0
 
 
-class LimitTolerance(msgspec.Struct, frozen=True, kw_only=True):
+class LimitOvershootBudget(msgspec.Struct, frozen=True, kw_only=True):
     """In any window there may be (rate x window + burst) x (1 + overshoot) + slack uses."""
 
     window_ms: float = 5_000.0
@@ -35,23 +35,23 @@
         spare = self.slack + rate_per_s * self.window_ms / 1e3 * self.overshoot
         return burst * (1 + self.overshoot) + spare * SPARE_PART
 
-    def promised_uses(self, rate_per_s: float, burst: float) -> float:
+    def granted_ahead_uses(self, rate_per_s: float, burst: float) -> float:
         """Give what an account is promised in any window; uses ahead of time stay within it.
 
         What may pass it is needed for requests that are sent a second time.
         """
         return rate_per_s * self.window_ms / 1e3 + burst
 
-    def stand_in_depth(self, rate_per_s: float) -> float:
+    def fallback_depth(self, rate_per_s: float) -> float:
         """Give the bucket of a keeper that stands in."""
         return self.slack * STAND_IN_PART + self._stand_in_rate_part(rate_per_s)
 
-    def stand_in_first(self, rate_per_s: float) -> float:
+    def fallback_initial(self, rate_per_s: float) -> float:
         """Give what a life begins with: after a loss of all, accounts go on without a steward."""
         return self.slack * STAND_IN_FIRST_PART + self._stand_in_rate_part(rate_per_s)
 
     @property
-    def stand_in_rate_per_s(self) -> float:
+    def fallback_rate_per_s(self) -> float:
         """Give how fast the bucket of a keeper that stands in fills."""
         return self.slack * STAND_IN_REFILL_PART / self.window_ms * 1e3
 
--- a/citrondyke/decisions/accounts/refusals.py
+++ b/citrondyke/decisions/accounts/local_rejection_cache.py
@@ -18,11 +18,11 @@
 #: Longest time for which an instance refuses an account's requests without asking.
 LONGEST_PAUSE_MS = 500.0
 #: Questions a second for each use that becomes free: fewer would leave uses unasked for.
-ASKS_PER_USE = 2.0
+REQUESTS_PER_GRANT = 2.0
 #: Instances that were refused within this time are expected to ask again.
-ASKERS_MS = 1_000.0
+REQUEST_WINDOW_MS = 1_000.0
 #: Work told with the next question; a pause is short.
-ALONE_LIMIT = 50
+LOCAL_REJECTIONS_LIMIT = 50
 
 
 class _Pause(msgspec.Struct, frozen=True):
@@ -53,10 +53,10 @@
         """
         now_ms = self._context.now_ms()
         askers = self._askers.get(account.id, {})
-        askers = {each: at for each, at in askers.items() if at > now_ms - ASKERS_MS}
+        askers = {each: at for each, at in askers.items() if at > now_ms - REQUEST_WINDOW_MS}
         askers[asker] = now_ms
         self._askers[account.id] = askers
-        pause_ms = len(askers) / (ASKS_PER_USE * uses_per_s) * 1e3
+        pause_ms = len(askers) / (REQUESTS_PER_GRANT * uses_per_s) * 1e3
         return min(LONGEST_PAUSE_MS, pause_ms)
 
     def pause(self, account: TenantId, answer: UseAnswered) -> None:
@@ -77,10 +77,10 @@
             return None
         if work in pause.expected:
             return None
-        self._alone.setdefault(account, deque(maxlen=ALONE_LIMIT)).append(work)
+        self._alone.setdefault(account, deque(maxlen=LOCAL_REJECTIONS_LIMIT)).append(work)
         left_ms = max(pause.retry_until_ms, pause.until_ms) - now_ms
         return self._context.jittered_ms(left_ms, 0.25)
 
-    def take_alone(self, account: TenantId) -> tuple[int, ...]:
+    def take_rejected_locally(self, account: TenantId) -> tuple[int, ...]:
         """Give what was refused without asking, to be told with the next question."""
         return tuple(self._alone.pop(account, ()))
--- a/citrondyke/decisions/accounts/slot_lease.py
+++ b/citrondyke/decisions/accounts/slot_lease.py
@@ -26,7 +26,7 @@
 LEASE_MS = 600.0
 RENEW_MS = 200.0
 #: A witness keeps its word longer than the lease holds: clocks run apart by less.
-PROMISE_MS = 700.0
+VOTE_HOLD_MS = 700.0
 #: Silence of the keepers before it after which one asks for the lease itself.
 TAKEOVER_MS = 800.0
 #: Keepers that have been the same for so long are the same to everybody: heartbeats of newcomers
@@ -46,7 +46,7 @@
     is_refused: bool = False
 
 
-class _HeardCopy(msgspec.Struct):
+class _ReceivedCopy(msgspec.Struct):
     copy: SlotCopy
     holder: InstanceId
     #: When it came, and when its holder was last heard of.
@@ -73,7 +73,7 @@
         self._slots = slots
         self._slot = slot
         self._promised_to = InstanceId('')
-        self._promised_until_ms = began_ms + PROMISE_MS
+        self._promised_until_ms = began_ms + VOTE_HOLD_MS
         #: Since when nobody else has had this keeper's word.
         self._free_since_ms = began_ms
         self._began_ms = began_ms
@@ -90,7 +90,7 @@
         self.held_since_ms = float('-inf')
         #: What is certainly known of the lease before this one.
         self.copy_before: SlotCopy | None = None
-        self._heard_copy: _HeardCopy | None = None
+        self._heard_copy: _ReceivedCopy | None = None
 
     @property
     def is_held(self) -> bool:
@@ -104,16 +104,16 @@
 
     def other_keepers(self) -> list[InstanceId]:
         """List who keeps the slot beside this instance."""
-        return [each for each in self._look_at_keepers() if each != self._context.instance_id]
+        return [each for each in self._evaluate_keepers() if each != self._context.instance_id]
 
     def keepers_name(self) -> int:
         """Name the set of keepers; all of one set give it the same name."""
-        return content_bucket('\n'.join(sorted(self._look_at_keepers())).encode()) & 0xFFFF_FFFF
+        return content_bucket('\n'.join(sorted(self._evaluate_keepers())).encode()) & 0xFFFF_FFFF
 
     def note_own_copy(self, copy: SlotCopy) -> None:
         """Take in what this instance, as the holder, knows of its lease."""
         now_ms = self._now_ms()
-        self._heard_copy = _HeardCopy(copy, self._context.instance_id, now_ms, now_ms)
+        self._heard_copy = _ReceivedCopy(copy, self._context.instance_id, now_ms, now_ms)
 
     def take_copy(self, sender: InstanceId, copy: SlotCopy) -> bool:
         """Take in a holder's floors; tell whether this keeper will hand them on."""
@@ -122,17 +122,17 @@
         known = self._heard_copy
         now_ms = self._now_ms()
         if known is None or known.copy.era != copy.era or known.copy.number <= copy.number:
-            self._heard_copy = _HeardCopy(copy, sender, now_ms, now_ms)
+            self._heard_copy = _ReceivedCopy(copy, sender, now_ms, now_ms)
         return True
 
     def tick(self) -> list[Addressed]:
         """Ask for the lease where it is this instance's turn."""
-        keepers = self._look_at_keepers()
+        keepers = self._evaluate_keepers()
         own_id = self._context.instance_id
-        if own_id not in keepers or not self._is_turn(keepers.index(own_id), keepers):
+        if own_id not in keepers or not self._is_candidate_turn(keepers.index(own_id), keepers):
             return []
         now_ms = self._now_ms()
-        if not self._promise(own_id):
+        if not self._vote(own_id):
             # The life before may have given its word. Others that know who is about to ask do not
             # ask themselves meanwhile, which would split the words of the keepers.
             is_new = not self._promised_to
@@ -150,7 +150,7 @@
 
     def take_asked(self, sender: InstanceId, asked: LeaseAsked) -> list[Addressed]:
         """Answer as a witness."""
-        keepers = self._look_at_keepers()
+        keepers = self._evaluate_keepers()
         if asked.is_early:
             self._heard_ms[sender] = self._now_ms()
             if not self.is_held:
@@ -160,7 +160,7 @@
         if self._heard_copy is not None and self._heard_copy.holder == sender:
             self._heard_copy.heard_ms = self._now_ms()
         is_known = sender in keepers and self._context.instance_id in keepers
-        is_granted = is_known and not self.is_held and self._promise(sender)
+        is_granted = is_known and not self.is_held and self._vote(sender)
         free_ms = self._now_ms() - self._free_since_ms
         copy = self._copy_now() if is_granted and not asked.is_renewal else None
         answer = LeaseAnswered(self._slot, asked.number, is_granted, free_ms, copy)
@@ -170,7 +170,7 @@
         """Take a witness's word in."""
         self._heard_ms[sender] = self._now_ms()
         ask = self._asks.get(answered.number)
-        keepers = self._look_at_keepers()
+        keepers = self._evaluate_keepers()
         if ask is None or sender not in keepers:
             return
         if answered.is_granted:
@@ -179,10 +179,10 @@
         else:
             ask.is_refused = True
         has_words = len(ask.granted) + 1 > len(keepers) / 2
-        if has_words and (self.is_held or self._may_take_over(ask, keepers)):
+        if has_words and (self.is_held or self._may_acquire(ask, keepers)):
             self._hold(ask, keepers)
 
-    def _may_take_over(self, ask: _Ask, keepers: list[InstanceId]) -> bool:
+    def _may_acquire(self, ask: _Ask, keepers: list[InstanceId]) -> bool:
         if ask.is_refused:
             return False
         now_ms = self._now_ms()
@@ -190,17 +190,17 @@
         if missing and now_ms < self._keepers_since_ms + VIEW_MS:
             return False
         return all(
-            now_ms > self._heard_ms.get(keeper, self._began_ms) + PROMISE_MS for keeper in missing
+            now_ms > self._heard_ms.get(keeper, self._began_ms) + VOTE_HOLD_MS for keeper in missing
         )
 
-    def _look_at_keepers(self) -> list[InstanceId]:
+    def _evaluate_keepers(self) -> list[InstanceId]:
         keepers = self._slots.keepers(self._slot)
         if keepers is not self._keepers and keepers != self._keepers:
             self._keepers_since_ms = self._now_ms()
         self._keepers = keepers
         return keepers
 
-    def _is_turn(self, rank: int, keepers: list[InstanceId]) -> bool:
+    def _is_candidate_turn(self, rank: int, keepers: list[InstanceId]) -> bool:
         """Tell whether all keepers before this one are silent; the holder gives way to them."""
         now_ms = self._now_ms()
         return all(
@@ -208,7 +208,7 @@
             for place, keeper in enumerate(reversed(keepers[:rank]))
         )
 
-    def _promise(self, candidate: InstanceId) -> bool:
+    def _vote(self, candidate: InstanceId) -> bool:
         now_ms = self._now_ms()
         if self._promised_to != candidate and now_ms < self._promised_until_ms:
             return False
@@ -219,12 +219,12 @@
                 # Whoever had the word since may have had the lease too.
                 self._heard_copy = None
         self._promised_to = candidate
-        self._promised_until_ms = now_ms + PROMISE_MS
+        self._promised_until_ms = now_ms + VOTE_HOLD_MS
         return True
 
     def _hold(self, ask: _Ask, keepers: list[InstanceId]) -> None:
         if not self.is_held:
-            self.held_since_ms = self._nobody_since_ms(ask, keepers)
+            self.held_since_ms = self._no_holder_since_ms(ask, keepers)
             self.copy_before = self._agreed_copy(ask)
         self._held_until_ms = max(self._held_until_ms, ask.asked_ms + LEASE_MS)
 
@@ -255,7 +255,7 @@
             return None
         return max(known, key=lambda each: each.number)
 
-    def _nobody_since_ms(self, ask: _Ask, keepers: list[InstanceId]) -> float:
+    def _no_holder_since_ms(self, ask: _Ask, keepers: list[InstanceId]) -> float:
         """Give since when nobody has held the lease, by the words of all keepers.
 
         After a loss of all instances that is since the last of them began: what an account may
--- a/citrondyke/decisions/accounts/slot_steward.py
+++ b/citrondyke/decisions/accounts/slot_steward.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from citrondyke.decisions.accounts.account_uses import AHEAD_PACE, AccountUses
+from citrondyke.decisions.accounts.account_quota_grants import ADVANCE_RATE, AccountQuotaGrants
 from citrondyke.decisions.accounts.bucket import TokenBucket
-from citrondyke.decisions.accounts.floors import FLOOR_SHARE, Floors, usual_floor
+from citrondyke.decisions.accounts.level_floors import FLOOR_SHARE, LevelFloors, default_floor
 from citrondyke.decisions.accounts.limit_messages import (
     Addressed,
     FloorsTold,
@@ -16,41 +16,41 @@
     UseNeed,
     UseOutcome,
 )
-from citrondyke.decisions.accounts.marks import SlotMarks
-from citrondyke.decisions.accounts.tolerance import ADVANCE_MS
+from citrondyke.decisions.accounts.limit_overshoot_budget import AHEAD_GRANT_MS
+from citrondyke.decisions.accounts.prepaid_accounts import PrepaidAccounts
 from citrondyke.decisions.accounts.window_count import StewardCount
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from citrondyke.decisions.accounts.account import Account
-    from citrondyke.decisions.accounts.marks import MarkCall, MarkRow
-    from citrondyke.decisions.accounts.refusals import Refusals
+    from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
+    from citrondyke.decisions.accounts.local_rejection_cache import Refusals
+    from citrondyke.decisions.accounts.prepaid_accounts import PrepaidAccountRow, PrepaidStoreCall
     from citrondyke.decisions.accounts.slot_lease import SlotLease
-    from citrondyke.decisions.accounts.tolerance import LimitTolerance
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.places.kept_places import PlaceCounts
+    from citrondyke.decisions.reservations.kept_places import PlaceCounts
     from citrondyke.ids import InstanceId, TenantId
 
 __all__ = ('SlotSteward',)
 
 #: Part of the rate that goes to callers who were told a time. Each of them takes the place of one
 #: who could be served at once, so that more of them would serve fewer callers within their target.
-KEPT_SHARE = 0.1
+RESERVED_SHARE = 0.1
 #: A caller may come so much before its time: times are told in whole milliseconds.
-EARLY_MS = 20.0
+EARLY_TOLERANCE_MS = 20.0
 #: Part of the time left that callers wait at the most before they come back.
-REACH_SHARE = 1 / 3
+MAX_WAIT_SHARE = 1 / 3
 #: Places are told with so much of that to spare: the way to the caller and back.
-REACH_SLACK_MS = 50.0
+ROUND_TRIP_SLACK_MS = 50.0
 #: What callers are told at the most; beyond seconds it is no use to them.
 LONGEST_RETRY_MS = 5_000.0
 #: Until the store has said which accounts had uses ahead of time; later it is taken for silent.
-READ_MS = 80.0
+PREPAID_READ_TIMEOUT_MS = 80.0
 #: Until keepers have acknowledged that an account may fall further.
-FLOOR_WAIT_MS = 50.0
+FLOOR_ACK_TIMEOUT_MS = 50.0
 #: Below this part of its depth an account is expected to use all of it up.
-WANT_SHARE = 0.25
+DEMAND_SHARE = 0.25
 #: Places told to an instance with a refusal, so that it lets their callers ask.
 EXPECTED_LIMIT = 100
 
@@ -72,7 +72,7 @@
     def __init__(
         self,
         context: Context,
-        tolerance: LimitTolerance,
+        tolerance: LimitOvershootBudget,
         lease: SlotLease,
         slot: int,
         refusals: Refusals,
@@ -94,17 +94,17 @@
         #: Whether the marks of the lease before are known, and who had one.
         self._is_unmarked = False
         self._marked: frozenset[TenantId] = frozenset()
-        self._uses: dict[TenantId, AccountUses] = {}
+        self._uses: dict[TenantId, AccountQuotaGrants] = {}
         era = context.random.getrandbits(32)
-        filled_ms = -ADVANCE_MS
+        filled_ms = -AHEAD_GRANT_MS
         if self._before is not None:
             # The copy is as of now; the lease may have begun to count before.
             # From here on keepers are told of floors below the levels that it gives.
             self.since_ms, filled_ms = self._now_ms(), min(0.0, self._before.filled_ms)
         self.held_since_ms = lease.held_since_ms
         self._began_ms = self._now_ms()
-        self._floors = Floors(era, lease.keepers_name(), filled_ms, self.since_ms)
-        self._marks = SlotMarks(slot, era)
+        self._floors = LevelFloors(era, lease.keepers_name(), filled_ms, self.since_ms)
+        self._marks = PrepaidAccounts(slot, era)
         self._told_number = -1
         if self._before is not None:
             for account_id, floor in self._before.floors.items():
@@ -130,28 +130,32 @@
         uses.places.lapse(now_ms)
         uses.turned_away.note(refused, now_ms)
         place_ms = uses.places.find(need.work)
-        if place_ms is None and uses.turned_away.is_late_again(need.work, now_ms):
-            uses.note_refused(now_ms)
+        if place_ms is None and uses.turned_away.is_rejected_again(need.work, now_ms):
+            uses.record_refused(now_ms)
             return self._refuse(asker, number, account, need, now_ms)
         free = self._free(account, uses, now_ms, is_place=place_ms is not None)
         start_ms = free.at_ms
         if place_ms is not None:
-            start_ms = max(start_ms, place_ms - EARLY_MS)
+            start_ms = max(start_ms, place_ms - EARLY_TOLERANCE_MS)
         wait_ms = max(0.0, start_ms - now_ms)
         is_in_time = wait_ms <= need.may_wait_ms and start_ms <= self._lease.held_until_ms
         if free.is_told and (wait_ms <= 0.0 or is_in_time):
             if place_ms is not None:
                 uses.places.take(need.work)
             uses.take(account, start_ms, now_ms)
-            self._look_at_floor(account, uses, now_ms)
+            self._adjust_floor(account, uses, now_ms)
             return UseAnswered(number, UseOutcome.GRANTED, is_steward=True, start_in_ms=wait_ms)
-        self._look_at_floor(account, uses, now_ms)
-        uses.note_refused(now_ms)
-        if self._before is None and not self._is_unmarked and now_ms < self._began_ms + READ_MS:
-            return self._refused(number, now_ms + READ_MS, now_ms, is_kept=False)
+        self._adjust_floor(account, uses, now_ms)
+        uses.record_refused(now_ms)
+        if (
+            self._before is None
+            and not self._is_unmarked
+            and now_ms < self._began_ms + PREPAID_READ_TIMEOUT_MS
+        ):
+            return self._refused(number, now_ms + PREPAID_READ_TIMEOUT_MS, now_ms, is_kept=False)
         if place_ms is not None:
             return self._refused(number, max(start_ms, place_ms), now_ms, is_kept=True)
-        return self._give_place(asker, number, account, need, start_ms)
+        return self._grant_reservation(asker, number, account, need, start_ms)
 
     def count(self, account: TenantId) -> StewardCount:
         """Give what was counted of an account."""
@@ -197,7 +201,7 @@
         """Take in that a keeper knows the floors."""
         self._floors.note_acknowledged(keeper, era, number)
 
-    def next_call(self) -> MarkCall | None:
+    def next_call(self) -> PrepaidStoreCall | None:
         """Give what the store is to be asked."""
         now_ms = self._now_ms()
         for account_id in self._marks.accounts:
@@ -206,7 +210,7 @@
                 self._marks.want(account_id, now_ms)
         return self._marks.next_call(now_ms)
 
-    def note_row(self, call: MarkCall, row: MarkRow | None) -> None:
+    def note_row(self, call: PrepaidStoreCall, row: PrepaidAccountRow | None) -> None:
         """Take in what the store answered."""
         if not self._marks.is_call_of(call):
             return
@@ -216,7 +220,7 @@
             return
         # Read after everybody else's lease had ended: who has no mark had nothing ahead of time.
         self._is_unmarked = True
-        self._floors.add_filled_ms(ADVANCE_MS)
+        self._floors.add_filled_ms(AHEAD_GRANT_MS)
         self._marked = row.accounts
         for account, uses in self._uses.items():
             if account not in row.accounts:
@@ -227,33 +231,35 @@
             if found is not None:
                 self._floors.lower(account, -_advance(found))
 
-    def _free(self, account: Account, uses: AccountUses, now_ms: float, *, is_place: bool) -> _Free:
+    def _free(
+        self, account: Account, uses: AccountQuotaGrants, now_ms: float, *, is_place: bool
+    ) -> _Free:
         may_advance = self._marks.has(account.id)
         at_ms = uses.free_at_ms(account, now_ms, may_advance=may_advance, is_place=is_place)
         lowest = self._floors.lowest(account, uses.highest_depth, now_ms)
         if uses.level(account, now_ms) - 1.0 < lowest:
-            return _Free(max(at_ms, now_ms + FLOOR_WAIT_MS), False)
+            return _Free(max(at_ms, now_ms + FLOOR_ACK_TIMEOUT_MS), False)
         return _Free(at_ms, True)
 
-    def _look_at_floor(self, account: Account, uses: AccountUses, now_ms: float) -> None:
+    def _adjust_floor(self, account: Account, uses: AccountQuotaGrants, now_ms: float) -> None:
         level = uses.level(account, now_ms)
-        if level < WANT_SHARE * uses.highest_depth and uses.knows_window(now_ms):
+        if level < DEMAND_SHARE * uses.highest_depth and uses.has_full_window(now_ms):
             self._marks.want(account.id, now_ms)
         self._floors.look(account, uses.highest_depth, level, now_ms)
 
-    def _give_place(
+    def _grant_reservation(
         self, asker: InstanceId, number: int, account: Account, need: UseNeed, start_ms: float
     ) -> UseAnswered:
         now_ms = self._now_ms()
         uses = self._of(account)
         places = uses.places
         earliest_ms = max(start_ms, uses.paused_until_ms)
-        due_ms = places.next_due_ms(earliest_ms, 1e3 / (KEPT_SHARE * account.rate_per_s))
-        is_reached = due_ms - now_ms <= need.left_ms * REACH_SHARE - REACH_SLACK_MS
+        due_ms = places.next_due_ms(earliest_ms, 1e3 / (RESERVED_SHARE * account.rate_per_s))
+        is_reached = due_ms - now_ms <= need.left_ms * MAX_WAIT_SHARE - ROUND_TRIP_SLACK_MS
         if need.work and is_reached and places.keep(need.work, due_ms):
             return self._refused(number, due_ms, now_ms, is_kept=True)
         uses.turned_away.note((need.work,), now_ms)
-        uses.turned_away.note_over(now_ms)
+        uses.turned_away.record_overload(now_ms)
         return self._refuse(asker, number, account, need, due_ms)
 
     def _refuse(
@@ -262,9 +268,9 @@
         """Refuse a request for which nothing is kept, and spare the asker the next questions."""
         now_ms = self._now_ms()
         uses = self._of(account)
-        uses_per_s = account.rate_per_s * (AHEAD_PACE if self._marks.has(account.id) else 1.0)
+        uses_per_s = account.rate_per_s * (ADVANCE_RATE if self._marks.has(account.id) else 1.0)
         pause_ms = self._refusals.pause_ms(account, asker, uses_per_s)
-        expected = uses.places.keys_due_by(now_ms + pause_ms + EARLY_MS)
+        expected = uses.places.keys_reserved_before(now_ms + pause_ms + EARLY_TOLERANCE_MS)
         if len(expected) > EXPECTED_LIMIT:
             pause_ms, expected = 0.0, []
         uses.paused_until_ms = max(uses.paused_until_ms, now_ms + pause_ms)
@@ -280,11 +286,11 @@
             number, UseOutcome.REFUSED, retry_in_ms, is_steward=True, is_kept=is_kept
         )
 
-    def _of(self, account: Account) -> AccountUses:
+    def _of(self, account: Account) -> AccountQuotaGrants:
         uses = self._uses.get(account.id)
         if uses is None:
             bucket = TokenBucket(self.since_ms, self._first_level(account))
-            uses = AccountUses(self._tolerance, bucket, self.since_ms)
+            uses = AccountQuotaGrants(self._tolerance, bucket, self.since_ms)
             uses.level(account, self._now_ms())
             self._uses[account.id] = uses
         return uses
@@ -294,7 +300,7 @@
             is_free = self._is_unmarked and account.id not in self._marked
             return 0.0 if is_free else -_advance(account)
         depth = self._depth(account)
-        usual = usual_floor(account, depth, self._before.filled_ms)
+        usual = default_floor(account, depth, self._before.filled_ms)
         return min(depth, self._before.floors.get(account.id, usual))
 
     def _depth(self, account: Account) -> float:
@@ -305,4 +311,4 @@
 
 
 def _advance(account: Account) -> float:
-    return account.rate_per_s * ADVANCE_MS / 1e3
+    return account.rate_per_s * AHEAD_GRANT_MS / 1e3
--- a/citrondyke/decisions/accounts/steward_limits.py
+++ b/citrondyke/decisions/accounts/steward_rate_limiter.py
@@ -4,10 +4,11 @@
 
 from typing import TYPE_CHECKING
 
-from citrondyke.decisions.accounts.fleet_limits import (
-    FleetLimits,
+from citrondyke.decisions.accounts.fallback_allowance import FallbackAllowance
+from citrondyke.decisions.accounts.fleet_rate_limiter import (
+    FleetRateLimiter,
     LimitVerdict,
-    Question,
+    RequiredLookup,
     VerdictKind,
 )
 from citrondyke.decisions.accounts.limit_messages import (
@@ -22,19 +23,18 @@
     UseNeed,
     UseOutcome,
 )
-from citrondyke.decisions.accounts.refusals import Refusals
+from citrondyke.decisions.accounts.local_rejection_cache import Refusals
 from citrondyke.decisions.accounts.slot_lease import SlotLease
 from citrondyke.decisions.accounts.slot_steward import SlotSteward
 from citrondyke.decisions.accounts.slots import SLOTS_COUNT, Slots, slot_of
-from citrondyke.decisions.accounts.stand_ins import StandIns
-from citrondyke.decisions.places.kept_places import PlaceCounts
+from citrondyke.decisions.reservations.kept_places import PlaceCounts
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from citrondyke.decisions.accounts.account import Account
-    from citrondyke.decisions.accounts.marks import MarkCall, MarkRow
-    from citrondyke.decisions.accounts.tolerance import LimitTolerance
+    from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
+    from citrondyke.decisions.accounts.prepaid_accounts import PrepaidAccountRow, PrepaidStoreCall
     from citrondyke.decisions.accounts.window_count import StewardCount
     from citrondyke.decisions.core.context import Context
     from citrondyke.ids import InstanceId, TenantId
@@ -52,7 +52,7 @@
 SLOT_MESSAGES = (LeaseAnswered, FloorsTold, FloorsAcknowledged)
 
 
-class StewardLimits(FleetLimits):
+class StewardLimits(FleetRateLimiter):
     """Asks the steward of the account's slot; is the steward of some slots itself.
 
     A request costs one datagram each way, and the count is exact. Who follows a steward starts at
@@ -64,7 +64,7 @@
         context: Context,
         members: Callable[[], tuple[InstanceId, ...]],
         find: Callable[[TenantId], Account | None],
-        tolerance: LimitTolerance,
+        tolerance: LimitOvershootBudget,
         began_ms: float | None = None,
     ) -> None:
         """Start without a lease.
@@ -83,7 +83,7 @@
             SlotLease(context, self._slots, slot, self._began_ms) for slot in range(SLOTS_COUNT)
         ]
         self._stewards_of_slots: dict[int, SlotSteward] = {}
-        self._stand_ins = StandIns(tolerance, self._began_ms)
+        self._stand_ins = FallbackAllowance(tolerance, self._began_ms)
         self._refusals = Refusals(context)
         self._silent_until_ms: dict[InstanceId, float] = {}
         self._stewards: dict[int, InstanceId] = {}
@@ -92,7 +92,7 @@
 
     def next_step(
         self, account: Account, need: UseNeed, tried: set[InstanceId]
-    ) -> LimitVerdict | Question:
+    ) -> LimitVerdict | RequiredLookup:
         """Decide about one request, or tell who must be asked."""
         if not account.has_limit:
             return LimitVerdict(VerdictKind.WITHIN)
@@ -105,9 +105,9 @@
                 continue
             if keeper != own_id:
                 self._numbers += 1
-                refused = self._refusals.take_alone(account.id)
+                refused = self._refusals.take_rejected_locally(account.id)
                 asked = UseAsked(self._numbers, account.id, need, refused)
-                return Question(keeper, asked, self._numbers)
+                return RequiredLookup(keeper, asked, self._numbers)
             answer = self._answer(own_id, account, UseAsked(0, account.id, need))
             verdict = self.note_answer(account, own_id, answer)
             self._outbox += self._to_tell(slot_of(account.id))
@@ -143,7 +143,7 @@
             )
         return None
 
-    def note_silent(self, account: Account, receiver: InstanceId) -> None:
+    def record_no_reply(self, account: Account, receiver: InstanceId) -> None:
         """Take in that somebody did not answer in time."""
         self._silent_until_ms[receiver] = self._context.now_ms() + SILENT_MS
         self._stewards.pop(slot_of(account.id), None)
@@ -188,13 +188,15 @@
         sent, self._outbox = self._outbox, []
         return sent
 
-    def mark_calls(self) -> list[MarkCall]:
+    def prepaid_calls(self) -> list[PrepaidStoreCall]:
         """Give what the store is to be asked now."""
         held = [self._steward_of(slot) for slot in self._stewards_of_slots]
         calls = [steward.next_call() for steward in held if steward is not None]
         return [call for call in calls if call is not None]
 
-    def note_marks(self, call: MarkCall, row: MarkRow | None) -> list[Addressed]:
+    def record_prepaid(
+        self, call: PrepaidStoreCall, row: PrepaidAccountRow | None
+    ) -> list[Addressed]:
         """Take in what the store answered, and give what to send."""
         steward = self._steward_of(call.slot)
         if steward is None:
--- a/citrondyke/decisions/accounts/use_ring.py
+++ b/citrondyke/decisions/accounts/use_window_counter.py
@@ -4,12 +4,12 @@
 
 from collections import deque
 
-__all__ = ('UseRing',)
+__all__ = ('UseWindowCounter',)
 
 CELL_MS = 50.0
 
 
-class UseRing:
+class UseWindowCounter:
     """Counts whole cells that reach into the span: never less than what happened in it.
 
     Uses that are granted for a moment ahead count at once.
--- a/citrondyke/decisions/once/group_committer.py
+++ b/citrondyke/decisions/at_most_once/group_committer.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from citrondyke.decisions.core.commit import (
-    CommitDoubt,
-    CommitDoubtReason,
+    CommitUncertain,
+    CommitUncertainReason,
     commit,
     commit_once,
     transaction,
@@ -20,9 +20,9 @@
 from citrondyke.storage.table_service import Committed, Row
 
 if TYPE_CHECKING:
+    from citrondyke.decisions.at_most_once.transaction_pace import TransactionPace
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
-    from citrondyke.decisions.once.transaction_pace import TransactionPace
     from citrondyke.storage.table_service import Conflict
 
 __all__ = ('GroupCommitter', 'GroupConflict', 'GroupResult')
@@ -34,7 +34,7 @@
 #: Writes that arrive within this time of the first go with it.
 GATHER_MS = 3.0
 #: How long an ambiguous answer is followed up before the writers are told.
-FOLLOW_UP_MS = 2000.0
+NEXT_GROUP_DELAY_MS = 2000.0
 #: After a failure one group in this time tries the table service; the rest is refused at once.
 BREAK_MS = 500.0
 
@@ -50,7 +50,7 @@
         return False
 
 
-GroupResult: TypeAlias = Committed | GroupConflict | CommitDoubt
+GroupResult: TypeAlias = Committed | GroupConflict | CommitUncertain
 
 
 class _Write(msgspec.Struct, eq=False):
@@ -85,7 +85,7 @@
         result: Signal[GroupResult] = Signal()
         is_broken = self._context.now_ms() < self._broken_until_ms
         if is_broken or len(self._waiting) >= WAITING_LIMIT:
-            result.fire(CommitDoubt(CommitDoubtReason.NOT_WRITTEN))
+            result.fire(CommitUncertain(CommitUncertainReason.NOT_WRITTEN))
             return result
         self._waiting.append(_Write(key, expected_version, value, result))
         self._filled.fire(None)
@@ -119,8 +119,8 @@
         while group:
             self._pace.spend(self._context.now_ms())
             result = yield from self._commit(group)
-            if isinstance(result, (Committed, CommitDoubt)):
-                if isinstance(result, CommitDoubt):
+            if isinstance(result, (Committed, CommitUncertain)):
+                if isinstance(result, CommitUncertain):
                     self._broken_until_ms = self._context.now_ms() + BREAK_MS
                 for write in group:
                     write.result.fire(result)
@@ -130,16 +130,19 @@
                     write.result.fire(GroupConflict(result.rows.get(write.key)))
             group = [write for write in group if write.key not in result.broken]
 
-    def _commit(self, group: list[_Write]) -> Workflow[Committed | Conflict | CommitDoubt]:
+    def _commit(self, group: list[_Write]) -> Workflow[Committed | Conflict | CommitUncertain]:
         wanted = transaction(
             self._context,
             [(write.key, write.expected_version) for write in group],
             [(write.key, write.value) for write in group],
         )
         result = yield from commit_once(wanted)
-        if isinstance(result, CommitDoubt) and result.reason is CommitDoubtReason.MAYBE_WRITTEN:
-            until_ms = self._context.now_ms() + FOLLOW_UP_MS
+        if (
+            isinstance(result, CommitUncertain)
+            and result.reason is CommitUncertainReason.MAYBE_WRITTEN
+        ):
+            until_ms = self._context.now_ms() + NEXT_GROUP_DELAY_MS
             followed = yield from commit(self._context, wanted, until_ms)
             # What was in doubt once stays so until there is a verdict.
-            return result if isinstance(followed, CommitDoubt) else followed
+            return result if isinstance(followed, CommitUncertain) else followed
         return result
--- a/citrondyke/decisions/once/once_desk.py
+++ b/citrondyke/decisions/at_most_once/once_executor.py
@@ -6,7 +6,15 @@
 
 import msgspec
 
-from citrondyke.decisions.core.commit import MAYBE_WRITTEN, CommitDoubt
+from citrondyke.decisions.at_most_once.group_committer import GroupConflict
+from citrondyke.decisions.at_most_once.intent_row import (
+    IntentRow,
+    IntentState,
+    StoredReply,
+    intent_row_key,
+)
+from citrondyke.decisions.at_most_once.once_result import OnceResult, OnceResultKind
+from citrondyke.decisions.core.commit import MAYBE_WRITTEN, CommitUncertain
 from citrondyke.decisions.core.ops import Spawn, read_rows, sleep_until, wait_for
 from citrondyke.decisions.core.signal import Signal
 from citrondyke.decisions.membership.session_row import (
@@ -14,32 +22,24 @@
     session_row_key,
     split_session_id,
 )
-from citrondyke.decisions.once.group_committer import GroupConflict
-from citrondyke.decisions.once.intent_row import (
-    IntentRow,
-    IntentState,
-    StoredReply,
-    intent_row_key,
-)
-from citrondyke.decisions.once.once_end import OnceEnd, OnceEndKind
-from citrondyke.decisions.online.request import OnlineEndKind
+from citrondyke.decisions.online.request import OnlineResultKind
 from citrondyke.storage.failure import PlatformFailure
 from citrondyke.storage.table_service import Committed
 from citrondyke.util.hashing import digest_hex
 
 if TYPE_CHECKING:
+    from citrondyke.decisions.at_most_once.group_committer import GroupCommitter, GroupResult
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
     from citrondyke.decisions.membership.lease_watch import LeaseWatch
-    from citrondyke.decisions.membership.session_keeper import SessionKeeper
-    from citrondyke.decisions.once.group_committer import GroupCommitter, GroupResult
-    from citrondyke.decisions.online.desk import OnlineDesk
+    from citrondyke.decisions.membership.session_renewer import SessionRenewer
+    from citrondyke.decisions.online.desk import OnlineDispatcher
     from citrondyke.decisions.online.refusal import Refusal
-    from citrondyke.decisions.online.request import OnlineEnd, OnlineRequest
+    from citrondyke.decisions.online.request import OnlineRequest, OnlineResult
     from citrondyke.ids import RowKey
     from citrondyke.storage.table_service import Row
 
-__all__ = ('OnceDesk',)
+__all__ = ('OnceExecutor',)
 
 #: How long a claim may wait for the table service before the caller is turned away.
 CLAIM_LIMIT_MS = 4000.0
@@ -51,7 +51,7 @@
 PERSIST_PAUSE_MS = 1000.0
 
 
-class OnceDesk:
+class OnceExecutor:
     """Stores the intent before the dispatch and the outcome before the answer.
 
     Whoever finds an intent whose owner is gone cannot know whether it was dispatched, so it is
@@ -61,10 +61,10 @@
     def __init__(
         self,
         context: Context,
-        session: SessionKeeper,
+        session: SessionRenewer,
         committer: GroupCommitter,
         leases: LeaseWatch,
-        online: OnlineDesk,
+        online: OnlineDispatcher,
     ) -> None:
         """Use the parts handed in."""
         self._context = context
@@ -74,23 +74,23 @@
         self._online = online
         self._running: dict[RowKey, Signal[None]] = {}
 
-    def serve(self, request: OnlineRequest, idempotency_key: str) -> Workflow[OnceEnd]:
+    def serve(self, request: OnlineRequest, idempotency_key: str) -> Workflow[OnceResult]:
         """Bring a request to its one outcome."""
         key = intent_row_key(request.tenant_id, idempotency_key)
         digest = digest_hex(request.method.encode(), request.path.encode(), request.body)
         expected: int | None = None
         while True:
             if not self._session.began.is_fired or not self._session.is_sure():
-                return OnceEnd(OnceEndKind.PLATFORM_DOWN)
+                return OnceResult(OnceResultKind.PLATFORM_DOWN)
             claim = self._new_row(digest, IntentState.INTENT)
             result = yield from self._claim(key, expected, claim, request)
             if isinstance(result, Committed):
                 return (yield from self._dispatch(request, key, claim, result.version))
-            if isinstance(result, CommitDoubt):
+            if isinstance(result, CommitUncertain):
                 yield Spawn(self._withdraw(key, claim))
-                return OnceEnd(OnceEndKind.PLATFORM_DOWN)
+                return OnceResult(OnceResultKind.PLATFORM_DOWN)
             followed = yield from self._follow(request, key, digest, result.row)
-            if isinstance(followed, OnceEnd):
+            if isinstance(followed, OnceResult):
                 return followed
             expected = followed.version
 
@@ -105,7 +105,7 @@
 
     def _dispatch(
         self, request: OnlineRequest, key: RowKey, claim: IntentRow, version: int
-    ) -> Workflow[OnceEnd]:
+    ) -> Workflow[OnceResult]:
         done: Signal[None] = Signal()
         self._running[key] = done
         try:
@@ -120,9 +120,9 @@
             done.fire(None)
 
     def _settle(
-        self, key: RowKey, claim: IntentRow, version: int, end: OnlineEnd
-    ) -> Workflow[OnceEnd]:
-        if end.kind is OnlineEndKind.ANSWERED and end.reply is not None:
+        self, key: RowKey, claim: IntentRow, version: int, end: OnlineResult
+    ) -> Workflow[OnceResult]:
+        if end.kind is OnlineResultKind.ANSWERED and end.reply is not None:
             body = end.reply.body or b''.join(
                 b'data: ' + frame + b'\n\n' for frame in end.reply.frames
             )
@@ -143,7 +143,7 @@
         *,
         reply: StoredReply | None = None,
         refusal: Refusal | None = None,
-    ) -> Workflow[OnceEnd]:
+    ) -> Workflow[OnceResult]:
         """Store the outcome, then tell it."""
         row = msgspec.structs.replace(
             claim, state=state, reply=reply, changed_at_epoch_ms=self._context.epoch_ms()
@@ -159,10 +159,10 @@
                 if stored.claim_id == claim.claim_id and stored.state is state:
                     return _end_of(row, refusal=refusal)
             # Another instance took this one for dead and closed the intent; its word stands.
-            return OnceEnd(OnceEndKind.UNKNOWN)
+            return OnceResult(OnceResultKind.UNKNOWN)
         yield Spawn(self._persist(key, row))
         if state is IntentState.DONE:
-            return OnceEnd(OnceEndKind.NOT_DURABLE)
+            return OnceResult(OnceResultKind.NOT_DURABLE)
         return _end_of(row, refusal=refusal)
 
     def _persist(self, key: RowKey, row: IntentRow) -> Workflow[None]:
@@ -208,7 +208,7 @@
 
     def _follow(
         self, request: OnlineRequest, key: RowKey, digest: str, row: Row | None
-    ) -> Workflow[OnceEnd | _Free]:
+    ) -> Workflow[OnceResult | _Free]:
         """Learn what became of a request whose key was claimed before."""
         poll_ms = FIRST_POLL_MS
         while True:
@@ -216,14 +216,14 @@
                 return _Free(None)
             stored = msgspec.json.decode(row.value, type=IntentRow)
             if stored.digest != digest:
-                return OnceEnd(OnceEndKind.CONFLICT)
+                return OnceResult(OnceResultKind.CONFLICT)
             if stored.state is IntentState.NOT_RUN:
                 return _Free(row.version)
             if stored.state is not IntentState.INTENT:
                 return _end_of(stored, is_replay=True)
             now_ms = self._context.now_ms()
             if now_ms >= request.deadline_ms:
-                return OnceEnd(OnceEndKind.IN_PROGRESS)
+                return OnceResult(OnceResultKind.IN_PROGRESS)
             resume_ms = min(now_ms + poll_ms, request.deadline_ms)
             local = self._running.get(key)
             if local is None:
@@ -277,9 +277,11 @@
     version: int | None
 
 
-def _end_of(row: IntentRow, *, refusal: Refusal | None = None, is_replay: bool = False) -> OnceEnd:
+def _end_of(
+    row: IntentRow, *, refusal: Refusal | None = None, is_replay: bool = False
+) -> OnceResult:
     if row.state is IntentState.DONE:
-        return OnceEnd(OnceEndKind.ANSWERED, row.reply, is_replay=is_replay)
+        return OnceResult(OnceResultKind.ANSWERED, row.reply, is_replay=is_replay)
     if row.state is IntentState.NOT_RUN:
-        return OnceEnd(OnceEndKind.NOT_RUN, refusal=refusal)
-    return OnceEnd(OnceEndKind.UNKNOWN)
+        return OnceResult(OnceResultKind.NOT_RUN, refusal=refusal)
+    return OnceResult(OnceResultKind.UNKNOWN)
--- a/citrondyke/decisions/once/once_end.py
+++ b/citrondyke/decisions/at_most_once/once_result.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from citrondyke.decisions.once.intent_row import StoredReply
+from citrondyke.decisions.at_most_once.intent_row import StoredReply
 from citrondyke.decisions.online.refusal import Refusal
 
-__all__ = ('OnceEnd', 'OnceEndKind')
+__all__ = ('OnceResult', 'OnceResultKind')
 
 
-class OnceEndKind(Enum):
+class OnceResultKind(Enum):
     """What the caller is told."""
 
     ANSWERED = 'answered'
@@ -29,10 +29,10 @@
     PLATFORM_DOWN = 'platform_down'
 
 
-class OnceEnd(msgspec.Struct, frozen=True):
+class OnceResult(msgspec.Struct, frozen=True):
     """The one outcome."""
 
-    kind: OnceEndKind
+    kind: OnceResultKind
     reply: StoredReply | None = None
     refusal: Refusal | None = None
     #: Whether the answer was stored before and is given again.
--- a/citrondyke/decisions/batch/acceptance_wait.py
+++ b/citrondyke/decisions/batch/acceptance_deadline.py
@@ -4,16 +4,16 @@
 
 import msgspec
 
-__all__ = ('AcceptanceWait', 'begin_wait')
+__all__ = ('AcceptanceDeadline', 'begin_wait')
 
 #: A job that cannot be made durable within this time is answered where its caller has to try
 #: elsewhere; of some 5 s that a caller has, that leaves room for two more tries.
-ELSEWHERE_AFTER_MS = 1_500.0
+REDIRECT_AFTER_MS = 1_500.0
 #: Before the caller's deadline: the last try's answer, the way back, and the caller's own reading.
 ANSWER_MS = 300.0
 
 
-class AcceptanceWait(msgspec.Struct):
+class AcceptanceDeadline(msgspec.Struct):
     """One job on its way into the store.
 
     Answers a store that is away from everybody for seconds. A caller comes back once or twice, and
@@ -28,7 +28,7 @@
     last_at_ms: float
     is_store_away: bool = False
 
-    def note_failed(self) -> None:
+    def record_failed(self) -> None:
         """Take in that a try failed both directly and by way of a peer."""
         self.is_store_away = True
 
@@ -38,12 +38,12 @@
         return self.last_at_ms if self.is_store_away else self.elsewhere_at_ms
 
 
-def begin_wait(now_ms: float, deadline_ms: float, *, may_hold: bool) -> AcceptanceWait:
+def begin_wait(now_ms: float, deadline_ms: float, *, may_hold: bool) -> AcceptanceDeadline:
     """Begin to make a job durable.
 
     :param deadline_ms: of its caller.
     :param may_hold: whether it states one, and there is memory to hold its items for longer.
     """
-    elsewhere_at_ms = now_ms + ELSEWHERE_AFTER_MS
+    elsewhere_at_ms = now_ms + REDIRECT_AFTER_MS
     last_at_ms = max(elsewhere_at_ms, deadline_ms - ANSWER_MS) if may_hold else elsewhere_at_ms
-    return AcceptanceWait(elsewhere_at_ms, last_at_ms)
+    return AcceptanceDeadline(elsewhere_at_ms, last_at_ms)
--- a/citrondyke/decisions/batch/waiting_bound.py
+++ b/citrondyke/decisions/batch/backlog_limit.py
@@ -17,12 +17,12 @@
 
 __all__ = (
     'NO_CONFIGURATION',
-    'Allowed',
-    'NoRoom',
-    'OtherShares',
-    'ShareStanding',
+    'BacklogFull',
+    'BacklogLimit',
+    'PeerShares',
+    'ShareValidity',
     'TokenShare',
-    'WaitingBound',
+    'WithinBacklogLimit',
     'count_others',
 )
 
@@ -66,26 +66,26 @@
     has_left: bool = False
 
 
-class OtherShares(msgspec.Struct, frozen=True):
+class PeerShares(msgspec.Struct, frozen=True):
     """What everybody else has on a route, by one read."""
 
     held: int
     used: int
     left: int
 
-    def plus(self, held: int, used: int, left: int) -> OtherShares:
+    def plus(self, held: int, used: int, left: int) -> PeerShares:
         """Add one more."""
-        return OtherShares(self.held + held, self.used + used, self.left + left)
+        return PeerShares(self.held + held, self.used + used, self.left + left)
 
 
-class Allowed(msgspec.Struct, frozen=True):
+class WithinBacklogLimit(msgspec.Struct, frozen=True):
     """A job fits."""
 
     #: What this instance is to hold from then on.
     held: int
 
 
-class NoRoom(msgspec.Struct, frozen=True):
+class BacklogFull(msgspec.Struct, frozen=True):
     """A job does not fit."""
 
     #: Tokens that must leave the count first.
@@ -94,7 +94,7 @@
     retry_in_ms: float | None
 
 
-class ShareStanding(Enum):
+class ShareValidity(Enum):
     """How another life's share counts."""
 
     ALIVE = 'alive'
@@ -106,10 +106,10 @@
 def count_others(
     shares: Mapping[str, TokenShare],
     own_life: str,
-    standing: Callable[[str, TokenShare], ShareStanding],
+    standing: Callable[[str, TokenShare], ShareValidity],
     heads: Iterable[JobHead],
     route: RouteName,
-) -> OtherShares:
+) -> PeerShares:
     """Add up what others have.
 
     The jobs of a life that is gone are counted by their heads, until somebody has claimed them:
@@ -121,7 +121,7 @@
     :param shares: by life.
     :param heads: of the open jobs that are known.
     """
-    total = OtherShares(0, 0, 0)
+    total = PeerShares(0, 0, 0)
     orphaned: dict[str, int] = {}
     claimed: dict[str, int] = {}
     for head in heads:
@@ -133,18 +133,18 @@
         if life == own_life:
             continue
         stands = standing(life, share)
-        if stands is ShareStanding.ALIVE:
+        if stands is ShareValidity.ALIVE:
             # Its jobs are counted by what it tells.
             orphaned.pop(life, None)
             total = total.plus(max(share.held, share.used), share.used, share.left)
-        elif stands is ShareStanding.DOUBTFUL:
+        elif stands is ShareValidity.DOUBTFUL:
             known = orphaned.get(life, 0) + claimed.get(life, 0) - share.finished
             total = total.plus(max(0, share.held - known), max(0, share.used - known), 0)
     whole = sum(orphaned.values())
     return total.plus(whole, whole, 0)
 
 
-class WaitingBound:
+class BacklogLimit:
     """Decides who may accept how much.
 
     Each instance holds a share of the bound, and accepts within it without asking anybody: ten
@@ -165,7 +165,7 @@
         self._ceiling = limit * (1.0 + overshoot * (1.0 - MARGIN_PART))
         self._spare = int(limit * overshoot * SPARE_PART / max(1, instances_count))
 
-    def is_spare_right(self, held: int, used: int) -> bool:
+    def is_headroom_sufficient(self, held: int, used: int) -> bool:
         """Tell whether what an instance holds beyond its use is about what it may hold so."""
         return self._spare / 2 <= held - used <= 2 * self._spare
 
@@ -173,18 +173,18 @@
         """Tell whether what leaves the count must be told soon."""
         return used_by_all > self._limit * NEAR_PART
 
-    def share_for(self, used: int, others: OtherShares) -> int:
+    def share_for(self, used: int, others: PeerShares) -> int:
         """Give what to hold besides what is used, as far as there is room."""
         room = int(self._ceiling) - others.held - used
         return used + max(0, min(self._spare, room))
 
-    def is_within(self, held: int, others: OtherShares) -> bool:
+    def is_within(self, held: int, others: PeerShares) -> bool:
         """Tell whether all shares together are within the bound and what is tolerated."""
         return others.held + held <= int(self._ceiling)
 
     def decide(
-        self, used: int, tokens: int, others: OtherShares, tokens_per_s: float
-    ) -> Allowed | NoRoom:
+        self, used: int, tokens: int, others: PeerShares, tokens_per_s: float
+    ) -> WithinBacklogLimit | BacklogFull:
         """Decide on a job that does not fit into this instance's share.
 
         :param used: by this instance, without the job.
@@ -193,9 +193,9 @@
         excess = others.used + used + tokens - self._limit
         over_ceiling = others.held + used + tokens - int(self._ceiling)
         if excess <= 0 and over_ceiling <= 0:
-            return Allowed(self.share_for(used + tokens, others))
+            return WithinBacklogLimit(self.share_for(used + tokens, others))
         excess = max(excess, over_ceiling)
         if tokens > self._limit:
-            return NoRoom(excess, None)
+            return BacklogFull(excess, None)
         wait_ms = excess / tokens_per_s * 1e3 if tokens_per_s > 0 else UNKNOWN_RATE_MS
-        return NoRoom(excess, min(LATEST_MS, max(SOONEST_MS, wait_ms)))
+        return BacklogFull(excess, min(LATEST_MS, max(SOONEST_MS, wait_ms)))
--- a/citrondyke/decisions/batch/batch_need.py
+++ b/citrondyke/decisions/batch/batch_demand.py
@@ -8,10 +8,10 @@
 
 from citrondyke.ids import ServiceName
 
-__all__ = ('BatchNeed', 'Prospect', 'ToldNeed')
+__all__ = ('BatchDemand', 'CompletionLikelihood', 'DemandNotice')
 
 
-class Prospect(IntEnum):
+class CompletionLikelihood(IntEnum):
     """How likely an item that starts now is done when it is due; the lower the sooner it starts."""
 
     DOABLE = 0
@@ -20,18 +20,18 @@
     LATE = 2
 
 
-class BatchNeed(msgspec.Struct, frozen=True):
+class BatchDemand(msgspec.Struct, frozen=True):
     """The items of one service that wait at one owner and stand best."""
 
     service: ServiceName
-    prospect: Prospect
+    prospect: CompletionLikelihood
     waiting_count: int
     #: When the first of them must start to be done in time, by the monotonic clock of whoever
     #: holds this.
     start_by_ms: float
 
 
-class ToldNeed(msgspec.Struct, frozen=True, array_like=True):
+class DemandNotice(msgspec.Struct, frozen=True, array_like=True):
     """A need as instances tell it to each other, whose clocks differ."""
 
     service: ServiceName
--- a/citrondyke/decisions/batch/need_book.py
+++ b/citrondyke/decisions/batch/batch_demand_table.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from citrondyke.decisions.batch.batch_need import BatchNeed, Prospect, ToldNeed
+from citrondyke.decisions.batch.batch_demand import BatchDemand, CompletionLikelihood, DemandNotice
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
     from citrondyke.ids import InstanceId, ServiceName
 
-__all__ = ('NeedBook',)
+__all__ = ('BatchDemandTable',)
 
 #: A need is told again so often while items wait, since datagrams get lost ...
 RENEW_MS = 250.0
@@ -26,11 +26,11 @@
 
 
 class _Heard(msgspec.Struct, frozen=True):
-    needs: dict[ServiceName, BatchNeed]
+    needs: dict[ServiceName, BatchDemand]
     until_ms: float
 
 
-class NeedBook:
+class BatchDemandTable:
     """Deals free places to those who have the most urgent items.
 
     Answers a wave of jobs that is more than the places can do in time. With equal parts for all,
@@ -42,12 +42,12 @@
         """Start without a need."""
         self._context = context
         self._heard: dict[InstanceId, _Heard] = {}
-        self._own: dict[ServiceName, BatchNeed] = {}
+        self._own: dict[ServiceName, BatchDemand] = {}
         self._own_since_ms: dict[ServiceName, float] = {}
-        self._told: list[BatchNeed] = []
+        self._told: list[BatchDemand] = []
         self._told_ms = float('-inf')
 
-    def note_own(self, needs: list[BatchNeed]) -> None:
+    def record_own_demand(self, needs: list[BatchDemand]) -> None:
         """Take in what waits at this instance; services without waiting items are left out."""
         now_ms = self._context.now_ms()
         self._own = {need.service: need for need in needs}
@@ -55,16 +55,16 @@
             service: self._own_since_ms.get(service, now_ms) for service in self._own
         }
 
-    def note_peer(self, peer: InstanceId, told: list[ToldNeed]) -> None:
+    def note_peer(self, peer: InstanceId, told: list[DemandNotice]) -> None:
         """Take in what waits at a peer."""
         if not told:
             self._heard.pop(peer, None)
             return
         now_ms = self._context.now_ms()
         needs = {
-            need.service: BatchNeed(
+            need.service: BatchDemand(
                 need.service,
-                Prospect(need.prospect),
+                CompletionLikelihood(need.prospect),
                 need.waiting_count,
                 now_ms + need.start_in_ms,
             )
@@ -72,7 +72,7 @@
         }
         self._heard[peer] = _Heard(needs, now_ms + LAPSE_MS)
 
-    def to_tell(self) -> list[ToldNeed] | None:
+    def to_tell(self) -> list[DemandNotice] | None:
         """Give the needs that peers are to be told now; ``None`` for no message.
 
         An empty list says that nothing waits any more.
@@ -86,23 +86,23 @@
             return None
         self._told, self._told_ms = own, now_ms
         return [
-            ToldNeed(need.service, need.prospect, need.waiting_count, need.start_by_ms - now_ms)
+            DemandNotice(need.service, need.prospect, need.waiting_count, need.start_by_ms - now_ms)
             for need in own
         ]
 
-    def knows_others(self, service: ServiceName) -> bool:
+    def has_peer_demand(self, service: ServiceName) -> bool:
         """Tell whether others who have items waiting have had the time to say so."""
         since_ms = self._own_since_ms.get(service)
         return since_ms is not None and self._context.now_ms() - since_ms >= RENEW_MS
 
-    def others(self, service: ServiceName) -> list[BatchNeed]:
+    def others(self, service: ServiceName) -> list[BatchDemand]:
         """List the needs of peers."""
         now_ms = self._context.now_ms()
         for peer in [each for each, heard in self._heard.items() if heard.until_ms <= now_ms]:
             del self._heard[peer]
         return [heard.needs[service] for heard in self._heard.values() if service in heard.needs]
 
-    def own_part(self, service: ServiceName, free_count: float) -> float:
+    def own_share_of_capacity(self, service: ServiceName, free_count: float) -> float:
         """Give this instance's part of some free places, as places.
 
         Those whose items stand better come first, and among them those who must start first; who
@@ -122,12 +122,12 @@
         return min(float(own.waiting_count), part)
 
 
-def _order(need: BatchNeed) -> tuple[int, int]:
-    if need.prospect is not Prospect.DOABLE:
+def _order(need: BatchDemand) -> tuple[int, int]:
+    if need.prospect is not CompletionLikelihood.DOABLE:
         return need.prospect, 0
     return need.prospect, int(need.start_by_ms // EQUAL_MS)
 
 
-def _rough(need: BatchNeed) -> tuple[ServiceName, Prospect, int]:
+def _rough(need: BatchDemand) -> tuple[ServiceName, CompletionLikelihood, int]:
     """Leave out what changes nobody's part by much."""
     return need.service, need.prospect, need.waiting_count.bit_length()
--- a/citrondyke/decisions/batch/give_way.py
+++ b/citrondyke/decisions/batch/batch_preemption.py
@@ -9,22 +9,22 @@
 
 import msgspec
 
+from citrondyke.decisions.batch.item_priority import LATE_MS
 from citrondyke.decisions.batch.kept_places import KeptPlaces
-from citrondyke.decisions.batch.outlook import LATE_MS
 from citrondyke.decisions.forwarding.server_state import ServerState
 from citrondyke.util.hashing import rendezvous_weight
 
 if TYPE_CHECKING:
-    from citrondyke.decisions.batch.start_pace import StartPace
+    from citrondyke.decisions.batch.start_rate_limiter import StartRateLimiter
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.server_book import ServerBook
-    from citrondyke.ids import InstanceId, ServerLife, ServiceName
+    from citrondyke.decisions.forwarding.server_registry import ServerRegistry
+    from citrondyke.ids import InstanceId, ServerIncarnation, ServiceName
 
-__all__ = ('GiveWay', 'RunningItem', 'Urgency', 'urgency')
+__all__ = ('BatchPreemption', 'RunningItem', 'Urgency', 'urgency')
 
 #: Places that batch items leave free on each server of another availability zone, whose counts are
 #: old.
-FREE_FAR_PLACES = 1
+FREE_REMOTE_CAPACITY = 1
 #: An item that must run from now on, with no more than this to spare, is at risk: a cut costs it
 #: its due time, while a request that waits for a place is still within its target.
 AT_RISK_MS = 1_500.0
@@ -33,7 +33,7 @@
 WAIT_SHARE = 0.1
 #: ... and where a place is expected within half of the target, as online requests end, it is given
 #: four fifths of that time.
-SOON_SHARE = 0.5
+DUE_SOON_SHARE = 0.5
 SOON_WAIT_SHARE = 0.4
 #: Time that a streamed request stays on a server, about; the wait is bounded by the target in any
 #: case.
@@ -70,7 +70,7 @@
     """A batch item on a server; the number is its owner's."""
 
     number: int
-    life: ServerLife
+    life: ServerIncarnation
     started_ms: float
     urgency: Urgency
     #: Time that it still runs; one that has run for seconds may be nearly done.
@@ -84,17 +84,17 @@
 
     seen: deque[tuple[float, int]]
 
-    def take_off(self, count: int) -> None:
+    def remove_excess(self, count: int) -> None:
         """Take in that runs were cut."""
         self.seen = deque((at_ms, max(0, excess - count)) for at_ms, excess in self.seen)
 
 
-class _Room(msgspec.Struct, frozen=True):
+class _CapacityEstimate(msgspec.Struct, frozen=True):
     state: ServerState
     free: int
 
 
-class GiveWay:
+class BatchPreemption:
     """Fills the places that online requests leave, and clears them again.
 
     Batch items give way while their due time bears it, as soon as an online request would wait
@@ -103,14 +103,14 @@
     for nothing.
     """
 
-    def __init__(self, context: Context, book: ServerBook, pace: StartPace) -> None:
+    def __init__(self, context: Context, book: ServerRegistry, pace: StartRateLimiter) -> None:
         """Use what is known of the servers."""
         self._context = context
         self._book = book
         self._pace = pace
         self.kept = KeptPlaces(context)
-        self._cut_ms: dict[ServerLife, float] = {}
-        self._excess: dict[ServerLife, _Excess] = {}
+        self._cut_ms: dict[ServerIncarnation, float] = {}
+        self._excess: dict[ServerIncarnation, _Excess] = {}
 
     @property
     def is_in_large_fleet(self) -> bool:
@@ -134,16 +134,24 @@
         now_ms = self._context.now_ms()
         near, far = self._split(self._book.usable(service))
         is_at_risk = urgency_now is Urgency.AT_RISK
-        rooms = [_Room(state, free) for state in near if (free := _free(state, now_ms)) >= 1]
+        rooms = [
+            _CapacityEstimate(state, free) for state in near if (free := _free(state, now_ms)) >= 1
+        ]
         free_count = sum(room.free for room in rooms) - self._kept_count(service, len(rooms))
         # What is kept is of most use where each server has a part of it.
-        rooms = [_Room(room.state, room.free - 1) for room in rooms if room.free > 1] or rooms
+        rooms = [
+            _CapacityEstimate(room.state, room.free - 1) for room in rooms if room.free > 1
+        ] or rooms
         if free_count < 1:
-            rooms = [_Room(state, 1) for state in near if is_at_risk and _may_hold(state, now_ms)]
+            rooms = [
+                _CapacityEstimate(state, 1)
+                for state in near
+                if is_at_risk and _may_hold(state, now_ms)
+            ]
             free_count = len(rooms)
         is_far = not rooms
         if is_far:
-            rooms = _far_rooms(far, now_ms, is_at_risk=is_at_risk)
+            rooms = _remote_capacity(far, now_ms, is_at_risk=is_at_risk)
             free_count = sum(room.free for room in rooms)
         if not rooms or not self._pace.take(service, free_count, is_far=is_far):
             return None
@@ -173,12 +181,12 @@
         near = [state for state in usable if state.listed.zone == zone]
         return near, [state for state in usable if state.listed.zone != zone]
 
-    def crowded(self, lives: Iterable[ServerLife]) -> set[ServerLife]:
+    def crowded(self, lives: Iterable[ServerIncarnation]) -> set[ServerIncarnation]:
         """Tell which of some servers have more requests than places, online ones among them."""
         now_ms = self._context.now_ms()
         found = set()
         for life in lives:
-            state = self._book.of_life(life)
+            state = self._book.find_incarnation(life)
             if state is not None and _excess(state, now_ms) > 0:
                 found.add(life)
             else:
@@ -193,12 +201,12 @@
         nothing, and if each cut a part by chance, online requests would wait for who does.
         """
         now_ms = self._context.now_ms()
-        by_server: dict[ServerLife, list[RunningItem]] = {}
+        by_server: dict[ServerIncarnation, list[RunningItem]] = {}
         for item in running:
             by_server.setdefault(item.life, []).append(item)
         chosen = []
         for life, items in by_server.items():
-            state = self._book.of_life(life)
+            state = self._book.find_incarnation(life)
             if state is not None:
                 chosen.extend(self._cut_at(state, items, now_ms))
         return chosen
@@ -212,7 +220,7 @@
         wait_ms = 0.0
         if self._book.neighbours.is_zoned:
             # In a smaller fleet counts are ten ms old at the most.
-            wait_ms = _patience_ms(state, min(item.target_ms for item in items), now_ms)
+            wait_ms = _online_wait_limit_ms(state, min(item.target_ms for item in items), now_ms)
         count = self._count_to_cut(state, len(items), wait_ms, now_ms)
         # Those that end soon make room by themselves.
         ending_count = sum(item.remaining_ms <= wait_ms for item in items)
@@ -229,13 +237,13 @@
         while cut and cut[-1].urgency is Urgency.AT_RISK and batch_left < state.held_limit:
             cut.pop()
             batch_left += 1
-        self._excess[state.life].take_off(len(cut))
+        self._excess[state.life].remove_excess(len(cut))
         return cut
 
     def _count_to_cut(
         self, state: ServerState, own_count: int, wait_ms: float, now_ms: float
     ) -> int:
-        excess = self._lasting_excess(state, wait_ms, now_ms)
+        excess = self._sustained_excess(state, wait_ms, now_ms)
         if excess <= 0:
             return 0
         own_rank = self._rank(self._context.instance_id, state)
@@ -246,7 +254,7 @@
         )
         return min(own_count, max(0, excess - before))
 
-    def _lasting_excess(self, state: ServerState, wait_ms: float, now_ms: float) -> int:
+    def _sustained_excess(self, state: ServerState, wait_ms: float, now_ms: float) -> int:
         """Count the requests that were too many all the time for which one may wait.
 
         Online requests come and go within that time on a server with several of them: what they
@@ -273,14 +281,16 @@
         return rendezvous_weight(instance_id, state.listed.id)
 
 
-def _far_rooms(far: list[ServerState], now_ms: float, *, is_at_risk: bool) -> list[_Room]:
+def _remote_capacity(
+    far: list[ServerState], now_ms: float, *, is_at_risk: bool
+) -> list[_CapacityEstimate]:
     rooms = []
     for state in far:
-        free = _free(state, now_ms) - FREE_FAR_PLACES
+        free = _free(state, now_ms) - FREE_REMOTE_CAPACITY
         if free < 1 and is_at_risk and _may_hold(state, now_ms):
             free = 1
         if free >= 1:
-            rooms.append(_Room(state, free))
+            rooms.append(_CapacityEstimate(state, free))
     return rooms
 
 
@@ -298,11 +308,11 @@
     return min(batch, online + batch - state.listed.slots_count) if online else 0
 
 
-def _patience_ms(state: ServerState, target_ms: float, now_ms: float) -> float:
+def _online_wait_limit_ms(state: ServerState, target_ms: float, now_ms: float) -> float:
     """Give the time for which a server may have too many requests before a run is cut."""
     ends_per_ms = state.online_count(now_ms) / STAY_MS
-    is_soon = _excess(state, now_ms) <= ends_per_ms * SOON_SHARE * target_ms
-    return (SOON_WAIT_SHARE if is_soon else WAIT_SHARE) * target_ms
+    is_due_soon = _excess(state, now_ms) <= ends_per_ms * DUE_SOON_SHARE * target_ms
+    return (SOON_WAIT_SHARE if is_due_soon else WAIT_SHARE) * target_ms
 
 
 def _may_hold(state: ServerState, now_ms: float) -> bool:
--- a/citrondyke/decisions/batch/drain_rate.py
+++ b/citrondyke/decisions/batch/drain_rate.py
@@ -23,16 +23,16 @@
         self._used_before = 0
         self._all_left: tuple[float, int] | None = None
 
-    def note_accepted(self, tokens: int) -> None:
+    def record_accepted(self, tokens: int) -> None:
         """Take in what came into this instance's count; less than 0 where it did not after all."""
         self._accepted += tokens
 
-    def note_used(self, used: int) -> None:
+    def record_used(self, used: int) -> None:
         """Take in what this instance's count is now."""
         self.left += max(0, self._used_before + self._accepted - used)
         self._used_before, self._accepted = used, 0
 
-    def note_others(self, left: int, now_ms: float) -> None:
+    def record_peer_usage(self, left: int, now_ms: float) -> None:
         """Take in what has left the others' counts."""
         all_left = left + self.left
         if self._all_left is not None:
--- a/citrondyke/decisions/batch/outlook.py
+++ b/citrondyke/decisions/batch/item_priority.py
@@ -7,50 +7,54 @@
 
 import msgspec
 
-from citrondyke.decisions.batch.batch_need import BatchNeed, Prospect
+from citrondyke.decisions.batch.batch_demand import BatchDemand, CompletionLikelihood
 from citrondyke.ids import ServiceName
 
-__all__ = ('LATE_MS', 'Outlook', 'count_by_prospect', 'need_of', 'outlook')
+__all__ = ('LATE_MS', 'ItemPriority', 'batch_demand_of', 'count_by_likelihood', 'outlook')
 
 #: Errors of the estimate of what is left: later than this an item is late whatever is done.
 LATE_MS = -300.0
 
 
-class Outlook(msgspec.Struct, frozen=True):
+class ItemPriority(msgspec.Struct, frozen=True):
     """How an item stands that would start now."""
 
-    prospect: Prospect
+    prospect: CompletionLikelihood
     #: Time that is left when it ends, if it takes as long as usual.
     spare_ms: float
     #: A run of it was cut.
     has_begun: bool = False
 
     @property
-    def order(self) -> tuple[Prospect, bool, float]:
+    def order(self) -> tuple[CompletionLikelihood, bool, float]:
         """Give the place in the order of starts.
 
         What was cut comes first: it needs a place for the shortest time. What will be late if it
         is longer than usual starts the sooner the likelier it is in time: in the order of due
         times the places would go to items that become late one and all.
         """
-        is_doubtful = self.prospect is Prospect.DOUBTFUL
+        is_doubtful = self.prospect is CompletionLikelihood.DOUBTFUL
         spare_ms = -self.spare_ms if is_doubtful else self.spare_ms
         return self.prospect, not self.has_begun, spare_ms
 
 
-def outlook(spare_ms: float, margin_ms: float, *, has_begun: bool = False) -> Outlook:
+def outlook(spare_ms: float, margin_ms: float, *, has_begun: bool = False) -> ItemPriority:
     """Judge an item.
 
     :param spare_ms: time that is left if it starts now and takes as long as usual.
     :param margin_ms: by which items are longer than usual, as the case may be.
     """
     if spare_ms < LATE_MS:
-        return Outlook(Prospect.LATE, spare_ms, has_begun)
-    prospect = Prospect.DOABLE if spare_ms >= margin_ms else Prospect.DOUBTFUL
-    return Outlook(prospect, spare_ms, has_begun)
+        return ItemPriority(CompletionLikelihood.LATE, spare_ms, has_begun)
+    prospect = (
+        CompletionLikelihood.DOABLE if spare_ms >= margin_ms else CompletionLikelihood.DOUBTFUL
+    )
+    return ItemPriority(prospect, spare_ms, has_begun)
 
 
-def need_of(service: ServiceName, outlooks: Iterable[Outlook], now_ms: float) -> BatchNeed:
+def batch_demand_of(
+    service: ServiceName, outlooks: Iterable[ItemPriority], now_ms: float
+) -> BatchDemand:
     """Sum up the items of a service that stand best.
 
     :param outlooks: of all that wait; one at least.
@@ -58,9 +62,9 @@
     outlooks = list(outlooks)
     best = min(each.prospect for each in outlooks)
     spares_ms = [each.spare_ms for each in outlooks if each.prospect is best]
-    return BatchNeed(service, best, len(spares_ms), now_ms + min(spares_ms))
+    return BatchDemand(service, best, len(spares_ms), now_ms + min(spares_ms))
 
 
-def count_by_prospect(outlooks: Iterable[Outlook]) -> Counter[Prospect]:
+def count_by_likelihood(outlooks: Iterable[ItemPriority]) -> Counter[CompletionLikelihood]:
     """Count items by how they stand."""
     return Counter(each.prospect for each in outlooks)
--- a/citrondyke/decisions/batch/job.py
+++ b/citrondyke/decisions/batch/job.py
@@ -8,7 +8,7 @@
 
 from citrondyke.ids import InstanceId, JobId, RouteName, TenantId
 
-__all__ = ('ItemResult', 'ItemState', 'JobHead', 'JobItem', 'bound_name', 'cut_page')
+__all__ = ('ItemResult', 'ItemState', 'JobHead', 'JobItem', 'bound_name', 'take_page')
 
 #: Bytes of results in one answer; its limit is 1 MB.
 PAGE_BYTES = 900_000
@@ -84,7 +84,7 @@
     return RouteName(f'{route} {account}') if account else route
 
 
-def cut_page(results: list[ItemResult]) -> list[ItemResult]:
+def take_page(results: list[ItemResult]) -> list[ItemResult]:
     """Take as many results as one answer holds; one at least."""
     size = 0
     for count, result in enumerate(results):
--- a/citrondyke/decisions/batch/owned_job.py
+++ b/citrondyke/decisions/batch/owned_job.py
@@ -9,7 +9,7 @@
 
 from citrondyke.decisions.batch.job import ItemResult, ItemState, JobHead, JobItem
 
-__all__ = ('ItemProgress', 'OwnedJob', 'RunEnd')
+__all__ = ('ItemProgress', 'OwnedJob', 'RunResult')
 
 #: Pause before an item is tried again after a run that failed, in ms; doubled each time.
 RETRY_MS = 100.0
@@ -24,7 +24,7 @@
 COMMIT_BYTES = 400_000
 
 
-class RunEnd(Enum):
+class RunResult(Enum):
     """How one run of an item at a server ended."""
 
     COMPLETED = 'completed'
@@ -121,23 +121,25 @@
             return None
         return next((each for each in waiting if each.last_event_id is not None), waiting[0])
 
-    def end_run(self, progress: ItemProgress, end: RunEnd, now_ms: float, epoch_ms: float) -> None:
+    def end_run(
+        self, progress: ItemProgress, end: RunResult, now_ms: float, epoch_ms: float
+    ) -> None:
         """Take in how a run ended."""
         progress.is_running = False
-        if end is RunEnd.COMPLETED:
+        if end is RunResult.COMPLETED:
             self._finish(progress, ItemState.COMPLETED)
             return
-        if end is RunEnd.IMPOSSIBLE:
+        if end is RunResult.IMPOSSIBLE:
             self._finish(progress, ItemState.ERRORED)
             return
-        if end is RunEnd.GAVE_WAY:
+        if end is RunResult.GAVE_WAY:
             progress.not_before_ms = now_ms
             return
-        if end is RunEnd.STOPPED:
+        if end is RunResult.STOPPED:
             # Its trial, its job's end or its time to be abandoned comes.
             progress.not_before_ms = now_ms + STOPPED_PAUSE_MS
             return
-        if end is RunEnd.FAILED:
+        if end is RunResult.FAILED:
             progress.failures_count += 1
             if progress.failures_count >= self.head.attempts_limit:
                 self._finish(progress, ItemState.ERRORED)
@@ -149,7 +151,7 @@
         pause_ms = min(RETRY_LONGEST_MS, RETRY_MS * 2.0 ** (progress.breaks_in_row - 1))
         progress.not_before_ms = now_ms + pause_ms
 
-    def abandon_late(self, epoch_ms: float) -> None:
+    def abandon_overdue(self, epoch_ms: float) -> None:
         """Give up the items that may be abandoned by now."""
         if epoch_ms < self.head.abandon_epoch_ms + ABANDON_MARGIN_MS:
             return
@@ -196,7 +198,7 @@
             progress.last_event_id = last_event_id
             progress.failures_count = failures_count
 
-    def would_be_done(self, results: list[ItemResult]) -> bool:
+    def is_expected_done(self, results: list[ItemResult]) -> bool:
         """Tell whether a commit of these results completes the job."""
         return len(self.results) + len(results) >= self.head.items_count
 
--- a/citrondyke/decisions/batch/run_length.py
+++ b/citrondyke/decisions/batch/run_length.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from citrondyke.ids import RouteName
 
-__all__ = ('RunLengths',)
+__all__ = ('RunLengthEstimator',)
 
 #: Before anything was measured: an item of 160 events, one each 30 ms.
 FIRST_EVENTS = 160.0
@@ -30,20 +30,20 @@
     event_ms: float = FIRST_EVENT_MS
 
 
-class RunLengths:
+class RunLengthEstimator:
     """Mean number of events, how far items are from it, and mean pace, by route."""
 
     def __init__(self) -> None:
         """Start with an assumption."""
         self._lengths: dict[RouteName, _Length] = {}
 
-    def note_whole(self, route: RouteName, events_count: int) -> None:
+    def record_complete_run(self, route: RouteName, events_count: int) -> None:
         """Take in an item that was completed."""
         length = self._lengths.setdefault(route, _Length())
         length.deviation += SHARE * (abs(events_count - length.events) - length.deviation)
         length.events += SHARE * (events_count - length.events)
 
-    def note_pace(self, route: RouteName, events_count: int, took_ms: float) -> None:
+    def record_event_interval(self, route: RouteName, events_count: int, took_ms: float) -> None:
         """Take in a run of some events."""
         if events_count > 0:
             length = self._lengths.setdefault(route, _Length())
--- a/citrondyke/decisions/batch/start_pace.py
+++ b/citrondyke/decisions/batch/start_rate_limiter.py
@@ -6,20 +6,20 @@
 
 import msgspec
 
-from citrondyke.decisions.batch.need_book import NeedBook
+from citrondyke.decisions.batch.batch_demand_table import BatchDemandTable
 from citrondyke.decisions.forwarding.load_notices import TOTALS_EVERY_MS
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.neighbours import Neighbours
+    from citrondyke.decisions.forwarding.peer_topology import PeerTopology
     from citrondyke.ids import ServiceName
 
-__all__ = ('StartPace',)
+__all__ = ('StartRateLimiter',)
 
 #: Shortest time in which peers hear of a start: a datagram's way and the look at it.
 SHORTEST_GAP_MS = 5.0
 #: A datagram's way between two availability zones.
-WAY_MS = 1.0
+ONE_WAY_DELAY_MS = 1.0
 
 
 class _Budget(msgspec.Struct):
@@ -27,7 +27,7 @@
     at_ms: float
 
 
-class StartPace:
+class StartRateLimiter:
     """Shares the free places of a service between all who want them.
 
     Counts of neighbours are as old as the gap between notices, 1 ms for each of them, and those of
@@ -37,18 +37,18 @@
     it shares with all who may have.
     """
 
-    def __init__(self, context: Context, neighbours: Neighbours) -> None:
+    def __init__(self, context: Context, neighbours: PeerTopology) -> None:
         """Start without a start taken."""
         self._context = context
         self._neighbours = neighbours
         #: Who has items waiting.
-        self.needs = NeedBook(context)
+        self.needs = BatchDemandTable(context)
         self._budgets: dict[tuple[ServiceName, bool], _Budget] = {}
 
     @property
     def gap_ms(self) -> float:
         """Give the time after which what was started is known to all neighbours."""
-        return max(SHORTEST_GAP_MS, self._neighbours.gap_ms + WAY_MS)
+        return max(SHORTEST_GAP_MS, self._neighbours.gap_ms + ONE_WAY_DELAY_MS)
 
     def take(self, service: ServiceName, free_count: int, *, is_far: bool = False) -> bool:
         """Ask for one start.
@@ -79,8 +79,8 @@
         Owners in other zones are not heard of one by one: each zone is taken to have as many.
         """
         neighbours = self._neighbours
-        if not self.needs.knows_others(service):
+        if not self.needs.has_peer_demand(service):
             return free_count / (neighbours.instances_count if is_far else neighbours.near_count)
         if is_far:
-            return self.needs.own_part(service, free_count / neighbours.zones_count)
-        return self.needs.own_part(service, free_count)
+            return self.needs.own_share_of_capacity(service, free_count / neighbours.zones_count)
+        return self.needs.own_share_of_capacity(service, free_count)
--- a/citrondyke/decisions/batch/takeover.py
+++ b/citrondyke/decisions/batch/takeover.py
@@ -13,7 +13,7 @@
     from citrondyke.decisions.core.context import Context
     from citrondyke.ids import InstanceId, JobId
 
-__all__ = ('LiveInstances', 'Takeover')
+__all__ = ('InstanceLiveness', 'TakeoverSchedule')
 
 #: Silence after which an instance is taken for gone: three heartbeats, one of which may be late.
 SILENT_MS = 3_000.0
@@ -27,10 +27,10 @@
 SETTLE_MS = 700.0
 #: Longest time between two written heartbeats that is no gap: one is written every 900 ms, and
 #: the store can take 300 ms for it.
-BEAT_GAP_MS = 1_700.0
+HEARTBEAT_GAP_MS = 1_700.0
 #: Longest time between two reads of the others' heartbeats that is no gap; they are read every
 #: second.
-LOOK_GAP_MS = 2_000.0
+POLL_GAP_MS = 2_000.0
 #: Lives that are remembered after their rows were taken away: all of a large fleet, twice.
 LEFT_LIMIT = 2_000
 
@@ -49,7 +49,7 @@
     ownerless_ms: float | None = None
 
 
-class LiveInstances:
+class InstanceLiveness:
     """Instances by their heartbeats in the store, judged on this instance's own clock.
 
     Only time in which this instance's own heartbeats were written counts. The store may refuse
@@ -75,8 +75,8 @@
         if seen is not None and version <= seen.version:
             return False
         now_ms = self._context.now_ms()
-        is_known_life = seen is not None and seen.life == life
-        since_ms = seen.since_ms if seen is not None and is_known_life else now_ms
+        is_known_incarnation = seen is not None and seen.life == life
+        since_ms = seen.since_ms if seen is not None and is_known_incarnation else now_ms
         self._seen[instance_id] = _Seen(life, version, now_ms, since_ms)
         return True
 
@@ -90,25 +90,25 @@
         while len(self._left) > LEFT_LIMIT:
             del self._left[next(iter(self._left))]
 
-    def note_beat(self) -> None:
+    def record_heartbeat(self) -> None:
         """Take note that an own heartbeat was written; after a gap all silences begin anew."""
         now_ms = self._context.now_ms()
-        if not self.is_beating:
-            self._forgive(now_ms)
+        if not self.has_heartbeat:
+            self._extend_grace(now_ms)
         self._beat_ms = now_ms
 
-    def note_look(self) -> None:
+    def record_poll(self) -> None:
         """Take note that the others' heartbeats were read; a gap counts as one between own ones."""
         now_ms = self._context.now_ms()
         if not self._is_looking:
             self._first_look_ms = now_ms
-            self._forgive(now_ms)
+            self._extend_grace(now_ms)
         self._look_ms = now_ms
 
     @property
-    def is_beating(self) -> bool:
+    def has_heartbeat(self) -> bool:
         """Tell whether this instance's own heartbeats are written."""
-        return self._context.now_ms() - self._beat_ms <= BEAT_GAP_MS * self.pace
+        return self._context.now_ms() - self._beat_ms <= HEARTBEAT_GAP_MS * self.pace
 
     def is_gone(self, owner: InstanceId, life: str, row_version: int, since_ms: float) -> bool:
         """Tell whether the owner of a job is certainly gone, or silent for too long.
@@ -158,7 +158,7 @@
     @property
     def is_settled(self) -> bool:
         """Tell whether all who run had the time to show it since this instance began to look."""
-        if not self.is_beating or not self._is_looking:
+        if not self.has_heartbeat or not self._is_looking:
             return False
         return self._context.now_ms() - self._first_look_ms >= SETTLE_MS
 
@@ -175,9 +175,9 @@
 
     @property
     def _is_looking(self) -> bool:
-        return self._context.now_ms() - self._look_ms <= LOOK_GAP_MS * self.pace
+        return self._context.now_ms() - self._look_ms <= POLL_GAP_MS * self.pace
 
-    def _forgive(self, now_ms: float) -> None:
+    def _extend_grace(self, now_ms: float) -> None:
         for seen in self._seen.values():
             seen.changed_ms = now_ms
 
@@ -193,10 +193,10 @@
         return sorted(found)
 
 
-class Takeover:
+class TakeoverSchedule:
     """Decides when this instance claims a job."""
 
-    def __init__(self, context: Context, life: str, instances: LiveInstances) -> None:
+    def __init__(self, context: Context, life: str, instances: InstanceLiveness) -> None:
         """Use what is known of the instances.
 
         :param life: names this life of this instance.
--- a/citrondyke/decisions/configuration/keeper.py
+++ b/citrondyke/decisions/configuration/keeper.py
@@ -20,7 +20,7 @@
     ConfigProposal,
     ConfigRefusal,
 )
-from citrondyke.decisions.core.commit import CommitDoubt, commit, transaction
+from citrondyke.decisions.core.commit import CommitUncertain, commit, transaction
 from citrondyke.decisions.core.ops import (
     get_object,
     put_object,
@@ -40,7 +40,7 @@
     from citrondyke.decisions.core.ops import Workflow
     from citrondyke.storage.table_service import Row
 
-__all__ = ('ConfigKeeper', 'ProposalResult', 'SnapshotRow')
+__all__ = ('ConfigReplica', 'ProposalResult', 'SnapshotRow')
 
 SNAPSHOT_ROW = RowKey('config/snapshot')
 #: Changes between two snapshots; what a starting instance reads beside the snapshot.
@@ -51,7 +51,7 @@
 #: Time that a proposal may take before the operator is told that its fate is open.
 PROPOSAL_LIMIT_MS = 5000.0
 
-ProposalResult: TypeAlias = ConfigChange | ConfigConflict | ConfigRefusal | CommitDoubt
+ProposalResult: TypeAlias = ConfigChange | ConfigConflict | ConfigRefusal | CommitUncertain
 
 
 class SnapshotRow(msgspec.Struct, frozen=True):
@@ -61,7 +61,7 @@
     object_key: ObjectKey
 
 
-class ConfigKeeper:
+class ConfigReplica:
     """The configuration in force here, and how it follows what was accepted."""
 
     def __init__(self, context: Context, poll_every_ms: float) -> None:
@@ -151,7 +151,7 @@
         until_ms = self._context.now_ms() + (PROPOSAL_LIMIT_MS if reached else 0.0)
         wanted = transaction(self._context, [(key, None)], [(key, change)])
         result = yield from commit(self._context, wanted, until_ms)
-        if isinstance(result, CommitDoubt):
+        if isinstance(result, CommitUncertain):
             return result
         if isinstance(result, Conflict):
             yield from self.catch_up()
--- a/citrondyke/decisions/crashes/content.py
+++ b/citrondyke/decisions/crashes/content.py
@@ -9,7 +9,7 @@
 from citrondyke.ids import ContentDigest
 from citrondyke.util.hashing import content_bucket, digest_hex
 
-__all__ = ('AskedWork', 'RequestContent', 'content_of')
+__all__ = ('LazyRequestContent', 'RequestContent', 'content_of')
 
 #: Hexadecimal digits of a digest: 80 bits, so that nobody finds a request that another one's
 #: verdict would hold up.
@@ -34,7 +34,7 @@
     return RequestContent(ContentDigest(digest), _target_bucket(method, host, target))
 
 
-class AskedWork:
+class LazyRequestContent:
     """What one request asks for, named as far as that is wanted, which it seldom is."""
 
     def __init__(self, method: bytes, host: str, target: bytes, body: bytes) -> None:
--- a/citrondyke/decisions/crashes/life_watch.py
+++ b/citrondyke/decisions/crashes/server_exit_detector.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
 
-__all__ = ('BrokenOff', 'LifeWatch')
+__all__ = ('InterruptedRequest', 'ServerExitDetector')
 
 #: How long what broke off at a server waits for word of its end: a server that ended without a
 #: word is off the list after three heartbeats and a look, some 5 s.
@@ -24,7 +24,7 @@
 SERVERS_LIMIT = 1_000
 
 
-class BrokenOff(msgspec.Struct, frozen=True):
+class InterruptedRequest(msgspec.Struct, frozen=True):
     """A request that broke off at a server."""
 
     content: RequestContent
@@ -33,7 +33,7 @@
     at_ms: float
 
 
-class LifeWatch:
+class ServerExitDetector:
     """Tells a server's end from a broken connection.
 
     Connections are reset, answers get lost, instances are cut off: none of it says anything of
@@ -44,7 +44,7 @@
     def __init__(self, context: Context) -> None:
         """Start without a server."""
         self._context = context
-        self._broken: dict[int, list[BrokenOff]] = {}
+        self._broken: dict[int, list[InterruptedRequest]] = {}
         self._ended_ms: dict[int, float] = {}
 
     def note_broken(self, server: int, content: RequestContent, *, is_fresh: bool) -> bool:
@@ -54,16 +54,16 @@
             return True
         kept = self._broken.setdefault(server, [])
         if len(kept) < PER_SERVER_LIMIT:
-            kept.append(BrokenOff(content, is_fresh, self._context.now_ms()))
+            kept.append(InterruptedRequest(content, is_fresh, self._context.now_ms()))
         return False
 
-    def note_ended(self, server: int) -> list[BrokenOff]:
+    def record_server_ended(self, server: int) -> list[InterruptedRequest]:
         """Take in a server's end; give what it counts against."""
         self._forget_old()
         self._ended_ms.setdefault(server, self._context.now_ms())
         return self._broken.pop(server, [])
 
-    def note_gone(self, server: int) -> list[BrokenOff]:
+    def note_gone(self, server: int) -> list[InterruptedRequest]:
         """Take in that a server is off the list; give what that counts against.
 
         It may go on serving what it has: only what broke off there before is told by it.
@@ -75,7 +75,7 @@
         """Tell whether a server is known to have ended."""
         return server in self._ended_ms
 
-    def note_alive(self, server: int, asked_ms: float) -> bool:
+    def record_server_alive(self, server: int, asked_ms: float) -> bool:
         """Take in that a server took a connection; tell whether more broke off since.
 
         :param asked_ms: when the connection was begun.
--- a/citrondyke/decisions/crashes/suspect_book.py
+++ b/citrondyke/decisions/crashes/suspect_registry.py
@@ -22,7 +22,7 @@
 
     from citrondyke.decisions.core.context import Context
 
-__all__ = ('Standing', 'SuspectBook')
+__all__ = ('SuspectRegistry', 'SuspectVerdict')
 
 #: Servers that may end under a request before it is stopped. With two, requests that stood beside
 #: a culprit at its first two servers would be stopped with it; each one more costs everybody on
@@ -30,19 +30,19 @@
 ENDS_LIMIT = 3.0
 #: Sends beyond the limit, one at a time in the whole fleet: who was there by chance is cleared by
 #: the first; who is not stays stopped. More would lose a server each.
-TRIALS_LIMIT = 3
+PROBES_LIMIT = 3
 #: Pause between the last end and the first trial: servers start anew within seconds, and the loss
 #: of one more hurts least when the others are back.
-FIRST_TRIAL_PAUSE_MS = 3_000.0
+FIRST_PROBE_PAUSE_MS = 3_000.0
 #: Pause before the second trial, doubled for the next: long enough for an operator to see why
 #: servers end, and to change it.
-TRIAL_PAUSE_MS = 600_000.0
+PROBE_PAUSE_MS = 600_000.0
 #: ... of a batch item, whose job must come to an end within its own time.
-ITEM_TRIAL_PAUSE_MS = 5_000.0
+ITEM_PROBE_PAUSE_MS = 5_000.0
 #: Trials that a full server turned away may be made up for so often.
 REFUSED_LIMIT = 2
 #: Others with the same work are asked back while a trial is under way for at most so long.
-TRIAL_MS = 3_000.0
+PROBE_TIMEOUT_MS = 3_000.0
 #: What is known is forgotten after a day without another end or trial.
 KEPT_MS = 86_400_000.0
 #: Suspects that are remembered, some 400 bytes each; the least suspected go first.
@@ -51,7 +51,7 @@
 STORED_SCORE = 2.0
 
 
-class Standing(Enum):
+class SuspectVerdict(Enum):
     """What may be done with a request."""
 
     FREE = 'free'
@@ -64,7 +64,7 @@
     STOPPED = 'stopped'
 
 
-class SuspectBook:
+class SuspectRegistry:
     """Counts ends of servers by the content of the requests that were under way there.
 
     Answers a request that ends each server that runs it and comes again under new ids, at any
@@ -102,7 +102,7 @@
         suspect = self._by_digest.get(content.digest)
         return 0.0 if suspect is None else suspect.score
 
-    def note_end(self, content: RequestContent, server: int, *, is_fresh: bool) -> bool:
+    def record_server_exit(self, content: RequestContent, server: int, *, is_fresh: bool) -> bool:
         """Count a server's end against a request; tell whether that is news.
 
         :param server: digest of the server's life.
@@ -111,7 +111,7 @@
         weight = FRESH_WEIGHT if is_fresh else BEGUN_WEIGHT
         return self._suspect(content).count(server, weight, self._context.epoch_ms())
 
-    def note_survived(self, content: RequestContent) -> bool:
+    def record_survived(self, content: RequestContent) -> bool:
         """Take in a whole answer; tell whether the request had been suspected."""
         suspect = self._by_digest.get(content.digest)
         if suspect is None or not suspect.lives:
@@ -126,27 +126,27 @@
         content = RequestContent(ContentDigest(row.digest), row.target)
         return self._suspect(content).join(row)
 
-    def standing(self, content: RequestContent, *, is_item: bool = False) -> Standing:
+    def standing(self, content: RequestContent, *, is_item: bool = False) -> SuspectVerdict:
         """Tell what may be done with a request."""
         suspect = self._by_digest.get(content.digest)
         if suspect is None or not suspect.lives:
-            return Standing.FREE
+            return SuspectVerdict.FREE
         if suspect.score < ENDS_LIMIT:
-            return Standing.SUSPECTED
+            return SuspectVerdict.SUSPECTED
         epoch_ms = self._context.epoch_ms()
         if _is_trial_due(suspect, epoch_ms, is_item=is_item):
-            return Standing.TRIAL_DUE
+            return SuspectVerdict.TRIAL_DUE
         is_undecided = suspect.score <= suspect.score_at_trial
-        if is_undecided and epoch_ms < suspect.tried_epoch_ms + TRIAL_MS:
-            return Standing.ON_TRIAL
-        return Standing.STOPPED
+        if is_undecided and epoch_ms < suspect.tried_epoch_ms + PROBE_TIMEOUT_MS:
+            return SuspectVerdict.ON_TRIAL
+        return SuspectVerdict.STOPPED
 
     def row(self, content: RequestContent) -> SuspectRow | None:
         """Give what is known of a request."""
         suspect = self._by_digest.get(content.digest)
         return None if suspect is None else suspect.row()
 
-    def trial_row(self, content: RequestContent) -> SuspectRow:
+    def probe_row(self, content: RequestContent) -> SuspectRow:
         """Give what the store must hold before a trial begins."""
         suspect = self._suspect(content)
         return msgspec.structs.replace(
@@ -158,7 +158,7 @@
             claim=self._context.new_write_id(),
         )
 
-    def note_trial_refused(self, content: RequestContent) -> None:
+    def record_probe_refused(self, content: RequestContent) -> None:
         """Take note that no server ran a trial."""
         suspect = self._by_digest.get(content.digest)
         if suspect is not None:
@@ -205,11 +205,11 @@
 
 
 def _is_trial_due(suspect: Suspect, epoch_ms: float, *, is_item: bool) -> bool:
-    if suspect.trials >= TRIALS_LIMIT + suspect.refused:
+    if suspect.trials >= PROBES_LIMIT + suspect.refused:
         return False
     ran = suspect.trials - suspect.refused
     if ran <= 0:
-        is_rested = epoch_ms >= suspect.changed_epoch_ms + FIRST_TRIAL_PAUSE_MS
-        return is_rested and suspect.refused < REFUSED_LIMIT
-    pause_ms = ITEM_TRIAL_PAUSE_MS if is_item else TRIAL_PAUSE_MS
+        is_retry_due = epoch_ms >= suspect.changed_epoch_ms + FIRST_PROBE_PAUSE_MS
+        return is_retry_due and suspect.refused < REFUSED_LIMIT
+    pause_ms = ITEM_PROBE_PAUSE_MS if is_item else PROBE_PAUSE_MS
     return epoch_ms >= suspect.tried_epoch_ms + pause_ms * 2.0 ** (ran - 1)
--- a/citrondyke/decisions/crashes/news_queue.py
+++ b/citrondyke/decisions/crashes/suspect_update_queue.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
 
-__all__ = ('NewsKind', 'NewsQueue', 'SuspectNews', 'TellableNews')
+__all__ = ('SuspectNews', 'SuspectUpdateBatch', 'SuspectUpdateKind', 'SuspectUpdateQueue')
 
 #: When the same is told again, in ms after it was told before: one datagram in a hundred is lost,
 #: and a link that loses many is harmed for seconds.
@@ -27,7 +27,7 @@
 WAITING_LIMIT = 512
 
 
-class NewsKind(IntEnum):
+class SuspectUpdateKind(IntEnum):
     """What there is to tell; the higher, the weightier."""
 
     BEGUN = 0
@@ -40,10 +40,10 @@
     """One request and what is to be told of it."""
 
     content: RequestContent
-    kind: NewsKind
+    kind: SuspectUpdateKind
 
 
-class TellableNews(msgspec.Struct, frozen=True):
+class SuspectUpdateBatch(msgspec.Struct, frozen=True):
     """What goes into one message."""
 
     #: Digest of the life of the server that ended; 0 where none has.
@@ -63,7 +63,7 @@
     told_count: int = 0
 
 
-class NewsQueue:
+class SuspectUpdateQueue:
     """Tells each thing some times, a bounded number of messages a second."""
 
     def __init__(self, context: Context) -> None:
@@ -87,7 +87,7 @@
         :param is_wide: whether everybody is to know.
         :param times: how often it is told.
         """
-        rank = float('inf') if news.kind is NewsKind.SURVIVED else score
+        rank = float('inf') if news.kind is SuspectUpdateKind.SURVIVED else score
         now_ms = self._context.now_ms()
         self._waiting.append(_Waiting(server, news, rank, now_ms, is_wide, times))
         if len(self._waiting) > WAITING_LIMIT:
@@ -100,7 +100,7 @@
         due_ms = min(each.due_ms for each in self._waiting)
         return max(0.0, max(due_ms, self._sent_ms + GAP_MS) - self._context.now_ms())
 
-    def take(self) -> TellableNews | None:
+    def take(self) -> SuspectUpdateBatch | None:
         """Give the next message; ``None`` where nothing is due."""
         now_ms = self._context.now_ms()
         due = [each for each in self._waiting if each.due_ms <= now_ms]
@@ -118,4 +118,4 @@
             each.due_ms = now_ms + AGAIN_AFTER_MS[min(each.told_count, len(AGAIN_AFTER_MS) - 1)]
             each.told_count += 1
         self._sent_ms = now_ms
-        return TellableNews(server, [each.news for each in chosen], is_wide)
+        return SuspectUpdateBatch(server, [each.news for each in chosen], is_wide)
--- a/citrondyke/decisions/evidence/journal.py
+++ b/citrondyke/decisions/evidence/journal.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
-    from citrondyke.decisions.membership.session_keeper import SessionKeeper
+    from citrondyke.decisions.membership.session_renewer import SessionRenewer
 
 __all__ = ('EVIDENCE_PREFIX', 'EvidenceJournal', 'evidence_key')
 
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, context: Context, session: SessionKeeper, every_ms: float, records_limit: int
+        self, context: Context, session: SessionRenewer, every_ms: float, records_limit: int
     ) -> None:
         """Start with no records.
 
@@ -112,7 +112,7 @@
         for _ in range(pending.records_count):
             self._records.popleft()
         self._dropped_since_seal -= pending.dropped_count
-        self._session.note_sealed(pending.number, digest_hex(pending.body))
+        self._session.record_sealed(pending.number, digest_hex(pending.body))
         return not self._records
 
     def _next_seal(self) -> _Seal | None:
--- a/citrondyke/decisions/forwarding/admission_rule.py
+++ b/citrondyke/decisions/forwarding/admission_rule.py
@@ -8,32 +8,32 @@
 import msgspec
 
 from citrondyke.decisions.accounts.account import ANYBODY
-from citrondyke.decisions.accounts.turns import Turns
+from citrondyke.decisions.accounts.fair_share_rejection import Turns
 
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.forwarding.route import Route
-    from citrondyke.decisions.forwarding.server_book import ServerBook
+    from citrondyke.decisions.forwarding.server_registry import ServerRegistry
     from citrondyke.decisions.forwarding.server_state import ServerState
     from citrondyke.ids import RouteName, ServiceName
 
-__all__ = ('AdmissionRule', 'Admitted', 'TurnedAway')
+__all__ = ('AdmissionRule', 'Admitted', 'Rejected')
 
 #: Part of a route's target that a request may wait in a server's queue. What lies beyond would be
 #: late for sure, and everyone behind it too.
 WAIT_SHARE = 0.8
 #: Part of that wait for who steps back: the rest of the queue is for the others.
-STEP_BACK_SHARE = 0.4
+YIELD_SHARE = 0.4
 #: Time that a request occupies a place before the first one has ended, in ms.
-FIRST_STAY_MS = 200.0
-STAY_SHARE = 0.1
+INITIAL_SERVICE_TIME_MS = 200.0
+SERVICE_TIME_SMOOTHING = 0.1
 SHORTEST_RETRY_MS = 60.0
 #: Callers wait no longer than a third of the time they have, which is 1.6 s of 5 s.
 LONGEST_RETRY_MS = 1_600.0
 #: Requests that were turned away within this time are expected back; it is the longest that they
 #: are asked to stay away.
-EXPECTED_BACK_MS = 1_600.0
+EXPECTED_RETURN_MS = 1_600.0
 
 
 class Admitted(msgspec.Struct, frozen=True):
@@ -42,7 +42,7 @@
     expected_wait_ms: float
 
 
-class TurnedAway(msgspec.Struct, frozen=True):
+class Rejected(msgspec.Struct, frozen=True):
     """No place is to be expected in time."""
 
     expected_wait_ms: float
@@ -59,7 +59,7 @@
     the shortest wait, they meet the same burst again and are turned away for good.
     """
 
-    def __init__(self, context: Context, book: ServerBook) -> None:
+    def __init__(self, context: Context, book: ServerRegistry) -> None:
         """Start without a measurement."""
         self._context = context
         self._book = book
@@ -67,10 +67,10 @@
         self._stay_ms: dict[RouteName, float] = {}
         self._turned_away_ms: dict[ServiceName, deque[float]] = {}
 
-    def note_stay(self, route: Route, stay_ms: float) -> None:
+    def record_service_time(self, route: Route, stay_ms: float) -> None:
         """Take in how long a request occupied its place."""
         known = self._stay_ms.get(route.name, stay_ms)
-        self._stay_ms[route.name] = known + STAY_SHARE * (stay_ms - known)
+        self._stay_ms[route.name] = known + SERVICE_TIME_SMOOTHING * (stay_ms - known)
 
     def decide(
         self,
@@ -78,7 +78,7 @@
         state: ServerState,
         left_ms: float,
         account: Account = ANYBODY,
-    ) -> Admitted | TurnedAway:
+    ) -> Admitted | Rejected:
         """Decide for the best server.
 
         :param left_ms: time until the caller's deadline.
@@ -90,24 +90,24 @@
         now_ms = self._context.now_ms()
         slots = max(1, state.listed.slots_count)
         ahead = state.online_count(now_ms) + state.held_count(now_ms) - slots + 1
-        stay_ms = self._stay_ms.get(route.name, FIRST_STAY_MS)
+        stay_ms = self._stay_ms.get(route.name, INITIAL_SERVICE_TIME_MS)
         wait_ms = max(0.0, ahead * stay_ms / slots)
         if wait_ms <= 0.0 < left_ms:
             return Admitted(0.0)
         longest_ms = WAIT_SHARE * route.target_ms
-        if self._turns.steps_back(service, account.id, priority):
-            longest_ms *= STEP_BACK_SHARE
+        if self._turns.must_yield(service, account.id, priority):
+            longest_ms *= YIELD_SHARE
         if wait_ms <= longest_ms and wait_ms < left_ms:
             return Admitted(wait_ms)
-        self._turns.note_turned_away(service, priority)
+        self._turns.record_rejected(service, priority)
         late_ms = wait_ms - longest_ms
-        return TurnedAway(wait_ms, self._retry_in_ms(state, stay_ms, late_ms))
+        return Rejected(wait_ms, self._retry_in_ms(state, stay_ms, late_ms))
 
     def _retry_in_ms(self, state: ServerState, stay_ms: float, late_ms: float) -> float:
         service = state.listed.service
         now_ms = self._context.now_ms()
         recent = self._turned_away_ms.setdefault(service, deque())
-        while recent and recent[0] <= now_ms - EXPECTED_BACK_MS:
+        while recent and recent[0] <= now_ms - EXPECTED_RETURN_MS:
             recent.popleft()
         slots = sum(each.listed.slots_count for each in self._book.usable(service))
         own_pace_per_ms = max(1, slots) / stay_ms / max(1, self._book.neighbours.instances_count)
--- a/citrondyke/decisions/forwarding/config_holder.py
+++ b/citrondyke/decisions/forwarding/current_config.py
@@ -6,14 +6,14 @@
 from citrondyke.decisions.forwarding.route_table import EMPTY_ROUTE_TABLE, RouteTable
 from citrondyke.ids import ConfigVersion, TenantId
 
-__all__ = ('ConfigHolder',)
+__all__ = ('CurrentConfig',)
 
 #: A configuration that was confirmed within this time is current enough to say that a route does
 #: not exist. It is read every second, and pushed beside that.
 CONFIRMED_MS = 2_500.0
 
 
-class ConfigHolder:
+class CurrentConfig:
     """The newest version wins and nothing goes back.
 
     Reads of the store can be seconds old, and a peer may be behind; taking an older version
@@ -41,7 +41,7 @@
         """Note that the store was asked and showed nothing newer; a peer may tell of it late."""
         self._confirmed_ms = max(self._confirmed_ms, now_ms)
 
-    def note_heard(self, version: ConfigVersion) -> None:
+    def record_peer_version(self, version: ConfigVersion) -> None:
         """Take in that a peer has a version."""
         self._heard_version = max(self._heard_version, version)
 
--- a/citrondyke/decisions/forwarding/patience.py
+++ b/citrondyke/decisions/forwarding/failover_timeouts.py
@@ -9,7 +9,7 @@
     from citrondyke.decisions.forwarding.server_state import ServerState
     from citrondyke.ids import RouteName
 
-__all__ = ('CONNECT_MS', 'EVENT_MS', 'Patience')
+__all__ = ('CONNECT_MS', 'EVENT_MS', 'FailoverTimeouts')
 
 #: A server in reach takes a connection within a few ms; its full queue of new ones drops the
 #: first packet, which comes again after a second. 26 callers of a server that went silent were
@@ -29,7 +29,7 @@
 MEAN_SHARE = 0.15
 
 
-class Patience:
+class FailoverTimeouts:
     """Knows how long each route's requests usually take until their first answer.
 
     The mean of a server alone would not do: short requests of one route would have long ones of
--- a/citrondyke/decisions/forwarding/load_notices.py
+++ b/citrondyke/decisions/forwarding/load_notices.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from citrondyke.decisions.forwarding.server_book import server_digest
+from citrondyke.decisions.forwarding.server_registry import server_digest
 from citrondyke.decisions.forwarding.server_state import PEER_COUNT_MS
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.server_book import ServerBook
-    from citrondyke.ids import AvailabilityZone, InstanceId, ServerLife
+    from citrondyke.decisions.forwarding.server_registry import ServerRegistry
+    from citrondyke.ids import AvailabilityZone, InstanceId, ServerIncarnation
 
 __all__ = ('LoadNotices', 'ServerLoad')
 
@@ -33,7 +33,7 @@
     batch: int
 
 
-class AddressedLoads(msgspec.Struct, frozen=True):
+class AddressedLoadCounts(msgspec.Struct, frozen=True):
     """Counts and those who are told them."""
 
     receivers: list[InstanceId]
@@ -43,18 +43,18 @@
 class LoadNotices:
     """Tells peers what changed, a bounded number of times a second."""
 
-    def __init__(self, context: Context, book: ServerBook) -> None:
+    def __init__(self, context: Context, book: ServerRegistry) -> None:
         """Start having told nothing."""
         self._context = context
         self._book = book
-        self._told: dict[ServerLife, tuple[int, int]] = {}
+        self._told: dict[ServerIncarnation, tuple[int, int]] = {}
         self._renewed_ms = 0.0
         self._sent_ms = float('-inf')
         #: Turn in which totals were last told. Turns are counted by the wall clock, so that all
         #: are in the same one, about.
         self.totals_turn = 0
         #: When the servers of the own zone were last seen with requests.
-        self._busy_ms: dict[ServerLife, float] = {}
+        self._busy_ms: dict[ServerIncarnation, float] = {}
 
     def next_pause_ms(self) -> float:
         """Give the time until the next notice may go out."""
@@ -82,7 +82,7 @@
             self._sent_ms = now_ms
         return loads
 
-    def address(self, loads: list[ServerLoad]) -> list[AddressedLoads]:
+    def address(self, loads: list[ServerLoad]) -> list[AddressedLoadCounts]:
         """Choose who is told of which counts.
 
         Besides the neighbours these are, for a server of another availability zone, the instances
@@ -92,7 +92,7 @@
         if not loads:
             return []
         neighbours = self._book.neighbours
-        addressed = [AddressedLoads(neighbours.near(), loads)]
+        addressed = [AddressedLoadCounts(neighbours.near(), loads)]
         if not neighbours.is_zoned:
             return addressed
         own_zone = self._context.zone
@@ -108,8 +108,10 @@
             for owner in state.batch_by_peer(self._context.now_ms()):
                 if neighbours.zone(owner) not in (own_zone, zone):
                     by_owner.setdefault(owner, []).append(load)
-        addressed += [AddressedLoads(neighbours.in_zone(zone), by_zone[zone]) for zone in by_zone]
-        addressed += [AddressedLoads([owner], by_owner[owner]) for owner in by_owner]
+        addressed += [
+            AddressedLoadCounts(neighbours.in_zone(zone), by_zone[zone]) for zone in by_zone
+        ]
+        addressed += [AddressedLoadCounts([owner], by_owner[owner]) for owner in by_owner]
         return addressed
 
     def take_totals(self) -> list[ServerLoad]:
@@ -148,7 +150,7 @@
             if state is not None:
                 state.note_peer(peer, load.online, load.batch, now_ms)
 
-    def note_totals(self, loads: list[ServerLoad]) -> None:
+    def record_totals(self, loads: list[ServerLoad]) -> None:
         """Take in what all instances have on the servers of another zone."""
         now_ms = self._context.now_ms()
         for load in loads:
--- a/citrondyke/decisions/forwarding/neighbours.py
+++ b/citrondyke/decisions/forwarding/peer_topology.py
@@ -13,7 +13,7 @@
     from citrondyke.decisions.core.context import Context
     from citrondyke.ids import AvailabilityZone, InstanceId
 
-__all__ = ('Neighbours',)
+__all__ = ('PeerTopology',)
 
 #: Fleets up to this tell all of all, so that each request finds the free place wherever it is.
 #: Beyond it only an availability zone does: hearing of each start and end of everybody's requests
@@ -31,14 +31,14 @@
 OWNERS_GATHER_MS = 30.0
 #: Instances that collect what is seen of one thing: half of all may be lost at once, and then one
 #: of three is left seven times in eight.
-REGISTRARS = 3
+OWNER_REGISTRARS_COUNT = 3
 #: Fleets beyond this call the store more rarely, in proportion, so that heartbeats and the reads
 #: of them, whose size grows with the fleet too, stay within its rates; at most three times.
-PACED_FROM = 45
-SLOWEST_PACE = 3.0
+PACING_THRESHOLD = 45
+MAX_PACING_FACTOR = 3.0
 
 
-class Neighbours:
+class PeerTopology:
     """The other instances by availability zone.
 
     Counts of requests must be tens of ms old at the most where requests are placed by them, or
@@ -103,7 +103,7 @@
     @property
     def store_pace(self) -> float:
         """Give the factor by which calls of the store are rarer than in a small fleet."""
-        return min(SLOWEST_PACE, max(1.0, self.instances_count / PACED_FROM))
+        return min(MAX_PACING_FACTOR, max(1.0, self.instances_count / PACING_THRESHOLD))
 
     def near(self) -> list[InstanceId]:
         """List the instances that are told of every change."""
@@ -121,7 +121,9 @@
         All choose the same ones, as far as they know of the same instances.
         """
         everybody = [*self._zones, self._context.instance_id]
-        return nlargest(REGISTRARS, everybody, key=lambda each: rendezvous_weight(each, name))
+        return nlargest(
+            OWNER_REGISTRARS_COUNT, everybody, key=lambda each: rendezvous_weight(each, name)
+        )
 
     def in_zone(self, zone: AvailabilityZone) -> list[InstanceId]:
         """List the other instances of an availability zone."""
--- a/citrondyke/decisions/forwarding/listed_rows.py
+++ b/citrondyke/decisions/forwarding/replicated_rows.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from citrondyke.decisions.knowledge.list_journal import ListJournal
+from citrondyke.decisions.server_list.server_list_change_log import ServerListChangeLog
 from citrondyke.util.hashing import content_bucket
 
-__all__ = ('ListedRows', 'SeenRow')
+__all__ = ('ObservedRow', 'ReplicatedRows')
 
 Value = TypeVar('Value')
 
@@ -19,7 +19,7 @@
 REMEMBERED_LIMIT = 2_000
 
 
-class SeenRow(msgspec.Struct, Generic[Value], frozen=True):
+class ObservedRow(msgspec.Struct, Generic[Value], frozen=True):
     """One row as a read or a feed showed it; ``None`` where it holds nothing to use."""
 
     key: str
@@ -31,7 +31,7 @@
     is_foreign: bool = False
 
 
-class ListedRows(Generic[Value]):
+class ReplicatedRows(Generic[Value]):
     """The newest of all rows seen; never goes back to an older state of a row.
 
     Rows that are missing are dropped late after an outage: servers that could not renew theirs
@@ -45,7 +45,7 @@
         :param grace_ms: from the end of an outage until a missing row counts as gone.
         """
         self._grace_ms = grace_ms
-        self._rows: dict[str, SeenRow[Value]] = {}
+        self._rows: dict[str, ObservedRow[Value]] = {}
         #: Versions of deletions, so that a late read does not bring a row back.
         self._deleted: dict[str, int] = {}
         #: The latest life seen of each key. A write of an earlier life may be done seconds late,
@@ -56,7 +56,7 @@
         self._doubtful_until_ms = 0.0
         #: As of which versions rows were gone, for neighbours.
         self._gone: dict[str, int] = {}
-        self._journal = ListJournal()
+        self._journal = ServerListChangeLog()
         self.version = 0
         #: Of the keys and versions of all rows that are there.
         self.digest = 0
@@ -75,11 +75,11 @@
         """Count the rows that are there."""
         return len(self._rows)
 
-    def rows(self) -> list[SeenRow[Value]]:
+    def rows(self) -> list[ObservedRow[Value]]:
         """Give the rows that are there."""
         return list(self._rows.values())
 
-    def changes_since(self, revision: int) -> list[SeenRow[Value]] | None:
+    def changes_since(self, revision: int) -> list[ObservedRow[Value]] | None:
         """Give the rows that changed behind a revision, as they are by now.
 
         :returns: ``None`` where that is not remembered any more.
@@ -87,27 +87,29 @@
         keys = self._journal.changed_since(revision)
         if keys is None:
             return None
-        found: list[SeenRow[Value]] = []
+        found: list[ObservedRow[Value]] = []
         for key in keys:
             row = self._rows.get(key)
             if row is None:
                 gone = self._gone.get(key)
                 if gone is None:
                     return None
-                row = SeenRow(key, gone, None)
+                row = ObservedRow(key, gone, None)
             found.append(row)
         return found
 
-    def note_outage(self, now_ms: float) -> None:
+    def record_outage(self, now_ms: float) -> None:
         """Take note that the store did not answer."""
         self._doubtful_until_ms = now_ms + self._grace_ms
 
-    def apply_feed(self, rows: Iterable[SeenRow[Value]], now_ms: float) -> None:
+    def apply_feed(self, rows: Iterable[ObservedRow[Value]], now_ms: float) -> None:
         """Take in changes in their order."""
         for row in rows:
             self._apply(row, now_ms)
 
-    def apply_listing(self, rows: Iterable[SeenRow[Value]], version: int, now_ms: float) -> None:
+    def apply_listing(
+        self, rows: Iterable[ObservedRow[Value]], version: int, now_ms: float
+    ) -> None:
         """Take in a whole listing as of a version; one older than what is known adds nothing."""
         present = set()
         for row in rows:
@@ -126,7 +128,7 @@
             if due_ms <= now_ms:
                 self._forget(key)
 
-    def _apply(self, row: SeenRow[Value], now_ms: float) -> None:
+    def _apply(self, row: ObservedRow[Value], now_ms: float) -> None:
         known = self._rows.get(row.key)
         if self._is_outdated(row, known):
             return
@@ -150,7 +152,7 @@
         self.digest ^= _row_digest(row) ^ (0 if known is None else _row_digest(known))
         self._journal.note(row.key, len(self._rows))
 
-    def _is_outdated(self, row: SeenRow[Value], known: SeenRow[Value] | None) -> bool:
+    def _is_outdated(self, row: ObservedRow[Value], known: ObservedRow[Value] | None) -> bool:
         """Tell whether a row is no news: the order is by life where stated, else by version."""
         deleted = self._deleted.get(row.key, 0)
         born, latest_born = row.born_epoch_ms, self._born.get(row.key)
@@ -182,7 +184,7 @@
             self._journal.note(key, len(self._rows))
 
 
-def _row_digest(row: SeenRow[Any]) -> int:
+def _row_digest(row: ObservedRow[Any]) -> int:
     return content_bucket(f'{row.key}\0{row.version}'.encode())
 
 
--- a/citrondyke/decisions/forwarding/course.py
+++ b/citrondyke/decisions/forwarding/send_history.py
@@ -7,9 +7,9 @@
 
 if TYPE_CHECKING:
     from citrondyke.decisions.forwarding.route import Route
-    from citrondyke.ids import ServerLife
+    from citrondyke.ids import ServerIncarnation
 
-__all__ = ('Course', 'SendOutcome', 'Verdict')
+__all__ = ('SendHistory', 'SendOutcome', 'Verdict')
 
 #: Servers that may turn one request away before it is given up: more tries would hold a caller
 #: who could be told at once.
@@ -38,7 +38,7 @@
     MAY_HAVE_RUN = 'may_have_run'
 
 
-class Course:
+class SendHistory:
     """The sends of one request.
 
     A failure that is not repeated: without the distinction between a refusal and a broken
@@ -48,12 +48,12 @@
     def __init__(self, route: Route) -> None:
         """Start with nothing sent."""
         self._route = route
-        self.avoid: set[ServerLife] = set()
+        self.avoid: set[ServerIncarnation] = set()
         self.sends_count = 0
-        self._ran_at: set[ServerLife] = set()
+        self._ran_at: set[ServerIncarnation] = set()
         self._refusals_count = 0
 
-    def note(self, life: ServerLife, outcome: SendOutcome) -> None:
+    def note(self, life: ServerIncarnation, outcome: SendOutcome) -> None:
         """Take in how a send ended."""
         self.sends_count += 1
         self.avoid.add(life)
@@ -80,7 +80,7 @@
         """
         return not self._route.may_repeat or len(self._ran_at) + 1 >= self._route.attempts_limit
 
-    def may_have_run_at(self, life: ServerLife) -> bool:
+    def may_have_run_at(self, life: ServerIncarnation) -> bool:
         """Tell whether a server may have run it."""
         return life in self._ran_at
 
--- a/citrondyke/decisions/forwarding/listed_backend.py
+++ b/citrondyke/decisions/forwarding/server_list_entry.py
@@ -4,12 +4,12 @@
 
 import msgspec
 
-from citrondyke.ids import AvailabilityZone, ServerId, ServerLife, ServiceName
+from citrondyke.ids import AvailabilityZone, ServerId, ServerIncarnation, ServiceName
 
-__all__ = ('ListedBackend',)
+__all__ = ('ServerListEntry',)
 
 
-class ListedBackend(msgspec.Struct, frozen=True, kw_only=True):
+class ServerListEntry(msgspec.Struct, frozen=True, kw_only=True):
     """One life of one backend server."""
 
     #: A server that starts again may keep it.
@@ -27,12 +27,12 @@
     seq: int = 0
 
     @property
-    def stated_life(self) -> ServerLife:
+    def stated_life(self) -> ServerIncarnation:
         """Name this life as all instances name it; the id alone where it does not state one."""
         born = '' if self.born_epoch_ms is None else f'@{self.born_epoch_ms}'
-        return ServerLife(f'{self.id}{born}')
+        return ServerIncarnation(f'{self.id}{born}')
 
-    def is_later_life_than(self, known: ListedBackend) -> bool:
+    def is_later_life_than(self, known: ServerListEntry) -> bool:
         """Tell whether this entry was written by a later life than a known, older entry.
 
         Where one of the two does not say when it was born, only a sequence that begins anew
--- a/citrondyke/decisions/forwarding/server_book.py
+++ b/citrondyke/decisions/forwarding/server_registry.py
@@ -7,20 +7,20 @@
 
 import msgspec
 
-from citrondyke.decisions.forwarding.neighbours import Neighbours
+from citrondyke.decisions.forwarding.peer_topology import PeerTopology
 from citrondyke.decisions.forwarding.server_state import ServerState
 from citrondyke.decisions.servers.expected_finish import REQUEST_COST, expected_finish
 from citrondyke.decisions.servers.few_candidates import few_candidates
-from citrondyke.decisions.servers.soundness import Soundness
-from citrondyke.ids import ServerId, ServerLife
+from citrondyke.decisions.servers.health_routing import HealthRouting
+from citrondyke.ids import ServerId, ServerIncarnation
 from citrondyke.util.hashing import content_bucket, rendezvous_weight
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.listed_backend import ListedBackend
+    from citrondyke.decisions.forwarding.server_list_entry import ServerListEntry
     from citrondyke.ids import ServiceName
 
-__all__ = ('BookChange', 'ServerBook', 'server_digest')
+__all__ = ('RegistryChange', 'ServerRegistry', 'server_digest')
 
 #: What a server in another availability zone must be better by, in requests: the way there costs
 #: a caller a millisecond and the operator bytes between zones, a request ahead tens of ms.
@@ -40,10 +40,10 @@
 #: even load, five seeds).
 FAILING_COST = 12.0
 #: Servers that are looked at for one request in a large fleet where the own zone has fewer.
-LOOKED_AT = 3
+CANDIDATES_COUNT = 3
 
 
-def server_digest(listed: ListedBackend) -> int:
+def server_digest(listed: ServerListEntry) -> int:
     """Shorten what names a server's life for messages between instances.
 
     A notice about an earlier life would otherwise count on the next one.
@@ -51,7 +51,7 @@
     return content_bucket(listed.stated_life.encode()) & 0xFFFF_FFFF
 
 
-class BookChange(msgspec.Struct):
+class RegistryChange(msgspec.Struct):
     """What a new list of servers changed."""
 
     came: list[ServerId] = []
@@ -64,33 +64,33 @@
         return bool(self.came or self.went or self.ended)
 
 
-class ServerBook:
+class ServerRegistry:
     """Servers by id and by service."""
 
     def __init__(self, context: Context) -> None:
         """Start without a server."""
         self._context = context
         self._states: dict[ServerId, ServerState] = {}
-        self._by_life: dict[ServerLife, ServerState] = {}
+        self._by_life: dict[ServerIncarnation, ServerState] = {}
         self._lives_count = 0
         self._by_service: dict[ServiceName, list[ServerState]] = {}
         self._by_digest: dict[int, ServerState] = {}
         self._look: Callable[[], None] = _nothing_new
         #: Instances that send to the same servers.
-        self.neighbours = Neighbours(context)
-        self.soundness = Soundness(context, self.neighbours)
+        self.neighbours = PeerTopology(context)
+        self.soundness = HealthRouting(context, self.neighbours)
 
-    def when_choosing(self, look: Callable[[], None]) -> None:
+    def on_choose(self, look: Callable[[], None]) -> None:
         """Have the counts of peers brought up to date before each choice."""
         self._look = look
 
-    def replace(self, listed: Iterable[ListedBackend]) -> BookChange:
+    def replace(self, listed: Iterable[ServerListEntry]) -> RegistryChange:
         """Take in the list of servers.
 
         A later life of a known server is a server of its own: counts, failures, times and
         connections of the one before say nothing of it.
         """
-        change = BookChange()
+        change = RegistryChange()
         wanted = {entry.id: entry for entry in listed}
         for server_id in [each for each in self._states if each not in wanted]:
             change.went.append(self._states.pop(server_id))
@@ -116,18 +116,18 @@
             self._by_service.setdefault(state.listed.service, []).append(state)
         return change
 
-    def _life(self, entry: ListedBackend) -> ServerLife:
+    def _life(self, entry: ServerListEntry) -> ServerIncarnation:
         """Name a life so that no other one that this instance has seen has its name."""
         if entry.born_epoch_ms is not None:
             return entry.stated_life
         self._lives_count += 1
-        return ServerLife(f'{entry.id}~{self._lives_count}')
+        return ServerIncarnation(f'{entry.id}~{self._lives_count}')
 
     def state(self, server_id: ServerId) -> ServerState | None:
         """Give what is believed of a server; ``None`` when it is not listed any more."""
         return self._states.get(server_id)
 
-    def of_life(self, life: ServerLife) -> ServerState | None:
+    def find_incarnation(self, life: ServerIncarnation) -> ServerState | None:
         """Find a server by its life; ``None`` when that is over."""
         return self._by_life.get(life)
 
@@ -139,20 +139,24 @@
         """Give all servers."""
         return self._states.values()
 
-    def usable(self, service: ServiceName, avoid: Collection[ServerLife] = ()) -> list[ServerState]:
+    def usable(
+        self, service: ServiceName, avoid: Collection[ServerIncarnation] = ()
+    ) -> list[ServerState]:
         """List the servers that take new work.
 
         Ejected ones are left out while others are there; if all are ejected, all count, since a
         wrong suspicion of all of them must not turn every caller away.
         """
         self.judge(service)
-        return self._sound_ones(self._open_ones(service, avoid))
+        return self._healthy_servers(self._available_servers(service, avoid))
 
-    def _sound_ones(self, open_ones: list[ServerState]) -> list[ServerState]:
+    def _healthy_servers(self, open_ones: list[ServerState]) -> list[ServerState]:
         now_ms = self._context.now_ms()
         return [state for state in open_ones if not state.is_out(now_ms)] or open_ones
 
-    def _open_ones(self, service: ServiceName, avoid: Collection[ServerLife]) -> list[ServerState]:
+    def _available_servers(
+        self, service: ServiceName, avoid: Collection[ServerIncarnation]
+    ) -> list[ServerState]:
         return [
             state
             for state in self._by_service.get(service, ())
@@ -166,7 +170,7 @@
     def choose(
         self,
         service: ServiceName,
-        avoid: Collection[ServerLife],
+        avoid: Collection[ServerIncarnation],
         prefix: str,
         *,
         is_once: bool = False,
@@ -179,20 +183,20 @@
         """
         self._look()
         self.judge(service)
-        open_ones = self._open_ones(service, avoid)
-        usable = self._sound_ones(open_ones)
+        open_ones = self._available_servers(service, avoid)
+        usable = self._healthy_servers(open_ones)
         if not usable:
             return None
         now_ms = self._context.now_ms()
         if is_once:
-            usable = self.soundness.for_once(
+            usable = self.soundness.servers_for_single_run(
                 usable, lambda state: _would_wait(state, now_ms), now_ms
             )
         elif not avoid:
-            tried = self.soundness.to_try(open_ones)
+            tried = self.soundness.servers_to_probe(open_ones)
             if tried is not None:
                 return tried
-        looked_at = self._looked_at(usable)
+        looked_at = self._sampled_servers(usable)
         preferred = self._preferred(looked_at, prefix)
         few = looked_at
         # One that has not answered this instance yet is taken for one of the middle.
@@ -208,8 +212,8 @@
             best = self._cheapest(usable, mean_ms, self._preferred(usable, prefix), now_ms)
         return best
 
-    def choose_apart(
-        self, service: ServiceName, avoid: Collection[ServerLife], name: str
+    def choose_excluding(
+        self, service: ServiceName, avoid: Collection[ServerIncarnation], name: str
     ) -> ServerState | None:
         """Choose the server of a request that may end it; ``None`` when none takes work.
 
@@ -249,7 +253,7 @@
             ),
         )
 
-    def _looked_at(self, usable: list[ServerState]) -> list[ServerState]:
+    def _sampled_servers(self, usable: list[ServerState]) -> list[ServerState]:
         """Leave the servers of other zones out of a large fleet's choice while there is room.
 
         Their counts are up to half a second old, and several zones choose the same one: of 271
@@ -260,7 +264,7 @@
             return usable
         near = [state for state in usable if state.listed.zone == self._context.zone]
         far = [state for state in usable if state.listed.zone != self._context.zone]
-        far_count = min(len(far), max(0, LOOKED_AT - len(near)))
+        far_count = min(len(far), max(0, CANDIDATES_COUNT - len(near)))
         return near + self._context.random.sample(far, far_count)
 
     def _cost(self, state: ServerState, mean_ms: float | None, now_ms: float) -> float:
--- a/citrondyke/decisions/forwarding/server_state.py
+++ b/citrondyke/decisions/forwarding/server_state.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
-from citrondyke.decisions.forwarding.listed_backend import ListedBackend
-from citrondyke.decisions.servers.learned_speed import LearnedSpeed
+from citrondyke.decisions.forwarding.server_list_entry import ServerListEntry
+from citrondyke.decisions.servers.latency_ratio import LatencyRatio
 from citrondyke.decisions.servers.outcomes import NEVER_MS, Outcome
-from citrondyke.decisions.servers.server_record import ServerRecord
-from citrondyke.decisions.servers.standing import ServerStanding
-from citrondyke.decisions.servers.stated_pace import StatedPace
-from citrondyke.ids import InstanceId, ServerLife
+from citrondyke.decisions.servers.reported_slowdown import ReportedSlowdown
+from citrondyke.decisions.servers.server_health import ServerHealth
+from citrondyke.decisions.servers.server_outcome_history import ServerOutcomeHistory
+from citrondyke.ids import InstanceId, ServerIncarnation
 
-__all__ = ('PEER_COUNT_MS', 'ServerState', 'WorkCount')
+__all__ = ('PEER_COUNT_MS', 'RequestCounts', 'ServerState')
 
 #: Load that a server states of itself is believed for so long: it tells of the moment of its
 #: answer, and a request for tokens runs for some 700 ms.
@@ -40,7 +40,7 @@
 FAILING_HALVES_MS = 2_000.0
 
 
-class WorkCount(msgspec.Struct):
+class RequestCounts(msgspec.Struct):
     """Requests that are on a server."""
 
     online: int = 0
@@ -61,7 +61,9 @@
 class ServerState:
     """One life of one server: its entry, the requests on it, its times and failures."""
 
-    def __init__(self, listed: ListedBackend, life: ServerLife, since_ms: float = NEVER_MS) -> None:
+    def __init__(
+        self, listed: ServerListEntry, life: ServerIncarnation, since_ms: float = NEVER_MS
+    ) -> None:
         """Start without a request on it.
 
         :param life: names this life at this instance.
@@ -71,7 +73,7 @@
         self.life = life
         #: It is listed no more, or a later life has begun.
         self.is_gone = False
-        self.own = WorkCount()
+        self.own = RequestCounts()
         self.failures_count = 0
         self.ejected_until_ms = 0.0
         self._failing = 0.0
@@ -80,9 +82,9 @@
         self.is_misplaced = False
         #: Mean time of its answers (of its first events, for streams); 0 before the first.
         self.mean_ms = 0.0
-        self.record = ServerRecord(since_ms)
-        self.speed = LearnedSpeed()
-        self.pace = StatedPace()
+        self.record = ServerOutcomeHistory(since_ms)
+        self.speed = LatencyRatio()
+        self.pace = ReportedSlowdown()
         self._peers: dict[InstanceId, _PeerCount] = {}
         #: What all instances have on it, where they are not all heard of one by one.
         self._total = _PeerCount(0, 0, 0.0)
@@ -100,17 +102,17 @@
         """Take in what all instances have on the server, as its own zone knows it."""
         self._total = _PeerCount(online, batch, now_ms + PEER_COUNT_MS)
 
-    def note_stated_load(self, running: int, waiting: int, now_ms: float) -> None:
+    def record_reported_load(self, running: int, waiting: int, now_ms: float) -> None:
         """Take in what the server says of itself; counts that it cannot hold are bounded."""
         self._stated = min(running + waiting, STATED_SLOTS * max(1, self.listed.slots_count))
         self._stated_until_ms = now_ms + STATED_LOAD_MS
 
-    def note_time(self, took_ms: float) -> None:
+    def record_latency(self, took_ms: float) -> None:
         """Take in the time of an answer or a first event."""
         share = MEAN_SHARE if self.mean_ms else 1.0
         self.mean_ms += share * (took_ms - self.mean_ms)
 
-    def note_work(self, took_ms: float, usual_ms: float, now_ms: float) -> None:
+    def record_work(self, took_ms: float, usual_ms: float, now_ms: float) -> None:
         """Compare an answer's time with the usual one of its route on this service."""
         self.speed.note(took_ms / self.pace.factor(now_ms), usual_ms)
 
@@ -134,9 +136,9 @@
 
     def is_out(self, now_ms: float) -> bool:
         """Tell whether it gets no requests, by this instance's results or by the fleet's."""
-        return self.ejected_until_ms > now_ms or self.record.standing is ServerStanding.OUT
+        return self.ejected_until_ms > now_ms or self.record.standing is ServerHealth.OUT
 
-    def note_answered(self, now_ms: float) -> None:
+    def record_answered(self, now_ms: float) -> None:
         """Take note that it has begun a good answer."""
         self.record.note(Outcome.SUCCEEDED, now_ms)
 
@@ -145,7 +147,7 @@
         halves_count = (now_ms - self._failing_ms) / FAILING_HALVES_MS
         return max(float(self._failing * 0.5**halves_count), self.record.failing_share)
 
-    def note_unreachable(self, now_ms: float) -> None:
+    def record_unreachable(self, now_ms: float) -> None:
         """Take the server out at once: it takes no connection, so nothing can be wrong but it.
 
         A silent answer may be one slow request; a connection that is not taken never is, and a
--- a/citrondyke/decisions/forwarding/start_hold.py
+++ b/citrondyke/decisions/forwarding/startup_hold.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
 
-__all__ = ('StartHold',)
+__all__ = ('StartupHold',)
 
 #: The store takes some tens of ms where it answers. Where it does not, another instance may know
 #: more, and the caller needs most of its time there.
@@ -21,7 +21,7 @@
 RETRY_SPREAD = 0.5
 
 
-class StartHold:
+class StartupHold:
     """Holds the requests that come before the configuration is known.
 
     The load: all instances were lost, and all callers come again to those that start first. Each
--- a/citrondyke/decisions/instance.py
+++ b/citrondyke/decisions/instance.py
@@ -4,8 +4,11 @@
 
 from typing import TYPE_CHECKING
 
+from citrondyke.decisions.at_most_once.group_committer import GroupCommitter
+from citrondyke.decisions.at_most_once.once_executor import OnceExecutor
+from citrondyke.decisions.at_most_once.transaction_pace import TransactionPace
 from citrondyke.decisions.configuration.change import ConfigChange
-from citrondyke.decisions.configuration.keeper import ConfigKeeper
+from citrondyke.decisions.configuration.keeper import ConfigReplica
 from citrondyke.decisions.core.ops import (
     SendPeer,
     Spawn,
@@ -18,7 +21,7 @@
 from citrondyke.decisions.evidence.journal import EvidenceJournal
 from citrondyke.decisions.instance_limits import InstanceLimits
 from citrondyke.decisions.jobs.acceptance import JobAcceptance
-from citrondyke.decisions.jobs.claimer import Claimer
+from citrondyke.decisions.jobs.segment_claimer import SegmentClaimer
 from citrondyke.decisions.jobs.sweeper import Sweeper
 from citrondyke.decisions.jobs.worker import Worker, WorkerLimits
 from citrondyke.decisions.membership.lease_watch import LeaseWatch
@@ -31,13 +34,10 @@
     Ping,
     ServerState,
 )
-from citrondyke.decisions.membership.session_keeper import SessionKeeper
+from citrondyke.decisions.membership.session_renewer import SessionRenewer
 from citrondyke.decisions.notices import Notices
-from citrondyke.decisions.once.group_committer import GroupCommitter
-from citrondyke.decisions.once.once_desk import OnceDesk
-from citrondyke.decisions.once.transaction_pace import TransactionPace
 from citrondyke.decisions.online.admission import Admission
-from citrondyke.decisions.online.desk import OnlineDesk
+from citrondyke.decisions.online.desk import OnlineDispatcher
 from citrondyke.decisions.online.fleet import Fleet
 from citrondyke.decisions.online.router import Router
 from citrondyke.decisions.steward import SERVICE_PREFIX, Steward, StewardLimits
@@ -50,7 +50,7 @@
     from citrondyke.decisions.configuration.proposal import ConfigProposal
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
-    from citrondyke.decisions.jobs.job_wish import JobResult
+    from citrondyke.decisions.jobs.job_request import JobResult
     from citrondyke.decisions.membership.peer_messages import PeerMessage
     from citrondyke.decisions.online.server_view import ServerView
     from citrondyke.decisions.sharing.server_share import ServerShare
@@ -66,7 +66,7 @@
 __all__ = ('Instance',)
 
 #: Looks further apart than this many lease times do not prove that a holder is gone.
-LEASE_LOOK_GAP = 0.75
+LEASE_POLL_GAP = 0.75
 #: Pause between two pulls of the configuration from peers.
 PULL_PAUSE_MS = 200.0
 
@@ -86,13 +86,13 @@
         """
         self.context = context
         self.limits = limits
-        self.keeper = ConfigKeeper(context, limits.config_poll_every_ms)
+        self.keeper = ConfigReplica(context, limits.config_poll_every_ms)
         self.members = Members(context)
-        self.session = SessionKeeper(context, limits.lease_renew_every_ms, limits.lease_ms)
+        self.session = SessionRenewer(context, limits.lease_renew_every_ms, limits.lease_ms)
         self.journal = EvidenceJournal(
             context, self.session, limits.evidence_every_ms, limits.evidence_records_limit
         )
-        self.leases = LeaseWatch(limits.lease_ms, limits.lease_ms * LEASE_LOOK_GAP)
+        self.leases = LeaseWatch(limits.lease_ms, limits.lease_ms * LEASE_POLL_GAP)
         self.fleet = Fleet(limits.first_online_limit)
         self.router = Router(context, self.fleet)
         self.admission = Admission(context, self.fleet, limits.waiting_limit)
@@ -107,12 +107,14 @@
             new_share=new_share,
         )
         self.notices = Notices(context, self.fleet, self.steward)
-        self.online = OnlineDesk(context, self.router, self.admission, self.notices.on_load_change)
+        self.online = OnlineDispatcher(
+            context, self.router, self.admission, self.notices.on_load_change
+        )
         pace = TransactionPace(
             limits.fleet_intent_transactions_per_s, lambda: len(self.members.live())
         )
         self.committer = GroupCommitter(context, pace)
-        self.once = OnceDesk(context, self.session, self.committer, self.leases, self.online)
+        self.once = OnceExecutor(context, self.session, self.committer, self.leases, self.online)
         self.acceptance = JobAcceptance(context, lambda: self.keeper.current, self.journal.add)
         self.sweeper = Sweeper(context, self.acceptance, self.journal.add)
         self.worker = self._new_worker(context, limits)
@@ -207,7 +209,7 @@
         yield from self.session.release()
 
     def _new_worker(self, context: Context, limits: InstanceLimits) -> Worker:
-        claimer = Claimer(
+        claimer = SegmentClaimer(
             context,
             self.session,
             self.leases,
@@ -235,7 +237,7 @@
             if not isinstance(snapshot, PlatformFailure):
                 self.members.update_list(snapshot.instances)
                 changed = self.fleet.update_list(snapshot.servers)
-                yield from self._restaff(is_forced=changed)
+                yield from self._reassign_workers(is_forced=changed)
                 self._lists_read.fire(None)
             yield from self._pause(self.limits.lists_poll_every_ms)
 
@@ -244,10 +246,10 @@
             ping = self.members.next_ping()
             if ping is not None:
                 yield SendPeer(*ping)
-            yield from self._restaff(is_forced=False)
+            yield from self._reassign_workers(is_forced=False)
             yield from self._pause(self.limits.gossip_every_ms)
 
-    def _restaff(self, *, is_forced: bool) -> Workflow[None]:
+    def _reassign_workers(self, *, is_forced: bool) -> Workflow[None]:
         """Take up the servers that fall to this instance now."""
         if not is_forced and self.members.revision == self._members_revision:
             return
@@ -263,7 +265,7 @@
         """Begin batch work once there is a session to claim with."""
         yield from wait_for(self.session.began, None)
         yield from wait_for(self._lists_read, None)
-        yield Spawn(self.worker.look_at_jobs())
+        yield Spawn(self.worker.poll_jobs())
         yield from self._start_targets()
 
     def _start_targets(self) -> Workflow[None]:
--- a/citrondyke/decisions/jobs/acceptance.py
+++ b/citrondyke/decisions/jobs/acceptance.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from citrondyke.decisions.core.commit import (
-    CommitDoubt,
-    CommitDoubtReason,
+    CommitUncertain,
+    CommitUncertainReason,
     commit,
     transaction,
 )
@@ -21,12 +21,12 @@
     job_record,
     todo_rows,
 )
-from citrondyke.decisions.jobs.job_wish import (
+from citrondyke.decisions.jobs.job_request import (
     AcceptedJob,
     JobRefusal,
     JobRefusalReason,
+    JobRequest,
     JobResult,
-    JobWish,
 )
 from citrondyke.decisions.jobs.rows import (
     FileRow,
@@ -98,7 +98,7 @@
         )
         wanted = transaction(self._context, [(key, None)], [(key, row)])
         result = yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS)
-        if isinstance(result, CommitDoubt):
+        if isinstance(result, CommitUncertain):
             return _refusal_of(result)
         if isinstance(result, Conflict):
             return file_id, msgspec.json.decode(result.rows[key].value, type=FileRow)
@@ -130,7 +130,7 @@
             return JobRefusal(JobRefusalReason.NO_JOB)
         return AcceptedJob(job_id, row, found[key].version)
 
-    def accept(self, wish: JobWish) -> Workflow[JobResult]:
+    def accept(self, wish: JobRequest) -> Workflow[JobResult]:
         """Accept a job, or find the one that the same wish made before."""
         file = yield from self.find_file(wish.tenant_id, wish.file_id)
         if isinstance(file, JobRefusal):
@@ -144,7 +144,7 @@
         job_id = job_id_of(wish, file.digest)
         job = self._new_job(wish, file, wanted_class)
         result = yield from self._write(job_id, job)
-        if isinstance(result, CommitDoubt):
+        if isinstance(result, CommitUncertain):
             return _refusal_of(result)
         if isinstance(result, Committed):
             self._on_outcome(job_record(RecordKind.JOB_ACCEPTED, job_id, job))
@@ -166,20 +166,20 @@
             if isinstance(found, JobRefusal) or found.row.state is not JobState.RUNNING:
                 return found
             stopped = yield from self.stop(found, JobState.CANCELLING, until_ms)
-            if isinstance(stopped, CommitDoubt):
+            if isinstance(stopped, CommitUncertain):
                 return _refusal_of(stopped)
             if isinstance(stopped, AcceptedJob):
                 return stopped
 
     def stop(
         self, job: AcceptedJob, state: JobState, until_ms: float
-    ) -> Workflow[AcceptedJob | Conflict | CommitDoubt]:
+    ) -> Workflow[AcceptedJob | Conflict | CommitUncertain]:
         """Write that a job accepts no more outcomes of work."""
         key = job_row_key(job.job_id)
         open_key = open_row_key(job.row.target, job.row.deadline_epoch_ms, job.job_id)
         found = yield from read_rows(open_key)
         if isinstance(found, PlatformFailure):
-            return CommitDoubt(CommitDoubtReason.NOT_WRITTEN)
+            return CommitUncertain(CommitUncertainReason.NOT_WRITTEN)
         row = msgspec.structs.replace(
             job.row, state=state, stopped_epoch_ms=self._context.epoch_ms()
         )
@@ -196,7 +196,9 @@
             return AcceptedJob(job.job_id, row, result.version)
         return result
 
-    def _write(self, job_id: JobId, job: JobRow) -> Workflow[Committed | Conflict | CommitDoubt]:
+    def _write(
+        self, job_id: JobId, job: JobRow
+    ) -> Workflow[Committed | Conflict | CommitUncertain]:
         key = job_row_key(job_id)
         rows = todo_rows(job_id, job, 0, ROWS_PER_TRANSACTION)
         opened = OpenRow(
@@ -214,7 +216,7 @@
         wanted = transaction(self._context, [(key, None)], writes)
         return (yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS))
 
-    def _new_job(self, wish: JobWish, file: FileRow, wanted_class: ClassEntry) -> JobRow:
+    def _new_job(self, wish: JobRequest, file: FileRow, wanted_class: ClassEntry) -> JobRow:
         now_ms = self._context.epoch_ms()
         return JobRow(
             tenant_id=wish.tenant_id,
@@ -254,7 +256,7 @@
     return url.startswith('/services/') and url.startswith(endpoint)
 
 
-def _refusal_of(doubt: CommitDoubt) -> JobRefusal:
-    if doubt.reason is CommitDoubtReason.NOT_WRITTEN:
+def _refusal_of(doubt: CommitUncertain) -> JobRefusal:
+    if doubt.reason is CommitUncertainReason.NOT_WRITTEN:
         return JobRefusal(JobRefusalReason.PLATFORM_DOWN)
     return JobRefusal(JobRefusalReason.IN_DOUBT)
--- a/citrondyke/decisions/jobs/held_segment.py
+++ b/citrondyke/decisions/jobs/held_segment.py
@@ -22,11 +22,11 @@
 __all__ = ('HeldSegment',)
 
 #: Items at work at once in a segment whose holder died, or that may not be repeated.
-CAREFUL_WINDOW = 16
+CAUTIOUS_WINDOW = 16
 #: Items at work at once of those that ran when a second holder died.
 SUSPECT_WINDOW = 1
 #: Deaths after which an item that was alone at work is held to be the cause.
-LONE_DEATHS = 3
+DEATHS_BEFORE_ISOLATION = 3
 
 
 class _Line(msgspec.Struct, frozen=True):
@@ -138,8 +138,8 @@
         suspects = ItemSet.parse(self.row.suspects)
         calm = waiting - suspects
         if calm:
-            room = CAREFUL_WINDOW - len(at_work)
-            if room < CAREFUL_WINDOW // 2:
+            room = CAUTIOUS_WINDOW - len(at_work)
+            if room < CAUTIOUS_WINDOW // 2:
                 return []
             chosen = list(calm)[:room]
         else:
@@ -190,10 +190,10 @@
     def lose(self) -> None:
         """Stop everything: the segment belongs to another instance, or its job is over."""
         self.is_lost = True
-        self.cut_all()
+        self.cancel_all()
         self.wake_up()
 
-    def cut_all(self) -> None:
+    def cancel_all(self) -> None:
         """Cut every attempt that is running."""
         for item in self.items.values():
             item.cancel.fire(None)
@@ -220,7 +220,7 @@
             return
         if not self.is_repeatable:
             self._close(lost, FailureCode.OUTCOME_UNKNOWN)
-        elif is_after_death and self.row.deaths >= LONE_DEATHS and len(lost) == 1:
+        elif is_after_death and self.row.deaths >= DEATHS_BEFORE_ISOLATION and len(lost) == 1:
             self._close(lost, FailureCode.KILLED_HOLDER)
 
     def _close(self, positions: ItemSet, code: FailureCode) -> None:
--- a/citrondyke/decisions/jobs/item_runner.py
+++ b/citrondyke/decisions/jobs/item_runner.py
@@ -25,7 +25,7 @@
     from citrondyke.decisions.sharing.server_share import ServerShare
     from citrondyke.ids import RequestId, ServerId
 
-__all__ = ('ItemRunner', 'must_run_alone')
+__all__ = ('ItemRunner', 'must_run_isolated')
 
 #: Attempts of one item that may fail, over all its holders.
 ATTEMPTS_LIMIT = 3
@@ -81,7 +81,7 @@
         """Count an item as running on a server; give the workflow that runs it."""
         item.cancel = Signal()
         item.is_running = True
-        if must_run_alone(item):
+        if must_run_isolated(item):
             self._alone.add(server_id)
         self._items[item.request_id] = item
         share.on_batch_start(item.request_id, self._context.now_ms())
@@ -192,13 +192,13 @@
 
 
 def _put_back(held: HeldSegment, item: BatchItem, pool: Pool) -> None:
-    if must_run_alone(item):
+    if must_run_isolated(item):
         pool.push_suspect(held, item)
     else:
         pool.push_back(held, item)
 
 
-def must_run_alone(item: BatchItem) -> bool:
+def must_run_isolated(item: BatchItem) -> bool:
     """Tell whether an item has one attempt left."""
     return item.attempts == ATTEMPTS_LIMIT - 1
 
--- a/citrondyke/decisions/jobs/job_facts.py
+++ b/citrondyke/decisions/jobs/job_facts.py
@@ -11,7 +11,7 @@
 from citrondyke.util.hashing import digest_hex
 
 if TYPE_CHECKING:
-    from citrondyke.decisions.jobs.job_wish import JobWish
+    from citrondyke.decisions.jobs.job_request import JobRequest
     from citrondyke.ids import RowKey
 
 __all__ = ('ROWS_PER_TRANSACTION', 'job_digest', 'job_id_of', 'job_record', 'todo_rows')
@@ -20,7 +20,7 @@
 ROWS_PER_TRANSACTION = 64
 
 
-def job_id_of(wish: JobWish, file_digest: str) -> JobId:
+def job_id_of(wish: JobRequest, file_digest: str) -> JobId:
     """Name a job by tenant and key, or without a key by what is to be done.
 
     Every instance gives the same wish the same name, so a resend finds the first job wherever
@@ -31,7 +31,7 @@
     return JobId('batch_' + digest_hex(wish.tenant_id.encode(), kind.encode(), identity.encode()))
 
 
-def job_digest(wish: JobWish, file_digest: str) -> str:
+def job_digest(wish: JobRequest, file_digest: str) -> str:
     """Digest what a job is to do."""
     return digest_hex(file_digest.encode(), wish.endpoint.encode(), wish.class_name.encode())
 
--- a/citrondyke/decisions/jobs/job_wish.py
+++ b/citrondyke/decisions/jobs/job_request.py
@@ -10,10 +10,10 @@
 from citrondyke.decisions.jobs.rows import JobRow
 from citrondyke.ids import ClassName, JobId, TenantId
 
-__all__ = ('AcceptedJob', 'JobRefusal', 'JobRefusalReason', 'JobResult', 'JobWish')
+__all__ = ('AcceptedJob', 'JobRefusal', 'JobRefusalReason', 'JobRequest', 'JobResult')
 
 
-class JobWish(msgspec.Struct, frozen=True, kw_only=True):
+class JobRequest(msgspec.Struct, frozen=True, kw_only=True):
     """What a caller asks for."""
 
     tenant_id: TenantId
--- a/citrondyke/decisions/jobs/part_committer.py
+++ b/citrondyke/decisions/jobs/outcome_committer.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.decisions.core.commit import CommitDoubt, commit, transaction
+from citrondyke.decisions.core.commit import CommitUncertain, commit, transaction
 from citrondyke.decisions.core.ops import put_object, read_rows, sleep_until
 from citrondyke.decisions.jobs.item_set import ItemSet
 from citrondyke.decisions.jobs.rows import PartKind, PartRow, TodoRow, job_row_key, part_row_key
@@ -21,13 +21,13 @@
     from citrondyke.decisions.core.ops import Workflow
     from citrondyke.decisions.jobs.held_segment import HeldSegment
 
-__all__ = ('PartCommitter',)
+__all__ = ('OutcomeCommitter',)
 
 COMMIT_LIMIT_MS = 30_000.0
 PUT_PAUSE_MS = 500.0
 
 
-class PartCommitter:
+class OutcomeCommitter:
     """Objects first, then one transaction that the segment's and the job's rows must allow."""
 
     def __init__(self, context: Context, on_lost: Callable[[HeldSegment], None]) -> None:
@@ -67,7 +67,7 @@
             if isinstance(result, Conflict):
                 self._on_lost(held)
                 return False
-            if isinstance(result, CommitDoubt):
+            if isinstance(result, CommitUncertain):
                 settled = yield from self._settle(held, wanted.write_id)
                 if settled is not None:
                     held.committed(row, settled, positions)
--- a/citrondyke/decisions/jobs/claimer.py
+++ b/citrondyke/decisions/jobs/segment_claimer.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from citrondyke.decisions.core.commit import CommitDoubt, commit, transaction
+from citrondyke.decisions.core.commit import CommitUncertain, commit, transaction
 from citrondyke.decisions.core.ops import get_object, read_rows, scan_rows
 from citrondyke.decisions.jobs.held_segment import HeldSegment
 from citrondyke.decisions.jobs.item_set import ItemSet
 from citrondyke.decisions.jobs.job_facts import ROWS_PER_TRANSACTION, todo_rows
-from citrondyke.decisions.jobs.job_wish import AcceptedJob
+from citrondyke.decisions.jobs.job_request import AcceptedJob
 from citrondyke.decisions.jobs.rows import (
     JobRow,
     JobState,
@@ -39,26 +39,26 @@
     from citrondyke.decisions.core.ops import Workflow
     from citrondyke.decisions.jobs.sweeper import Sweeper
     from citrondyke.decisions.membership.lease_watch import LeaseWatch
-    from citrondyke.decisions.membership.session_keeper import SessionKeeper
+    from citrondyke.decisions.membership.session_renewer import SessionRenewer
     from citrondyke.ids import TargetName
     from citrondyke.storage.table_service import Row
 
-__all__ = ('Claimer',)
+__all__ = ('SegmentClaimer',)
 
 #: Open jobs looked at in one round, earliest deadline first.
-JOBS_PER_LOOK = 16
+JOBS_PER_POLL = 16
 #: Segments of one job looked at in one round.
-SEGMENTS_PER_LOOK = 16
+SEGMENTS_PER_POLL = 16
 COMMIT_LIMIT_MS = 4000.0
 
 
-class Claimer:
+class SegmentClaimer:
     """Claims one segment at a time for one instance."""
 
     def __init__(
         self,
         context: Context,
-        session: SessionKeeper,
+        session: SessionRenewer,
         leases: LeaseWatch,
         sweeper: Sweeper,
         is_repeatable: Callable[[TargetName], bool],
@@ -75,12 +75,12 @@
     def claim(self, target: TargetName) -> Workflow[HeldSegment | None]:
         """Claim the most urgent free segment; ``None`` where there is none."""
         prefix = open_prefix(target)
-        rows = yield from scan_rows(prefix, '', JOBS_PER_LOOK)
+        rows = yield from scan_rows(prefix, '', JOBS_PER_POLL)
         if isinstance(rows, PlatformFailure):
             return None
         for row in rows:
             try:
-                held = yield from self._look_at_job(row)
+                held = yield from self._inspect_job(row)
             except msgspec.DecodeError:
                 # A row that this version cannot read stands first for its deadline; without
                 # passing over it nothing behind it would ever be worked on.
@@ -89,7 +89,7 @@
                 return held
         return None
 
-    def _look_at_job(self, row: Row) -> Workflow[HeldSegment | None]:
+    def _inspect_job(self, row: Row) -> Workflow[HeldSegment | None]:
         opened = msgspec.json.decode(row.value, type=OpenRow)
         job_id = JobId(row.key.rsplit('/', 1)[1])
         if opened.is_stopping or opened.expires_epoch_ms <= self._context.epoch_ms():
@@ -135,11 +135,11 @@
         prefix = todo_prefix(job_id)
         start = int(self._context.random.random() * opened.materialized_count)
         after = f'{prefix}{start:06d}' if start else ''
-        rows = yield from scan_rows(prefix, after, SEGMENTS_PER_LOOK)
+        rows = yield from scan_rows(prefix, after, SEGMENTS_PER_POLL)
         if isinstance(rows, PlatformFailure):
             return None
-        if len(rows) < SEGMENTS_PER_LOOK and after:
-            more = yield from scan_rows(prefix, '', SEGMENTS_PER_LOOK)
+        if len(rows) < SEGMENTS_PER_POLL and after:
+            more = yield from scan_rows(prefix, '', SEGMENTS_PER_POLL)
             if isinstance(more, PlatformFailure):
                 return None
             known = {row.key for row in rows}
@@ -167,7 +167,7 @@
             [(row.key, claimed)],
         )
         result = yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS)
-        if isinstance(result, CommitDoubt) or not isinstance(result, Committed):
+        if isinstance(result, CommitUncertain) or not isinstance(result, Committed):
             return None
         held = HeldSegment(
             job.job_id,
--- a/citrondyke/decisions/jobs/sweeper.py
+++ b/citrondyke/decisions/jobs/sweeper.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from citrondyke.decisions.core.commit import CommitDoubt, commit, transaction
+from citrondyke.decisions.core.commit import CommitUncertain, commit, transaction
 from citrondyke.decisions.core.ops import read_rows, scan_rows
 from citrondyke.decisions.evidence.record import RecordKind
 from citrondyke.decisions.jobs.item_set import ItemSet
 from citrondyke.decisions.jobs.job_facts import job_record, todo_rows
-from citrondyke.decisions.jobs.job_wish import AcceptedJob, JobRefusal
+from citrondyke.decisions.jobs.job_request import AcceptedJob, JobRefusal
 from citrondyke.decisions.jobs.rows import (
     JobState,
     OpenRow,
@@ -171,7 +171,7 @@
             if not rows:
                 return True
             result = yield from self._close_rows(job, rows)
-            if isinstance(result, CommitDoubt):
+            if isinstance(result, CommitUncertain):
                 return False
 
     def _close_rows(self, job: AcceptedJob, rows: list[Row]) -> Workflow[Committed | object]:
@@ -211,7 +211,7 @@
                 self._context, [(open_key, found[open_key].version)], [(open_key, moved), *rows]
             )
             result = yield from commit(self._context, wanted, self._until_ms())
-            if isinstance(result, CommitDoubt):
+            if isinstance(result, CommitUncertain):
                 return False
 
     def _until_ms(self) -> float:
--- a/citrondyke/decisions/jobs/worker.py
+++ b/citrondyke/decisions/jobs/worker.py
@@ -13,8 +13,8 @@
     wait_for,
 )
 from citrondyke.decisions.core.signal import Signal
-from citrondyke.decisions.jobs.item_runner import ItemRunner, must_run_alone
-from citrondyke.decisions.jobs.part_committer import PartCommitter
+from citrondyke.decisions.jobs.item_runner import ItemRunner, must_run_isolated
+from citrondyke.decisions.jobs.outcome_committer import OutcomeCommitter
 from citrondyke.decisions.jobs.pool import Pool
 from citrondyke.decisions.jobs.rows import (
     JobRow,
@@ -28,8 +28,8 @@
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
     from citrondyke.decisions.jobs.batch_item import BatchItem
-    from citrondyke.decisions.jobs.claimer import Claimer
     from citrondyke.decisions.jobs.held_segment import HeldSegment
+    from citrondyke.decisions.jobs.segment_claimer import SegmentClaimer
     from citrondyke.decisions.jobs.sweeper import Sweeper
     from citrondyke.decisions.steward import Steward
     from citrondyke.ids import RequestId
@@ -39,11 +39,11 @@
 #: Time for the parts that are still to be committed at a planned stop.
 COMMIT_LIMIT_MS = 30_000.0
 #: Pause between two looks at servers for which no item waits; what changes wakes them earlier.
-IDLE_LOOK_MS = 2000.0
+IDLE_POLL_MS = 2000.0
 #: Looks that find nothing get rarer by this factor at the most.
 LONGEST_PAUSE_GROWTH = 8
 #: Pause between two looks at the jobs whose segments are held.
-JOB_LOOK_MS = 1000.0
+JOB_POLL_MS = 1000.0
 
 
 class WorkerLimits(msgspec.Struct, frozen=True, kw_only=True):
@@ -63,7 +63,7 @@
     def __init__(
         self,
         context: Context,
-        claimer: Claimer,
+        claimer: SegmentClaimer,
         sweeper: Sweeper,
         steward: Steward,
         limits: WorkerLimits,
@@ -77,7 +77,7 @@
         self._pools: dict[TargetName, Pool] = {}
         self._held: dict[RowKey, HeldSegment] = {}
         self._runner = ItemRunner(context)
-        self._committer = PartCommitter(context, self._lose)
+        self._committer = OutcomeCommitter(context, self._drop_segment)
         self._is_leaving = False
         self._emptied: Signal[None] = Signal()
 
@@ -96,20 +96,20 @@
             for workflow in self._start_items(target, pool):
                 yield Spawn(workflow)
             now_ms = self._context.now_ms()
-            until_ms = now_ms + IDLE_LOOK_MS
+            until_ms = now_ms + IDLE_POLL_MS
             if len(pool):
                 until_ms = now_ms + self._limits.look_every_ms
-                until_ms = min(until_ms, self._steward.next_room_ms(target))
+                until_ms = min(until_ms, self._steward.next_capacity_ms(target))
             yield from wait_for(changed, until_ms)
         del self._pools[target]
         for held in list(self._held.values()):
             if held.job.target == target:
                 self._release(held)
 
-    def look_at_jobs(self) -> Workflow[None]:
+    def poll_jobs(self) -> Workflow[None]:
         """Learn of cancelled jobs whose notice was lost, for good."""
         while True:
-            yield from sleep_until(self._context.now_ms() + JOB_LOOK_MS)
+            yield from sleep_until(self._context.now_ms() + JOB_POLL_MS)
             keys = {job_row_key(held.job_id) for held in self._held.values()}
             if not keys:
                 continue
@@ -119,13 +119,13 @@
             for held in list(self._held.values()):
                 row = found.get(job_row_key(held.job_id))
                 if row is None or _job_state(row.value) is not JobState.RUNNING:
-                    self._lose(held)
+                    self._drop_segment(held)
 
     def stop_job(self, job_id: JobId) -> None:
         """Cut everything of a job that was cancelled."""
         for held in list(self._held.values()):
             if held.job_id == job_id:
-                self._lose(held)
+                self._drop_segment(held)
 
     def holds(self, key: RowKey) -> bool:
         """Tell whether a segment is held."""
@@ -149,7 +149,7 @@
         if self._held:
             yield from wait_for(self._emptied, until_ms)
         for held in list(self._held.values()):
-            held.cut_all()
+            held.cancel_all()
         if self._held:
             yield from wait_for(self._emptied, until_ms + COMMIT_LIMIT_MS)
 
@@ -161,7 +161,7 @@
             if self._wants_segment(target, pool):
                 held = yield from self._claimer.claim(target)
             if held is None:
-                pause_ms = pause_growth * self._steward.look_pause_ms(target)
+                pause_ms = pause_growth * self._steward.poll_interval_ms(target)
                 pause_growth = min(pause_growth * 2, LONGEST_PAUSE_GROWTH)
                 yield from sleep_until(self._context.now_ms() + self._context.jittered_ms(pause_ms))
                 continue
@@ -171,7 +171,7 @@
             # on its way. Nothing would ever take the segment's items out of a pool that is closed,
             # and nobody else may claim it as its holder lives: the job would stand still for good.
             held.is_releasing = self._is_leaving or self._pools.get(target) is not pool
-            yield Spawn(self._tend(held, pool))
+            yield Spawn(self._supervise_segment(held, pool))
 
     def _wants_segment(self, target: TargetName, pool: Pool) -> bool:
         held = [each for each in self._held.values() if each.job.target == target]
@@ -198,7 +198,7 @@
                 started.append(self._runner.begin(*taken, server_id, share, pool))
         return started
 
-    def _tend(self, held: HeldSegment, pool: Pool) -> Workflow[None]:
+    def _supervise_segment(self, held: HeldSegment, pool: Pool) -> Workflow[None]:
         """Look after a held segment until it is done, lost or handed back."""
         while not held.is_lost:
             # Taken before the look: what happens after it fires this very signal.
@@ -230,7 +230,7 @@
         held.is_releasing = True
         held.wake_up()
 
-    def _lose(self, held: HeldSegment) -> None:
+    def _drop_segment(self, held: HeldSegment) -> None:
         held.lose()
         self._forget(held)
 
@@ -242,11 +242,11 @@
 
 
 def _offer(held: HeldSegment, window: list[BatchItem], pool: Pool) -> None:
-    calm = [item for item in window if not must_run_alone(item)]
+    calm = [item for item in window if not must_run_isolated(item)]
     if calm:
         pool.push(held, calm)
     for item in window:
-        if must_run_alone(item):
+        if must_run_isolated(item):
             pool.push_suspect(held, item)
 
 
--- a/citrondyke/decisions/membership/members.py
+++ b/citrondyke/decisions/membership/members.py
@@ -30,7 +30,7 @@
     is_listed: bool = True
 
 
-class _Rumour(msgspec.Struct):
+class _MemberUpdate(msgspec.Struct):
     fact: MemberFact
     repeats_left: int
 
@@ -51,7 +51,7 @@
         self.revision = 0
         self._context = context
         self._members: dict[InstanceId, _Member] = {}
-        self._rumours: dict[InstanceId, _Rumour] = {}
+        self._rumours: dict[InstanceId, _MemberUpdate] = {}
         self._turns: list[InstanceId] = []
         self._number = 0
         #: Whom the last ping was sent to, while it is not answered.
@@ -220,7 +220,7 @@
 
     def _spread(self, fact: MemberFact) -> None:
         doublings = max(1, len(self._members)).bit_length()
-        self._rumours[fact.instance_id] = _Rumour(fact, REPEATS_PER_DOUBLING * doublings)
+        self._rumours[fact.instance_id] = _MemberUpdate(fact, REPEATS_PER_DOUBLING * doublings)
 
     def _facts_to_send(self, receiver: InstanceId) -> tuple[MemberFact, ...]:
         """Choose what rides along; a suspect is always told, so that it can refute."""
--- a/citrondyke/decisions/membership/session_keeper.py
+++ b/citrondyke/decisions/membership/session_renewer.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.decisions.core.commit import CommitDoubt, commit, commit_once, transaction
+from citrondyke.decisions.core.commit import CommitUncertain, commit, commit_once, transaction
 from citrondyke.decisions.core.ops import read_rows, sleep_until
 from citrondyke.decisions.core.signal import Signal
 from citrondyke.decisions.membership.session_row import (
@@ -23,13 +23,13 @@
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
 
-__all__ = ('SessionKeeper',)
+__all__ = ('SessionRenewer',)
 
 #: Time that one attempt to begin or to end a session may take.
 COMMIT_LIMIT_MS = 5000.0
 
 
-class SessionKeeper:
+class SessionRenewer:
     """Begins a session, renews it while the instance lives, and releases it."""
 
     def __init__(self, context: Context, renew_every_ms: float, lease_ms: float) -> None:
@@ -55,7 +55,7 @@
         #: Whether the life before this one ended without giving its lease back.
         self.is_after_crash = False
 
-    def note_sealed(self, number: int, digest: str) -> None:
+    def record_sealed(self, number: int, digest: str) -> None:
         """Take in the newest object of outcome records; the next renewal stores it."""
         self.sealed = (number, digest)
         self.has_sealed = True
@@ -131,7 +131,7 @@
             self._version = result.version
             self._confirmed_ms = asked_ms
             return
-        if isinstance(result, CommitDoubt):
+        if isinstance(result, CommitUncertain):
             return
         # Only this instance writes the row, so a conflict is an earlier renewal of its own whose
         # reply was lost, or a second process with the same id, which then has a higher epoch.
