--- a/citrondyke/gateway/jobs/route_tokens.py
+++ b/citrondyke/gateway/jobs/route_backlog_tokens.py
@@ -9,17 +9,17 @@
 import logbook
 from gevent.lock import BoundedSemaphore
 
-from citrondyke.decisions.batch.drain_rate import DrainRate
-from citrondyke.decisions.batch.waiting_bound import (
+from citrondyke.decisions.batch.backlog_limit import (
     NO_CONFIGURATION,
-    NoRoom,
-    OtherShares,
+    BacklogFull,
+    BacklogLimit,
+    PeerShares,
     TokenShare,
-    WaitingBound,
 )
-from citrondyke.gateway.jobs.own_share import OwnShare
-from citrondyke.gateway.jobs.seen_shares import SeenShares
-from citrondyke.gateway.jobs.waiting_count import WaitingCount
+from citrondyke.decisions.batch.drain_rate import DrainRate
+from citrondyke.gateway.jobs.backlog_count import BacklogCount
+from citrondyke.gateway.jobs.observed_shares import ObservedShares
+from citrondyke.gateway.jobs.own_token_share import OwnTokenShare
 from citrondyke.storage.failure import UNAVAILABLE, PlatformFailure
 from citrondyke.storage.partitioned_table import PartCommitted
 
@@ -28,23 +28,23 @@
 
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.forwarding.route import Route
-    from citrondyke.gateway.beliefs.fleet_facts import FleetFacts
     from citrondyke.gateway.jobs.owned_jobs import OwnedJobs
     from citrondyke.gateway.jobs.token_shares import SharesRead, TokenShares
+    from citrondyke.gateway.replication.fleet_queries import FleetQueries
     from citrondyke.ids import ConfigVersion, JobId, RouteName
 
-__all__ = ('NEAR_LOOK_MS', 'Reservation', 'RouteTokens')
+__all__ = ('NEAR_LIMIT_POLL_MS', 'BacklogReservation', 'RouteBacklogTokens')
 
 log = logbook.Logger(__name__)
 
 #: How often an instance with jobs looks at the shares near the bound: what it has finished is told
 #: well within the second after which a job that fits must be taken.
-NEAR_LOOK_MS = 300.0
+NEAR_LIMIT_POLL_MS = 300.0
 #: Pause after a share of somebody else grew first: a few times what the store needs for one write.
 CONFLICT_MS = 15.0
 
 
-class Reservation(Enum):
+class BacklogReservation(Enum):
     """That a job may be accepted."""
 
     #: Its tokens are counted.
@@ -53,7 +53,7 @@
     NOT_NEEDED = 'not_needed'
 
 
-class RouteTokens:
+class RouteBacklogTokens:
     """Reserves room for jobs, and tells the others what is used."""
 
     def __init__(
@@ -63,7 +63,7 @@
         name: RouteName,
         shares: TokenShares,
         owned: OwnedJobs,
-        facts: FleetFacts,
+        facts: FleetQueries,
         overshoot: float,
         look_again: Callable[[], None],
     ) -> None:
@@ -80,10 +80,10 @@
         self._overshoot = overshoot
         self._look_again = look_again
         self._lock = BoundedSemaphore(1)
-        self._own = OwnShare(name, life, shares)
+        self._own = OwnTokenShare(name, life, shares)
         self._is_leaving = False
-        self._count = WaitingCount(context, life, name, owned, facts)
-        self._seen = SeenShares(context, life, facts)
+        self._count = BacklogCount(context, life, name, owned, facts)
+        self._seen = ObservedShares(context, life, facts)
         self._rate = DrainRate()
         #: Whether the bound is near, so that what is finished must be told soon.
         self.is_near = False
@@ -95,20 +95,20 @@
         job_id: JobId,
         tokens: int,
         until_ms: float,
-    ) -> Reservation | NoRoom | PlatformFailure:
+    ) -> BacklogReservation | BacklogFull | PlatformFailure:
         """Count a job's tokens before it is accepted.
 
         :param config_version: of the configuration that the route is of.
         :returns: a failure where the store did not tell; the job must not be accepted then.
         """
         if self._count.has(job_id):
-            return Reservation.NOT_NEEDED
+            return BacklogReservation.NOT_NEEDED
         if not self._lock.locked() and self._fits_share(config_version, tokens):
             self._add(job_id, tokens)
             if not self._fits_share(config_version, tokens):
                 # The next one is to find room without waiting for the store.
                 self._look_again()
-            return Reservation.DONE
+            return BacklogReservation.DONE
         with self._lock:
             return self._reserve_by_store(route, config_version, job_id, tokens, until_ms)
 
@@ -154,11 +154,11 @@
             if isinstance(read, PlatformFailure) or self._is_leaving:
                 return
             used = self._count.used()
-            self._rate.note_used(used)
+            self._rate.record_used(used)
             others = self._seen.others(read, route.name)
             bound = self._bound(route)
             self.is_near = bound.is_near(others.used + used)
-            self._rate.note_others(others.left, self._context.now_ms())
+            self._rate.record_peer_usage(others.left, self._context.now_ms())
             held = bound.share_for(used, others)
             is_within = bound.is_within(held, others)
             share = self._share(held, used, config_version if is_within else NO_CONFIGURATION)
@@ -174,13 +174,13 @@
         job_id: JobId,
         tokens: int,
         until_ms: float,
-    ) -> Reservation | NoRoom | PlatformFailure:
+    ) -> BacklogReservation | BacklogFull | PlatformFailure:
         bound = self._bound(route)
         is_fresh = False
         while not self._is_leaving:
             if self._fits_share(config_version, tokens):
                 self._add(job_id, tokens)
-                return Reservation.DONE
+                return BacklogReservation.DONE
             read = self._read(route, is_fresh=is_fresh)
             if isinstance(read, PlatformFailure):
                 return read
@@ -188,15 +188,15 @@
             others = self._seen.others(read, route.name)
             self.is_near = bound.is_near(others.used + used)
             decided = bound.decide(used, tokens, others, self._rate.tokens_per_s)
-            if isinstance(decided, NoRoom):
+            if isinstance(decided, BacklogFull):
                 self._log_no_room(route, job_id, tokens, used, others, decided)
                 return decided
             self._add(job_id, tokens)
             share = self._share(decided.held, used + tokens, config_version)
             answer = self._own.grow(read, share)
             if isinstance(answer, PartCommitted):
-                return Reservation.DONE
-            self._take_back(job_id, tokens)
+                return BacklogReservation.DONE
+            self._undo_reservation(job_id, tokens)
             if isinstance(answer, PlatformFailure):
                 self._look_again()
                 return answer
@@ -215,17 +215,17 @@
 
     def _is_share_right(self, route: Route, config_version: ConfigVersion) -> bool:
         share = self._own.share
-        if share is None or not self._own.is_certain_under(config_version):
+        if share is None or not self._own.is_certain_at_version(config_version):
             return False
-        return self._bound(route).is_spare_right(share.held, 0)
+        return self._bound(route).is_headroom_sufficient(share.held, 0)
 
     def _add(self, job_id: JobId, tokens: int) -> None:
         self._count.add(job_id, tokens)
-        self._rate.note_accepted(tokens)
+        self._rate.record_accepted(tokens)
 
-    def _take_back(self, job_id: JobId, tokens: int) -> None:
+    def _undo_reservation(self, job_id: JobId, tokens: int) -> None:
         self._count.remove(job_id)
-        self._rate.note_accepted(-tokens)
+        self._rate.record_accepted(-tokens)
 
     def _read(self, route: Route, *, is_fresh: bool = False) -> SharesRead | PlatformFailure:
         if is_fresh:
@@ -239,9 +239,9 @@
         self._own.take_read(read)
         return read
 
-    def _bound(self, route: Route) -> WaitingBound:
+    def _bound(self, route: Route) -> BacklogLimit:
         instances_count = len(list(self._facts.lives())) + 1
-        return WaitingBound(route.waiting_tokens_limit, self._overshoot, instances_count)
+        return BacklogLimit(route.waiting_tokens_limit, self._overshoot, instances_count)
 
     def _share(self, held: int, used: int, config_version: ConfigVersion) -> TokenShare:
         return TokenShare(
@@ -253,11 +253,11 @@
             self._count.finished(),
         )
 
-    def _is_to_be_written(self, bound: WaitingBound, share: TokenShare) -> bool:
+    def _is_to_be_written(self, bound: BacklogLimit, share: TokenShare) -> bool:
         own = self._own.share
-        if own is None or not self._own.is_certain_under(share.config_version):
+        if own is None or not self._own.is_certain_at_version(share.config_version):
             return True
-        is_right = bound.is_spare_right(own.held, share.used) or own.held == share.held
+        is_right = bound.is_headroom_sufficient(own.held, share.used) or own.held == share.held
         off = max(abs(own.used - share.used), abs(own.finished - share.finished))
         return not is_right or off > (0 if self.is_near else share.held - share.used)
 
@@ -267,8 +267,8 @@
         job_id: JobId,
         tokens: int,
         used: int,
-        others: OtherShares,
-        no_room: NoRoom,
+        others: PeerShares,
+        no_room: BacklogFull,
     ) -> None:
         log.info(
             'tokens.no_room',
--- a/citrondyke/gateway/jobs/token_shares.py
+++ b/citrondyke/gateway/jobs/token_shares.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from citrondyke.decisions.batch.waiting_bound import TokenShare
+from citrondyke.decisions.batch.backlog_limit import TokenShare
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
-from citrondyke.gateway.beliefs.unreadable_rows import UnreadableRows
+from citrondyke.gateway.replication.unreadable_rows import UnreadableRows
 from citrondyke.storage.failure import PlatformFailure
 from citrondyke.storage.partitioned_table import (
     IMPOSSIBLE_VERSION,
--- a/citrondyke/gateway/metrics.py
+++ b/citrondyke/gateway/metrics.py
@@ -52,7 +52,7 @@
         """Show a value that is read when asked for."""
         self._gauges.append((name, read))
 
-    def note_request(self, route: str, end: str, first_ms: float, took_ms: float) -> None:
+    def record_request(self, route: str, end: str, first_ms: float, took_ms: float) -> None:
         """Count a request that ended."""
         name = route if route in self._first or len(self._first) < ROUTES_LIMIT else OTHER
         self._ends[name, end] += 1
--- a/citrondyke/gateway/operator_state.py
+++ b/citrondyke/gateway/operator_state.py
@@ -9,9 +9,9 @@
 from citrondyke.operator.account_report import AccountState, InstanceState, SuspectState
 
 if TYPE_CHECKING:
-    from citrondyke.decisions.accounts.steward_limits import StewardLimits
-    from citrondyke.decisions.crashes.suspect_book import SuspectBook
-    from citrondyke.decisions.forwarding.config_holder import ConfigHolder
+    from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
+    from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry
+    from citrondyke.decisions.forwarding.current_config import CurrentConfig
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.ids import InstanceId
 
@@ -24,9 +24,9 @@
     def __init__(
         self,
         instance_id: InstanceId,
-        config: ConfigHolder,
+        config: CurrentConfig,
         limits: StewardLimits,
-        suspects: SuspectBook,
+        suspects: SuspectRegistry,
         metrics: Metrics,
     ) -> None:
         """Use the parts handed in."""
--- a/citrondyke/gateway/outside.py
+++ b/citrondyke/gateway/outside.py
@@ -9,17 +9,17 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from citrondyke.gateway.beliefs.beliefs import RowDecoder
     from citrondyke.gateway.dialect import Dialect
+    from citrondyke.gateway.replication.replicated_state import RowDecoder
     from citrondyke.gateway.settings import Address
     from citrondyke.gateway.store_traffic import StoreTraffic
     from citrondyke.storage.object_store import ObjectStore
     from citrondyke.storage.partitioned_table import PartitionedTable
 
-__all__ = ('Outside',)
+__all__ = ('Environment',)
 
 
-class Outside(msgspec.Struct, frozen=True):
+class Environment(msgspec.Struct, frozen=True):
     """The store, the rows that others write there, and what callers and servers speak."""
 
     table: PartitionedTable
--- a/citrondyke/gateway/peers/config_cover.py
+++ b/citrondyke/gateway/peers/config_read_delegation.py
@@ -6,17 +6,17 @@
 
 import gevent
 
-from citrondyke.gateway.beliefs.cover import Cover
+from citrondyke.gateway.replication.read_delegation import ReadDelegation
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ('ConfigCover',)
+__all__ = ('ConfigReadDelegation',)
 
 LOOK_MS = 20.0
 
 
-class ConfigCover(Cover):
+class ConfigReadDelegation(ReadDelegation):
     """Only at a start: a change of the configuration is read by everybody at once."""
 
     def __init__(
@@ -37,11 +37,11 @@
         return False
 
     @property
-    def reads_for_others(self) -> bool:
+    def is_delegate_reader(self) -> bool:
         """Tell that nobody relies on it."""
         return False
 
-    def hold_first_read(self) -> None:
+    def delay_first_read(self) -> None:
         """Wait for the readers as long as the list of servers waits for them."""
         if not self._wait_for_decision():
             return
--- a/citrondyke/gateway/peers/evidence_exchange.py
+++ b/citrondyke/gateway/peers/evidence_exchange.py
@@ -13,7 +13,7 @@
     from collections.abc import Callable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.server_book import ServerBook
+    from citrondyke.decisions.forwarding.server_registry import ServerRegistry
     from citrondyke.decisions.forwarding.server_state import ServerState
     from citrondyke.gateway.peers.peer_codec import PeerText
     from citrondyke.gateway.tasks import Tasks
@@ -28,7 +28,7 @@
 class EvidenceExchange:
     """Carries results between this instance's view of the servers and its peers."""
 
-    def __init__(self, context: Context, book: ServerBook) -> None:
+    def __init__(self, context: Context, book: ServerRegistry) -> None:
         """Start with nothing to tell."""
         self._book = book
         self._notices = EvidenceNotices(context, book)
@@ -41,7 +41,7 @@
         """
         tasks.keep(lambda: self._run(send))
 
-    def note_outcome(self, state: ServerState) -> None:
+    def record_outcome(self, state: ServerState) -> None:
         """Have peers told of a server where there is something new."""
         if state.record.has_news:
             self._has_news.set()
--- a/citrondyke/gateway/peers/load_exchange.py
+++ b/citrondyke/gateway/peers/load_exchange.py
@@ -13,7 +13,7 @@
     from collections.abc import Callable
 
     from citrondyke.decisions.forwarding.load_notices import LoadNotices
-    from citrondyke.decisions.forwarding.neighbours import Neighbours
+    from citrondyke.decisions.forwarding.peer_topology import PeerTopology
     from citrondyke.gateway.peers.peer_codec import PeerText
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.ids import InstanceId
@@ -30,7 +30,7 @@
     """Carries counts between this instance's view of the servers and its peers."""
 
     def __init__(
-        self, notices: LoadNotices, neighbours: Neighbours, on_loads: Callable[[], None]
+        self, notices: LoadNotices, neighbours: PeerTopology, on_loads: Callable[[], None]
     ) -> None:
         """Use the decisions handed in.
 
@@ -57,7 +57,7 @@
         if isinstance(text, LoadNotice):
             self._notices.note(sender, text.loads)
         else:
-            self._notices.note_totals(text.loads)
+            self._notices.record_totals(text.loads)
         self._on_loads()
 
     def _run(self, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
--- a/citrondyke/gateway/peers/membership.py
+++ b/citrondyke/gateway/peers/membership.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
-from citrondyke.gateway.beliefs.unreadable_rows import UnreadableRows
+from citrondyke.gateway.replication.unreadable_rows import UnreadableRows
 from citrondyke.ids import AvailabilityZone, InstanceId
 from citrondyke.storage.failure import PlatformFailure
 from citrondyke.storage.partitioned_table import (
@@ -25,7 +25,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from citrondyke.decisions.batch.takeover import LiveInstances
+    from citrondyke.decisions.batch.takeover import InstanceLiveness
     from citrondyke.decisions.core.context import Context
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.storage.partitioned_table import PartitionedTable, PartRow
@@ -36,11 +36,11 @@
 
 INSTANCES_TABLE = 'instances'
 #: A third of the silence after which an instance is taken for gone.
-BEAT_EVERY_MS = 900.0
+HEARTBEAT_EVERY_MS = 900.0
 #: Silence after which a peer is not sent anything any more: longer than a machine is frozen.
-GONE_MS = 8_000.0
+DEAD_AFTER_MS = 8_000.0
 #: Silence after which its row is taken away.
-ROW_GONE_MS = 60_000.0
+ROW_EXPIRY_MS = 60_000.0
 
 
 #: Peers are called by IP; anything else would be looked up as a name.
@@ -69,7 +69,7 @@
         life: str,
         address: tuple[str, int],
         table: PartitionedTable,
-        live: LiveInstances,
+        live: InstanceLiveness,
     ) -> None:
         """Use the parts handed in.
 
@@ -122,7 +122,7 @@
         """Take in a read of the whole table."""
         self.on_rows(rows)
         self._note_known()
-        self._live.note_look()
+        self._live.record_poll()
         self._drop_silent({row.key: row.version for row in rows})
 
     def _drop_silent(self, versions: dict[str, int]) -> None:
@@ -131,13 +131,13 @@
         A machine that was removed for good leaves its row behind. Calls that go by way of a peer
         would try it each time and wait for a connection that never comes.
         """
-        for instance_id in self._live.silent(GONE_MS):
+        for instance_id in self._live.silent(DEAD_AFTER_MS):
             if self.peers.pop(instance_id, None) is not None:
-                log.info('peer.gone', extra={'peer': instance_id, 'silent_ms': GONE_MS})
+                log.info('peer.gone', extra={'peer': instance_id, 'silent_ms': DEAD_AFTER_MS})
         names = self._live.names()
         if names[0] != self._context.instance_id:
             return
-        for instance_id in self._live.silent(ROW_GONE_MS):
+        for instance_id in self._live.silent(ROW_EXPIRY_MS):
             version = versions.get(instance_id)
             if version is None:
                 self._live.note_gone(instance_id)
@@ -202,7 +202,7 @@
             put = RowPut(INSTANCES_TABLE, self._context.instance_id, value)
             answer = self._table.transact(PartTransaction('', puts=(put,)))
             if isinstance(answer, PartCommitted):
-                self._live.note_beat()
+                self._live.record_heartbeat()
             elif isinstance(answer, PlatformFailure):
                 log.info('heartbeat.failed', extra={'reason': answer.reason.value})
-            gevent.sleep(self._context.jittered_ms(BEAT_EVERY_MS * self._live.pace) / 1e3)
+            gevent.sleep(self._context.jittered_ms(HEARTBEAT_EVERY_MS * self._live.pace) / 1e3)
--- a/citrondyke/gateway/peers/need_codec.py
+++ b/citrondyke/gateway/peers/need_codec.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.decisions.batch.batch_need import Prospect, ToldNeed
+from citrondyke.decisions.batch.batch_demand import CompletionLikelihood, DemandNotice
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.util.decoding import decode_msgpack
 
@@ -16,22 +16,22 @@
 COUNT_LIMIT = 1_000_000
 
 
-def pack_needs(needs: list[ToldNeed]) -> bytes:
+def pack_needs(needs: list[DemandNotice]) -> bytes:
     """Encode needs."""
     return msgspec.msgpack.encode(needs)
 
 
-def unpack_needs(data: bytes) -> list[ToldNeed]:
+def unpack_needs(data: bytes) -> list[DemandNotice]:
     """Decode needs.
 
     :raises ValueError: when the bytes are none, or say what cannot be.
     """
     try:
-        needs = decode_msgpack(data, list[ToldNeed])
+        needs = decode_msgpack(data, list[DemandNotice])
     except UnreadableBytesError as error:
         raise ValueError(error.message) from error
     for need in needs:
-        Prospect(need.prospect)
+        CompletionLikelihood(need.prospect)
         if not 0 <= need.waiting_count <= COUNT_LIMIT or not math.isfinite(need.start_in_ms):
             raise ValueError(f'a need of {need.waiting_count} items in {need.start_in_ms} ms')
     return needs
--- a/citrondyke/gateway/peers/peer_codec.py
+++ b/citrondyke/gateway/peers/peer_codec.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from citrondyke.decisions.accounts.limit_messages import LimitMessage
-from citrondyke.decisions.batch.batch_need import ToldNeed
+from citrondyke.decisions.batch.batch_demand import DemandNotice
 from citrondyke.decisions.crashes.content import RequestContent
-from citrondyke.decisions.crashes.news_queue import NewsKind, SuspectNews
+from citrondyke.decisions.crashes.suspect_update_queue import SuspectNews, SuspectUpdateKind
 from citrondyke.decisions.forwarding.load_notices import ServerLoad
-from citrondyke.decisions.knowledge.list_position import ListPosition
+from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
 from citrondyke.decisions.servers.server_evidence import ServerEvidence
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.gateway.peers.evidence_codec import pack_evidence, unpack_evidence
@@ -84,7 +84,7 @@
 class BatchNeeds(PeerText, frozen=True):
     """Batch items that wait at the sender; none where the list is empty."""
 
-    needs: list[ToldNeed]
+    needs: list[DemandNotice]
 
 
 class JobChanged(PeerText, frozen=True):
@@ -137,14 +137,14 @@
 class ListTold(PeerText, frozen=True):
     """How far a reader knows the list of servers; over a stream, how far who asks has heard it."""
 
-    position: ListPosition
+    position: ServerListCursor
 
 
 class ListOffered(PeerText, frozen=True):
     """Rows of that list, encoded, and how far the reader is."""
 
     data: bytes
-    position: ListPosition
+    position: ServerListCursor
 
 
 class PeerMessage(msgspec.Struct, frozen=True):
@@ -236,7 +236,7 @@
 
 def _unpack_suspects(data: bytes) -> list[SuspectNews]:
     return [
-        SuspectNews(RequestContent(ContentDigest(digest.hex()), target), NewsKind(kind))
+        SuspectNews(RequestContent(ContentDigest(digest.hex()), target), SuspectUpdateKind(kind))
         for digest, target, kind in _SUSPECT.iter_unpack(data)
     ]
 
@@ -282,6 +282,8 @@
     'storeCall': lambda read: StoreCallData(bytes(read.storeCall)),
     'storeAnswer': lambda read: StoreAnswerData(bytes(read.storeAnswer)),
     'knowledge': lambda read: KnowledgeData(bytes(read.knowledge)),
-    'listPosition': lambda read: ListTold(decode_msgpack(bytes(read.listPosition), ListPosition)),
+    'listPosition': lambda read: ListTold(
+        decode_msgpack(bytes(read.listPosition), ServerListCursor)
+    ),
     'knowledgeOffered': lambda read: decode_msgpack(bytes(read.knowledgeOffered), ListOffered),
 }
--- a/citrondyke/gateway/peers/peers.py
+++ b/citrondyke/gateway/peers/peers.py
@@ -12,8 +12,6 @@
 from gevent.socket import wait_read
 
 from citrondyke.errors.broken_reply import BrokenReplyError
-from citrondyke.gateway.peers.knowledge_exchange import ASK_AFTER_MS, KnowledgeExchange
-from citrondyke.gateway.peers.list_readers import ListReaders
 from citrondyke.gateway.peers.peer_codec import (
     BatchNeeds,
     CrashNews,
@@ -32,6 +30,8 @@
     encode_message,
 )
 from citrondyke.gateway.peers.relayed_table import StoreAnswer, StoreCall, perform
+from citrondyke.gateway.peers.server_list_readers import ServerListReaders
+from citrondyke.gateway.peers.store_state_exchange import ASK_AFTER_MS, StoreStateExchange
 from citrondyke.gateway.sockets import connect, tune
 from citrondyke.ids import InstanceId
 from citrondyke.storage.failure import PlatformFailureReason
@@ -41,14 +41,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from citrondyke.decisions.batch.takeover import LiveInstances
+    from citrondyke.decisions.batch.takeover import InstanceLiveness
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.crashes.suspect_book import SuspectBook
-    from citrondyke.gateway.beliefs.beliefs import Beliefs
-    from citrondyke.gateway.beliefs.dependency import Dependency
+    from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.gateway.peers.membership import Membership
     from citrondyke.gateway.peers.peer_traffic import PeerTraffic
+    from citrondyke.gateway.replication.dependency import Dependency
+    from citrondyke.gateway.replication.replicated_state import ReplicatedState
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.ids import AvailabilityZone, JobId
     from citrondyke.storage.partitioned_table import PartitionedTable
@@ -76,9 +76,9 @@
         port: int,
         seed_ips: tuple[str, ...],
         membership: Membership,
-        beliefs: Beliefs,
+        beliefs: ReplicatedState,
         store: Dependency,
-        suspects: SuspectBook,
+        suspects: SuspectRegistry,
         on_loads: Callable[[InstanceId, LoadNotice | LoadTotals], None],
         on_job: Callable[[JobId], None],
         on_crash: Callable[[CrashNews], None],
@@ -86,7 +86,7 @@
         on_evidence: Callable[[InstanceId, EvidenceNews], None],
         table: PartitionedTable,
         traffic: PeerTraffic,
-        live: LiveInstances,
+        live: InstanceLiveness,
         metrics: Metrics,
         pace: Callable[[], float],
         gather_ms: Callable[[], float],
@@ -122,7 +122,7 @@
         self._streams: StreamServer | None = None
         self._datagrams: socket.socket | None = None
         self._receiver: socket.socket | None = None
-        self.knowledge = KnowledgeExchange(
+        self.knowledge = StoreStateExchange(
             context,
             lambda: self.seed_ips,
             membership,
@@ -135,7 +135,7 @@
             tasks,
         )
         self._traffic = traffic
-        self.list_readers = ListReaders(
+        self.list_readers = ServerListReaders(
             context, membership, live, beliefs, metrics, self.send, self._exchange, tasks
         )
 
@@ -182,7 +182,7 @@
                 log.info('peer.silent', extra={'ip': beat.ip, 'detail': str(error)[:200]})
         return StoreAnswer(failure=failure)
 
-    def tell_job_changed(self, job_id: JobId, owner: InstanceId) -> None:
+    def notify_job_changed(self, job_id: JobId, owner: InstanceId) -> None:
         """Tell a job's owner that its head changed; it would find out itself in a second."""
         self.send(JobChanged(job_id), [owner])
 
@@ -244,7 +244,7 @@
         except ValueError as error:
             log.info('peer.unreadable', extra={'ip': address[0], 'detail': str(error)})
             return
-        self.knowledge.note_version(message.config_version, address[0])
+        self.knowledge.record_version(message.config_version, address[0])
         text = message.text
         if isinstance(text, LoadNotice | LoadTotals):
             self._on_loads(message.sender, text)
--- a/citrondyke/gateway/peers/relayed_table.py
+++ b/citrondyke/gateway/peers/relayed_table.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from citrondyke.gateway.beliefs.dependency import Dependency
+    from citrondyke.gateway.replication.dependency import Dependency
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.util.clock import Clock
 
@@ -49,9 +49,9 @@
 HEDGE_FACTOR = 3.0
 USUAL_SHARE = 0.2
 #: After a direct call has failed, calls go to a peer first for so long.
-DETOUR_MS = 400.0
+RELAY_TIMEOUT_MS = 400.0
 #: A detour that begins within this time of the last one's end is the same trouble.
-QUIET_MS = 3_000.0
+UNRESPONSIVE_MS = 3_000.0
 
 
 class TransactCall(msgspec.Struct, frozen=True, tag='transact'):
@@ -196,9 +196,9 @@
         answer = perform(self._direct, call)
         now_ms = self._clock.now_ms()
         if answer.failure is not None and _may_be_answered_elsewhere(answer):
-            if now_ms >= self._detour_until_ms + QUIET_MS:
+            if now_ms >= self._detour_until_ms + UNRESPONSIVE_MS:
                 log.info('store.detour', extra={'reason': answer.failure.value})
-            self._detour_until_ms = now_ms + DETOUR_MS
+            self._detour_until_ms = now_ms + RELAY_TIMEOUT_MS
             self._store.note_failure(f'call: {answer.failure.value}')
         else:
             self._store.note_answer()
--- a/citrondyke/gateway/peers/list_teller.py
+++ b/citrondyke/gateway/peers/server_list_publisher.py
@@ -9,8 +9,8 @@
 import logbook
 from gevent.event import Event
 
-from citrondyke.decisions.knowledge.list_offer import ListOffer
-from citrondyke.decisions.knowledge.list_position import ListPosition
+from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
+from citrondyke.decisions.server_list.server_list_delta import ServerListDelta
 from citrondyke.gateway.peers.list_codec import encode_offer
 from citrondyke.gateway.peers.peer_codec import ListOffered, ListTold
 
@@ -18,14 +18,14 @@
     from collections.abc import Callable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.gateway.beliefs.beliefs import Beliefs
-    from citrondyke.gateway.beliefs.table_follower import TableFollower
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.gateway.peers.peer_codec import PeerText
+    from citrondyke.gateway.replication.replicated_state import ReplicatedState
+    from citrondyke.gateway.replication.table_follower import TableFollower
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.ids import ConfigVersion, InstanceId
 
-__all__ = ('ListTeller',)
+__all__ = ('ServerListPublisher',)
 
 log = logbook.Logger(__name__)
 
@@ -39,13 +39,13 @@
 KEPT_ANSWERS = 6
 
 
-class ListTeller:
+class ServerListPublisher:
     """Silent unless this instance is a reader."""
 
     def __init__(
         self,
         context: Context,
-        beliefs: Beliefs,
+        beliefs: ReplicatedState,
         metrics: Metrics,
         send: Callable[[PeerText, list[InstanceId]], None],
         audience: Callable[[], list[InstanceId]],
@@ -85,7 +85,7 @@
         self._follower = follower
         self._tasks.keep(self._run)
 
-    def be_reader(self, *, is_reader: bool) -> None:
+    def become_reader(self, *, is_reader: bool) -> None:
         """Take in whether this instance is a reader."""
         if is_reader == self._is_reader:
             return
@@ -99,12 +99,12 @@
         if self._is_reader and self._beliefs.list_revision != self._told:
             self._woken.set()
 
-    def position(self) -> ListPosition:
+    def position(self) -> ServerListCursor:
         """Give how far the list is known here."""
         follower, config = self._follower, self._config_follower
         if follower is None or config is None:
-            return ListPosition(self._life, 0)
-        return ListPosition(
+            return ServerListCursor(self._life, 0)
+        return ServerListCursor(
             self._life,
             self._beliefs.list_revision,
             self._beliefs.list_digest,
@@ -116,7 +116,7 @@
             config.size_bytes,
         )
 
-    def answer(self, asked: ListPosition, config_version: ConfigVersion) -> ListOffered:
+    def answer(self, asked: ServerListCursor, config_version: ConfigVersion) -> ListOffered:
         """Give what who asks lacks.
 
         :param asked: what it has heard of this instance.
@@ -135,7 +135,7 @@
         self._metrics.counters['list_answers'] += 1
         return ListOffered(kept, self.position())
 
-    def _offer(self, since: int, *, with_config: bool) -> ListOffer:
+    def _offer(self, since: int, *, with_config: bool) -> ServerListDelta:
         config = self._beliefs.config
         changes = None if since < 0 else self._beliefs.servers_since(since)
         listing_version = None
@@ -145,7 +145,7 @@
             since = 0
             # A list that was not read whole says of no server that it is gone.
             listing_version = version or None
-        return ListOffer(
+        return ServerListDelta(
             self._life,
             since,
             self._beliefs.list_revision,
--- a/citrondyke/gateway/peers/list_readers.py
+++ b/citrondyke/gateway/peers/server_list_readers.py
@@ -8,19 +8,17 @@
 import logbook
 from gevent.event import Event
 
-from citrondyke.decisions.knowledge.reader_rule import ReaderRule
-from citrondyke.gateway.beliefs.cover import Cover
-from citrondyke.gateway.peers.config_cover import ConfigCover
-from citrondyke.gateway.peers.list_listener import ListListener
-from citrondyke.gateway.peers.list_teller import ListTeller
+from citrondyke.decisions.server_list.reader_election import ReaderElection
+from citrondyke.gateway.peers.config_read_delegation import ConfigReadDelegation
+from citrondyke.gateway.peers.server_list_publisher import ServerListPublisher
+from citrondyke.gateway.peers.server_list_subscriber import ServerListSubscriber
+from citrondyke.gateway.replication.read_delegation import ReadDelegation
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from citrondyke.decisions.batch.takeover import LiveInstances
+    from citrondyke.decisions.batch.takeover import InstanceLiveness
     from citrondyke.decisions.core.context import Context
-    from citrondyke.gateway.beliefs.beliefs import Beliefs
-    from citrondyke.gateway.beliefs.table_follower import TableFollower
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.gateway.peers.membership import Membership
     from citrondyke.gateway.peers.peer_codec import (
@@ -29,10 +27,12 @@
         PeerMessage,
         PeerText,
     )
+    from citrondyke.gateway.replication.replicated_state import ReplicatedState
+    from citrondyke.gateway.replication.table_follower import TableFollower
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.ids import ConfigVersion, InstanceId
 
-__all__ = ('ListReaders',)
+__all__ = ('ServerListReaders',)
 
 log = logbook.Logger(__name__)
 
@@ -55,15 +55,15 @@
 SILENT_MS = 3_000.0
 
 
-class ListReaders(Cover):
+class ServerListReaders(ReadDelegation):
     """Decides by itself whether this instance reads, tells, or listens."""
 
     def __init__(
         self,
         context: Context,
         membership: Membership,
-        live: LiveInstances,
-        beliefs: Beliefs,
+        live: InstanceLiveness,
+        beliefs: ReplicatedState,
         metrics: Metrics,
         send: Callable[[PeerText, list[InstanceId]], None],
         exchange: Callable[[str, PeerText], PeerMessage],
@@ -79,16 +79,16 @@
         self._live = live
         self._beliefs = beliefs
         self._tasks = tasks
-        self._rule = ReaderRule(context)
+        self._rule = ReaderElection(context)
         self._follower: TableFollower | None = None
         self._config_follower: TableFollower | None = None
         self._decided = Event()
         #: Whether the first read is left to the readers of the zone at this moment.
         self.is_holding = False
-        self.config_cover = ConfigCover(self._wait_decided, self._is_config_awaited)
-        self._teller = ListTeller(context, beliefs, metrics, send, self._audience, tasks)
-        self._listener = ListListener(context, beliefs, metrics, exchange, tasks)
-        beliefs.when_settled(self._teller.note_change)
+        self.config_cover = ConfigReadDelegation(self._wait_decided, self._is_config_awaited)
+        self._teller = ServerListPublisher(context, beliefs, metrics, send, self._audience, tasks)
+        self._listener = ServerListSubscriber(context, beliefs, metrics, exchange, tasks)
+        beliefs.on_settled(self._teller.note_change)
         for name, read in (
             ('list_is_reader', lambda: float(self._teller.is_reader)),
             ('list_is_covered', lambda: float(self.is_covered)),
@@ -113,13 +113,13 @@
         return self._listener.watch.is_covered and not self._teller.is_reader
 
     @property
-    def reads_for_others(self) -> bool:
+    def is_delegate_reader(self) -> bool:
         """Tell whether this instance is a reader."""
         return self._teller.is_reader
 
     def look(self) -> None:
         """Judge anew whether this instance is a reader."""
-        self._teller.be_reader(is_reader=self._context.instance_id in self._readers())
+        self._teller.become_reader(is_reader=self._context.instance_id in self._readers())
         self._listener.look()
         if self._follower is not None and self._beliefs.has_servers:
             self._membership.list_bytes = self._list_bytes()
@@ -133,7 +133,7 @@
         """Give what who asks lacks."""
         return self._teller.answer(asked.position, config_version)
 
-    def hold_first_read(self) -> None:
+    def delay_first_read(self) -> None:
         """Leave the first read to the readers of the zone, for a bounded time.
 
         After a loss of all, all instances would read the whole list within the same second, more
@@ -148,7 +148,7 @@
         until_ms = self._context.now_ms() + HOLD_MS + self._context.random.random() * span_ms
         log.info('list.first_read_held', extra={'list_bytes': list_bytes})
         try:
-            while self._is_lacking and self._context.now_ms() < until_ms:
+            while self._is_missing_rows and self._context.now_ms() < until_ms:
                 self._ask_readers()
                 self.look()
                 if self._teller.is_reader:
@@ -171,7 +171,7 @@
         return self.is_holding
 
     @property
-    def _is_lacking(self) -> bool:
+    def _is_missing_rows(self) -> bool:
         return not self.is_covered or self._is_config_awaited()
 
     def _is_config_awaited(self) -> bool:
--- a/citrondyke/gateway/peers/list_listener.py
+++ b/citrondyke/gateway/peers/server_list_subscriber.py
@@ -6,7 +6,7 @@
 
 import logbook
 
-from citrondyke.decisions.knowledge.reader_watch import Lack, ReaderWatch
+from citrondyke.decisions.server_list.reader_lease_tracker import MissingRows, ReaderLeaseTracker
 from citrondyke.errors.broken_reply import BrokenReplyError
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.gateway.peers.list_codec import decode_offer
@@ -16,27 +16,27 @@
     from collections.abc import Callable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.knowledge.list_offer import ListOffer
-    from citrondyke.decisions.knowledge.list_position import ListPosition
-    from citrondyke.gateway.beliefs.beliefs import Beliefs
-    from citrondyke.gateway.beliefs.table_follower import TableFollower
+    from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
+    from citrondyke.decisions.server_list.server_list_delta import ServerListDelta
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.gateway.peers.peer_codec import PeerMessage, PeerText
+    from citrondyke.gateway.replication.replicated_state import ReplicatedState
+    from citrondyke.gateway.replication.table_follower import TableFollower
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.ids import InstanceId
 
-__all__ = ('ListListener',)
+__all__ = ('ServerListSubscriber',)
 
 log = logbook.Logger(__name__)
 
 
-class ListListener:
+class ServerListSubscriber:
     """Takes in what readers tell, and asks them for what is missing."""
 
     def __init__(
         self,
         context: Context,
-        beliefs: Beliefs,
+        beliefs: ReplicatedState,
         metrics: Metrics,
         exchange: Callable[[str, PeerText], PeerMessage],
         tasks: Tasks,
@@ -45,7 +45,7 @@
 
         :param exchange: asks the instance with an IP over a stream.
         """
-        self.watch = ReaderWatch(context)
+        self.watch = ReaderLeaseTracker(context)
         self._beliefs = beliefs
         self._metrics = metrics
         self._exchange = exchange
@@ -74,7 +74,7 @@
                 log.warning('list.unreadable', extra={'ip': ip, 'detail': error.message})
                 return
         lack = self._note(sender, text.position)
-        if lack is not Lack.NOTHING and not self._is_asking:
+        if lack is not MissingRows.NOTHING and not self._is_asking:
             self._is_asking = True
             self._tasks.spawn(self.ask, sender, ip)
 
@@ -129,7 +129,7 @@
             extra={'reader': self.watch.source, 'is_heard': self.watch.has_reader},
         )
 
-    def _take_offer(self, reader: InstanceId, offer: ListOffer) -> None:
+    def _take_offer(self, reader: InstanceId, offer: ServerListDelta) -> None:
         if offer.table is not None:
             self._beliefs.offer_table(offer.table, f'reader {reader}')
         whole_version = offer.listing_version
@@ -137,16 +137,20 @@
             self._beliefs.take_servers(
                 offer.rows, whole_version or 0, is_whole=whole_version is not None
             )
-        self.watch.note_changes(reader, offer.life, offer.since, offer.number)
+        self.watch.record_changes(reader, offer.life, offer.since, offer.number)
 
-    def _adopt_config(self, told: ListPosition) -> None:
+    def _adopt_config(self, told: ServerListCursor) -> None:
         """Spare the first read of the configuration: the reader's is in force here too."""
         config = self._config_follower
         if config is not None and not config.has_read_all and told.config_store_version:
             config.adopt(told.config_store_version, told.config_bytes)
 
-    def _note(self, reader: InstanceId, told: ListPosition) -> Lack:
-        lack = self.watch.note_position(reader, told, self._beliefs.list_digest)
-        if lack is Lack.NOTHING and self.watch.is_level(reader) and self._follower is not None:
+    def _note(self, reader: InstanceId, told: ServerListCursor) -> MissingRows:
+        lack = self.watch.record_cursor(reader, told, self._beliefs.list_digest)
+        if (
+            lack is MissingRows.NOTHING
+            and self.watch.is_level(reader)
+            and self._follower is not None
+        ):
             self._follower.adopt(told.store_version, told.size_bytes)
         return lack
--- a/citrondyke/gateway/peers/knowledge_exchange.py
+++ b/citrondyke/gateway/peers/store_state_exchange.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from citrondyke.decisions.crashes.suspect import SuspectRow
-from citrondyke.decisions.forwarding.listed_backend import ListedBackend
-from citrondyke.decisions.forwarding.listed_rows import SeenRow
+from citrondyke.decisions.forwarding.replicated_rows import ObservedRow
 from citrondyke.decisions.forwarding.route_table import RouteTable
+from citrondyke.decisions.forwarding.server_list_entry import ServerListEntry
 from citrondyke.errors.broken_reply import BrokenReplyError
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.gateway.peers.list_codec import compress_large, expand
@@ -29,13 +29,13 @@
     from collections.abc import Callable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.crashes.suspect_book import SuspectBook
-    from citrondyke.gateway.beliefs.beliefs import Beliefs
-    from citrondyke.gateway.beliefs.dependency import Dependency
+    from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry
     from citrondyke.gateway.peers.membership import Membership
+    from citrondyke.gateway.replication.dependency import Dependency
+    from citrondyke.gateway.replication.replicated_state import ReplicatedState
     from citrondyke.gateway.tasks import Tasks
 
-__all__ = ('ASK_AFTER_MS', 'Knowledge', 'KnowledgeExchange')
+__all__ = ('ASK_AFTER_MS', 'StoreState', 'StoreStateExchange')
 
 log = logbook.Logger(__name__)
 
@@ -50,7 +50,7 @@
 ASK_AFTER_MS = 700.0
 #: A peer with a newer configuration is asked for it after so long, if the store's feed has not
 #: brought it: it comes within 750 ms in the largest fleets, and thousands of routes are MB.
-BEHIND_MS = 1_000.0
+STALE_AFTER_MS = 1_000.0
 #: A peer that heard from the store within this time knows which servers are gone.
 WHOLE_MS = 1_500.0
 #: Smaller answers are sent as they are: they take few packets in any case.
@@ -59,7 +59,7 @@
 NEAR_SHARE = 0.7
 
 
-class Knowledge(msgspec.Struct, frozen=True):
+class StoreState(msgspec.Struct, frozen=True):
     """What an instance knows from the store."""
 
     #: As the operator wrote it, with the keys of accounts: only from instances of an earlier
@@ -67,7 +67,7 @@
     config: bytes
     #: Time since the store confirmed the configuration.
     config_age_ms: float
-    servers: list[SeenRow[ListedBackend]]
+    servers: list[ObservedRow[ServerListEntry]]
     servers_version: int
     #: Time since the store last answered.
     store_age_ms: float
@@ -81,7 +81,7 @@
     has_same_servers: bool = False
 
 
-class KnowledgeExchange:
+class StoreStateExchange:
     """Asks peers, and answers them."""
 
     def __init__(
@@ -89,9 +89,9 @@
         context: Context,
         seed_ips: Callable[[], tuple[str, ...]],
         membership: Membership,
-        beliefs: Beliefs,
+        beliefs: ReplicatedState,
         store: Dependency,
-        suspects: SuspectBook,
+        suspects: SuspectRegistry,
         exchange: Callable[[str, PeerText], PeerMessage],
         pace: Callable[[], float],
         is_served_elsewhere: Callable[[], bool],
@@ -120,12 +120,12 @@
         """Begin to ask when there is need."""
         self._tasks.keep(self._run)
 
-    def note_version(self, version: ConfigVersion, ip: str) -> None:
+    def record_version(self, version: ConfigVersion, ip: str) -> None:
         """Take in which configuration a peer has."""
-        self._beliefs.config.note_heard(version)
+        self._beliefs.config.record_peer_version(version)
         if version > self._beliefs.config.current.version and not self._is_asking:
             self._is_asking = True
-            self._tasks.spawn(self._ask_if_behind, version, ip)
+            self._tasks.spawn(self._request_if_stale, version, ip)
 
     def answer(self, wanted: KnowledgeWanted, asker_version: ConfigVersion) -> KnowledgeData:
         """Tell what this instance knows beyond the asking one."""
@@ -134,7 +134,7 @@
         has_same = self._beliefs.list_digest == wanted.list_digest != 0
         is_newer = config.current.version > asker_version
         peers = {**self._membership.peers, self._context.instance_id: self._membership.own_beat()}
-        knowledge = Knowledge(
+        knowledge = StoreState(
             b'',
             config.age_ms(self._context.now_ms()),
             [] if has_same else rows,
@@ -171,8 +171,8 @@
             return sorted(near)
         return sorted({*self._seed_ips(), *(beat.ip for beat in peers)})
 
-    def _ask_if_behind(self, version: ConfigVersion, ip: str) -> None:
-        gevent.sleep(self._context.jittered_ms(BEHIND_MS) / 1e3)
+    def _request_if_stale(self, version: ConfigVersion, ip: str) -> None:
+        gevent.sleep(self._context.jittered_ms(STALE_AFTER_MS) / 1e3)
         if version <= self._beliefs.config.current.version:
             self._is_asking = False
             return
@@ -185,14 +185,14 @@
         try:
             message = self._exchange(ip, wanted)
             if isinstance(message.text, KnowledgeData):
-                knowledge = decode_msgpack(expand(message.text.data), Knowledge)
+                knowledge = decode_msgpack(expand(message.text.data), StoreState)
                 self._take(ip, message.config_version, knowledge)
         except (BrokenReplyError, UnreadableBytesError, OSError, ValueError) as error:
             log.info('peer.silent', extra={'ip': ip, 'detail': str(error)[:200]})
         finally:
             self._is_asking = False
 
-    def _take(self, ip: str, version: ConfigVersion, knowledge: Knowledge) -> None:
+    def _take(self, ip: str, version: ConfigVersion, knowledge: StoreState) -> None:
         config = self._beliefs.config
         if knowledge.table is not None:
             self._beliefs.offer_table(knowledge.table, f'peer {ip}')
--- a/citrondyke/gateway/peers/suspect_teller.py
+++ b/citrondyke/gateway/peers/suspect_publisher.py
@@ -7,9 +7,13 @@
 import gevent
 from gevent.event import Event
 
-from citrondyke.decisions.crashes.news_queue import NewsKind, NewsQueue, SuspectNews
 from citrondyke.decisions.crashes.suspect import FRESH_WEIGHT
-from citrondyke.decisions.crashes.suspect_book import STORED_SCORE
+from citrondyke.decisions.crashes.suspect_registry import STORED_SCORE
+from citrondyke.decisions.crashes.suspect_update_queue import (
+    SuspectNews,
+    SuspectUpdateKind,
+    SuspectUpdateQueue,
+)
 from citrondyke.gateway.peers.peer_codec import CrashNews
 
 if TYPE_CHECKING:
@@ -17,23 +21,25 @@
 
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.crashes.content import RequestContent
-    from citrondyke.decisions.crashes.suspect_book import SuspectBook
-    from citrondyke.decisions.forwarding.neighbours import Neighbours
+    from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry
+    from citrondyke.decisions.forwarding.peer_topology import PeerTopology
     from citrondyke.gateway.peers.peer_codec import PeerText
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.ids import InstanceId
 
-__all__ = ('SuspectTeller',)
+__all__ = ('SuspectPublisher',)
 
 
-class SuspectTeller:
+class SuspectPublisher:
     """Sends news of suspects, a bounded number of messages a second."""
 
-    def __init__(self, context: Context, neighbours: Neighbours, suspects: SuspectBook) -> None:
+    def __init__(
+        self, context: Context, neighbours: PeerTopology, suspects: SuspectRegistry
+    ) -> None:
         """Start with nothing to tell."""
         self._neighbours = neighbours
         self._suspects = suspects
-        self._news = NewsQueue(context)
+        self._news = SuspectUpdateQueue(context)
         self._has_news = Event()
 
     def start(self, tasks: Tasks, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
@@ -53,26 +59,26 @@
         is_grave = self._suspects.score(content) >= STORED_SCORE
         return is_grave or not self._neighbours.is_zoned
 
-    def tell_end(self, server: int, content: RequestContent, *, is_fresh: bool) -> None:
+    def notify_end(self, server: int, content: RequestContent, *, is_fresh: bool) -> None:
         """Have peers told of a server's end under a request."""
-        kind = NewsKind.FRESH if is_fresh else NewsKind.BEGUN
+        kind = SuspectUpdateKind.FRESH if is_fresh else SuspectUpdateKind.BEGUN
         self._add(server, SuspectNews(content, kind), is_wide=self.is_known_to_all(content))
 
-    def tell_survived(self, content: RequestContent, *, is_wide: bool) -> None:
+    def notify_survived(self, content: RequestContent, *, is_wide: bool) -> None:
         """Have peers told of a whole answer.
 
         :param is_wide: whether all knew of the suspect before.
         """
-        self._add(0, SuspectNews(content, NewsKind.SURVIVED), is_wide=is_wide)
+        self._add(0, SuspectNews(content, SuspectUpdateKind.SURVIVED), is_wide=is_wide)
 
-    def tell_all_ends(self, content: RequestContent) -> None:
+    def notify_all_ends(self, content: RequestContent) -> None:
         """Have everybody told all that is known of a suspect; each who collects does so once."""
         row = self._suspects.row(content)
         if row is None:
             return
         score = self._suspects.score(content)
         for server, weight in row.lives.items():
-            kind = NewsKind.FRESH if weight >= FRESH_WEIGHT else NewsKind.BEGUN
+            kind = SuspectUpdateKind.FRESH if weight >= FRESH_WEIGHT else SuspectUpdateKind.BEGUN
             self._news.add(server, SuspectNews(content, kind), score, times=1)
         self._has_news.set()
 
--- a/citrondyke/gateway/beliefs/change_feed.py
+++ b/citrondyke/gateway/replication/change_feed.py
@@ -7,15 +7,15 @@
 import gevent
 import logbook
 
-from citrondyke.gateway.beliefs.cover import NoCover
 from citrondyke.gateway.pauses import retry_ms
+from citrondyke.gateway.replication.read_delegation import NoReadDelegation
 from citrondyke.storage.failure import PlatformFailure, PlatformFailureReason
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.gateway.beliefs.cover import Cover
+    from citrondyke.gateway.replication.read_delegation import ReadDelegation
     from citrondyke.storage.partitioned_table import PartitionedTable, PartRow
 
 __all__ = ('ChangeFeed',)
@@ -40,7 +40,7 @@
         pace: Callable[[], float],
         on_rows: Callable[[tuple[PartRow, ...]], None],
         read_anew: Callable[[], int],
-        cover: Cover | None = None,
+        cover: ReadDelegation | None = None,
         resume_behind: Callable[[], int] = lambda: 0,
     ) -> None:
         """Follow one table.
@@ -57,7 +57,7 @@
         self._pace = pace
         self._on_rows = on_rows
         self._read_anew = read_anew
-        self._cover = NoCover() if cover is None else cover
+        self._cover = NoReadDelegation() if cover is None else cover
         self._resume_behind = resume_behind
 
     def run(self, version: int = 0) -> None:
--- a/citrondyke/gateway/beliefs/fleet_facts.py
+++ b/citrondyke/gateway/replication/fleet_queries.py
@@ -9,10 +9,10 @@
 from citrondyke.decisions.batch.job import JobHead
 from citrondyke.ids import InstanceId
 
-__all__ = ('FleetFacts',)
+__all__ = ('FleetQueries',)
 
 
-class FleetFacts(msgspec.Struct, frozen=True):
+class FleetQueries(msgspec.Struct, frozen=True):
     """Ways to ask for it."""
 
     #: Heads of the open jobs that are known.
--- a/citrondyke/gateway/beliefs/followers.py
+++ b/citrondyke/gateway/replication/followers.py
@@ -4,18 +4,18 @@
 
 from typing import TYPE_CHECKING
 
-from citrondyke.gateway.beliefs.table_follower import TableFollower
 from citrondyke.gateway.peers.membership import INSTANCES_TABLE
+from citrondyke.gateway.replication.table_follower import TableFollower
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.gateway.beliefs.beliefs import Beliefs
-    from citrondyke.gateway.beliefs.cover import Cover
-    from citrondyke.gateway.beliefs.dependency import Dependency
-    from citrondyke.gateway.outside import Outside
+    from citrondyke.gateway.outside import Environment
     from citrondyke.gateway.peers.membership import Membership
+    from citrondyke.gateway.replication.dependency import Dependency
+    from citrondyke.gateway.replication.read_delegation import ReadDelegation
+    from citrondyke.gateway.replication.replicated_state import ReplicatedState
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.storage.partitioned_table import PartitionedTable
 
@@ -24,12 +24,12 @@
 
 def follow_beliefs(
     context: Context,
-    outside: Outside,
-    beliefs: Beliefs,
+    outside: Environment,
+    beliefs: ReplicatedState,
     store: Dependency,
     pace: Callable[[], float],
-    config_cover: Cover,
-    servers_cover: Cover,
+    config_cover: ReadDelegation,
+    servers_cover: ReadDelegation,
 ) -> tuple[TableFollower, TableFollower]:
     """Follow the configuration and the list of servers.
 
--- a/citrondyke/gateway/beliefs/cover.py
+++ b/citrondyke/gateway/replication/read_delegation.py
@@ -4,10 +4,10 @@
 
 from abc import ABC, abstractmethod
 
-__all__ = ('Cover', 'NoCover')
+__all__ = ('NoReadDelegation', 'ReadDelegation')
 
 
-class Cover(ABC):
+class ReadDelegation(ABC):
     """What a follower of a table asks before it calls the store."""
 
     @property
@@ -17,15 +17,15 @@
 
     @property
     @abstractmethod
-    def reads_for_others(self) -> bool:
+    def is_delegate_reader(self) -> bool:
         """Tell whether others rely on the reads of this instance."""
 
     @abstractmethod
-    def hold_first_read(self) -> None:
+    def delay_first_read(self) -> None:
         """Wait, a bounded time, for somebody who has read it."""
 
 
-class NoCover(Cover):
+class NoReadDelegation(ReadDelegation):
     """Everybody reads."""
 
     @property
@@ -34,9 +34,9 @@
         return False
 
     @property
-    def reads_for_others(self) -> bool:
+    def is_delegate_reader(self) -> bool:
         """Tell that nobody relies on it."""
         return False
 
-    def hold_first_read(self) -> None:
+    def delay_first_read(self) -> None:
         """Wait for nobody."""
--- a/citrondyke/gateway/beliefs/beliefs.py
+++ b/citrondyke/gateway/replication/replicated_state.py
@@ -7,23 +7,23 @@
 import logbook
 import msgspec
 
-from citrondyke.decisions.forwarding.config_holder import ConfigHolder
-from citrondyke.decisions.forwarding.listed_rows import ListedRows, SeenRow
+from citrondyke.decisions.forwarding.current_config import CurrentConfig
+from citrondyke.decisions.forwarding.replicated_rows import ObservedRow, ReplicatedRows
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
-from citrondyke.gateway.beliefs.unreadable_rows import UnreadableRows
+from citrondyke.gateway.replication.unreadable_rows import UnreadableRows
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.listed_backend import ListedBackend
     from citrondyke.decisions.forwarding.route_table import RouteTable
-    from citrondyke.decisions.forwarding.server_book import ServerBook
+    from citrondyke.decisions.forwarding.server_list_entry import ServerListEntry
+    from citrondyke.decisions.forwarding.server_registry import ServerRegistry
     from citrondyke.decisions.forwarding.server_state import ServerState
-    from citrondyke.gateway.beliefs.dependency import Dependency
+    from citrondyke.gateway.replication.dependency import Dependency
     from citrondyke.storage.partitioned_table import PartRow
 
-__all__ = ('Beliefs', 'RowDecoder')
+__all__ = ('ReplicatedState', 'RowDecoder')
 
 log = logbook.Logger(__name__)
 
@@ -37,38 +37,39 @@
 
     config_key: str
     config: Callable[[bytes], RouteTable]
-    server: Callable[[str, bytes], ListedBackend]
+    server: Callable[[str, bytes], ServerListEntry]
 
 
-class Beliefs:
+class ReplicatedState:
     """Takes in rows from the store and from peers, and logs what changes."""
 
     def __init__(
         self,
         context: Context,
         decoder: RowDecoder,
-        book: ServerBook,
+        book: ServerRegistry,
         store: Dependency,
         lapsed_grace_ms: float,
         on_server_gone: Callable[[ServerState], None],
-        on_life_over: Callable[[ServerState], None],
+        on_incarnation_ended: Callable[[ServerState], None],
     ) -> None:
         """Start believing nothing.
 
         :param on_server_gone: called for each server that is listed no more.
-        :param on_life_over: called for each life of a server that the next one has followed.
+        :param on_incarnation_ended: called for each incarnation of a server that another one
+            has replaced.
         """
-        self.config = ConfigHolder()
+        self.config = CurrentConfig()
         self.has_servers = False
         self._context = context
         self._decoder = decoder
         self._book = book
         self._store = store
-        self._servers: ListedRows[ListedBackend] = ListedRows(lapsed_grace_ms)
+        self._servers: ReplicatedRows[ServerListEntry] = ReplicatedRows(lapsed_grace_ms)
         self._on_server_gone = on_server_gone
-        self._on_life_over = on_life_over
+        self._on_life_over = on_incarnation_ended
         #: Reads show all rows each second, few of them changed.
-        self._decoded_rows: dict[str, SeenRow[ListedBackend]] = {}
+        self._decoded_rows: dict[str, ObservedRow[ServerListEntry]] = {}
         self._config_version = 0
         #: The newest configuration may hold routes that are not known here.
         self._is_config_unreadable = False
@@ -77,7 +78,7 @@
         self._unreadable_configs = UnreadableRows('configuration')
         self._unreadable_servers = UnreadableRows('servers')
 
-    def when_settled(self, call: Callable[[], None]) -> None:
+    def on_settled(self, call: Callable[[], None]) -> None:
         """Have something called whenever the list of servers was taken in."""
         self._on_settled = call
 
@@ -174,16 +175,16 @@
         """Give a digest of the list of servers; equal lists have equal ones."""
         return self._servers.digest
 
-    def servers_since(self, revision: int) -> list[SeenRow[ListedBackend]] | None:
+    def servers_since(self, revision: int) -> list[ObservedRow[ServerListEntry]] | None:
         """Give the rows of the servers that changed since; ``None`` where that is not known."""
         return self._servers.changes_since(revision)
 
-    def known_servers(self) -> tuple[list[SeenRow[ListedBackend]], int]:
+    def known_servers(self) -> tuple[list[ObservedRow[ServerListEntry]], int]:
         """Give the rows of the servers, and the version as of which they were listed."""
         return self._servers.rows(), self._servers.version
 
     def take_servers(
-        self, rows: list[SeenRow[ListedBackend]], version: int, *, is_whole: bool
+        self, rows: list[ObservedRow[ServerListEntry]], version: int, *, is_whole: bool
     ) -> None:
         """Take in the servers that a peer knows.
 
@@ -202,7 +203,7 @@
         """Make the list of servers what the rows say by now."""
         now_ms = self._context.now_ms()
         if self._store.is_lost:
-            self._servers.note_outage(now_ms)
+            self._servers.record_outage(now_ms)
         self._servers.settle(now_ms)
         if self._on_settled is not None:
             self._on_settled()
@@ -235,11 +236,11 @@
                 },
             )
 
-    def _decoded(self, rows: Iterable[PartRow]) -> list[SeenRow[ListedBackend]]:
-        seen: list[SeenRow[ListedBackend]] = []
+    def _decoded(self, rows: Iterable[PartRow]) -> list[ObservedRow[ServerListEntry]]:
+        seen: list[ObservedRow[ServerListEntry]] = []
         for row in rows:
             if row.value is None:
-                seen.append(SeenRow(row.key, row.version, None))
+                seen.append(ObservedRow(row.key, row.version, None))
                 continue
             known = self._decoded_rows.get(row.key)
             if known is not None and known.version == row.version:
@@ -249,9 +250,9 @@
                 server = self._decoder.server(row.key, row.value)
             except UnreadableBytesError as error:
                 self._unreadable_servers.note(row.key, row.version, error.message)
-                seen.append(SeenRow(row.key, row.version, None, is_foreign=True))
+                seen.append(ObservedRow(row.key, row.version, None, is_foreign=True))
                 continue
-            decoded = SeenRow(row.key, row.version, server, server.born_epoch_ms)
+            decoded = ObservedRow(row.key, row.version, server, server.born_epoch_ms)
             self._decoded_rows[row.key] = decoded
             seen.append(decoded)
         if len(self._decoded_rows) > max(DECODED_LIMIT, 2 * self._servers.count):
--- a/citrondyke/gateway/beliefs/table_follower.py
+++ b/citrondyke/gateway/replication/table_follower.py
@@ -8,17 +8,17 @@
 import gevent
 from gevent.event import Event
 
-from citrondyke.gateway.beliefs.change_feed import ChangeFeed
-from citrondyke.gateway.beliefs.cover import NoCover
 from citrondyke.gateway.pauses import retry_ms
+from citrondyke.gateway.replication.change_feed import ChangeFeed
+from citrondyke.gateway.replication.read_delegation import NoReadDelegation
 from citrondyke.storage.failure import PlatformFailure, PlatformFailureReason
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.gateway.beliefs.cover import Cover
-    from citrondyke.gateway.beliefs.dependency import Dependency
+    from citrondyke.gateway.replication.dependency import Dependency
+    from citrondyke.gateway.replication.read_delegation import ReadDelegation
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.storage.partitioned_table import Listing, PartitionedTable, PartRow
 
@@ -38,7 +38,7 @@
 WHOLE_READS_BYTES_PER_S = 16_384.0
 #: A look for changes goes back so far behind the one before. The store may hide changes for a
 #: second and name a version beyond them, and a look behind that would never show them.
-LOOK_BACK_MS = 5_000.0
+REREAD_WINDOW_MS = 5_000.0
 #: While others read the table for this instance, it looks so often itself: a proof that two readers
 #: do not both miss a change for good, and short against the time for which the store remembers.
 PROOF_EVERY_MS = 10_000.0
@@ -61,7 +61,7 @@
         on_current: Callable[[], None] | None = None,
         *,
         with_feed: bool = True,
-        cover: Cover | None = None,
+        cover: ReadDelegation | None = None,
     ) -> None:
         """Follow the rows with an empty part.
 
@@ -83,7 +83,7 @@
         self._on_current = on_current
         self._with_feed = with_feed
         self._pace = pace
-        self._cover = NoCover() if cover is None else cover
+        self._cover = NoReadDelegation() if cover is None else cover
         self._version = 0
         #: Of the values, by the last whole read or by whoever made it.
         self.size_bytes = 0
@@ -100,7 +100,7 @@
             context,
             table,
             name,
-            self._pace_now,
+            self._poll_interval_now_ms,
             self._on_feed,
             self._read_anew,
             self._cover,
@@ -124,7 +124,7 @@
 
         What the store hid for a moment lies behind it, unless it was the very first look.
         """
-        return self._look_behind() if self._looks else 0
+        return self._reread_recent() if self._looks else 0
 
     @property
     def answer_age_ms(self) -> float:
@@ -145,7 +145,7 @@
         if version > self._version:
             self._version = version
             self._looks.append((now_ms, version))
-            self._drop_old_looks()
+            self._drop_old_reads()
         self._is_read.set()
 
     def read_once(self) -> bool:
@@ -165,14 +165,14 @@
         self._looks.append((self._context.now_ms(), self._version))
         return True
 
-    def look_once(self) -> bool:
+    def poll_once(self) -> bool:
         """Bring the rows up to date, by their changes where all of them are many bytes.
 
         :returns: whether the store answered.
         """
         if self._on_current is None or self._context.now_ms() >= self._whole_again_ms:
             return self.read_once()
-        behind = self._look_behind()
+        behind = self._reread_recent()
         feed = self._watched('feed', lambda: self._table.follow(self._name, behind, 0.0))
         if isinstance(feed, PlatformFailure):
             return feed.reason is PlatformFailureReason.HISTORY_LOST and self.read_once()
@@ -183,13 +183,13 @@
             self._on_current()
         return True
 
-    def _look_behind(self) -> int:
+    def _reread_recent(self) -> int:
         """Give the version of the newest look that is old enough, or of the last whole read."""
-        self._drop_old_looks()
+        self._drop_old_reads()
         return self._looks[0][1]
 
-    def _drop_old_looks(self) -> None:
-        from_ms = self._context.now_ms() - LOOK_BACK_MS
+    def _drop_old_reads(self) -> None:
+        from_ms = self._context.now_ms() - REREAD_WINDOW_MS
         while len(self._looks) > 1 and self._looks[1][0] <= from_ms:
             self._looks.popleft()
 
@@ -203,9 +203,9 @@
             self.row_bytes = sum(len(row.value or b'') for row in rows) / len(rows)
         self._on_rows(rows)
 
-    def _pace_now(self) -> float:
+    def _poll_interval_now_ms(self) -> float:
         """Give the pace; who reads for others is as quick as in a small fleet."""
-        return 1.0 if self._cover.reads_for_others else self._pace()
+        return 1.0 if self._cover.is_delegate_reader else self._pace()
 
     def _take_first_page(self, page: Listing) -> None:
         """Hand on the rows of the first read as they come: some are enough to begin with.
@@ -236,16 +236,16 @@
         return self._context.now_ms() - self._proven_ms >= PROOF_EVERY_MS
 
     def _run_reads(self) -> None:
-        self._cover.hold_first_read()
+        self._cover.delay_first_read()
         failures_count = 0
         while True:
             if self._cover.is_covered and not self._is_proof_due():
                 pause_ms = READ_EVERY_MS * self._pace()
-            elif self.look_once():
+            elif self.poll_once():
                 self._proven_ms = self._context.now_ms()
                 self._is_read.set()
                 failures_count = 0
-                is_reader = self._cover.reads_for_others
+                is_reader = self._cover.is_delegate_reader
                 pause_ms = READ_FOR_OTHERS_EVERY_MS if is_reader else READ_EVERY_MS * self._pace()
             else:
                 failures_count += 1
--- a/citrondyke/gateway/servers/standing_log.py
+++ b/citrondyke/gateway/servers/health_log.py
@@ -6,14 +6,14 @@
 
 import logbook
 
-from citrondyke.decisions.servers.standing import ServerStanding
+from citrondyke.decisions.servers.server_health import ServerHealth
 
 if TYPE_CHECKING:
     from citrondyke.decisions.forwarding.server_state import ServerState
-    from citrondyke.decisions.servers.standing import StandingChange
+    from citrondyke.decisions.servers.server_health import HealthChange
     from citrondyke.gateway.metrics import Metrics
 
-__all__ = ('StandingLog',)
+__all__ = ('HealthLog',)
 
 log = logbook.Logger(__name__)
 
@@ -21,21 +21,21 @@
 NAMED_LIMIT = 8
 
 
-class StandingLog:
+class HealthLog:
     """One line for each change of what this instance believes of a server."""
 
     def __init__(self, metrics: Metrics) -> None:
         """Use the metrics handed in."""
         self._metrics = metrics
 
-    def changed(self, change: StandingChange) -> None:
+    def changed(self, change: HealthChange) -> None:
         """Tell of a change and of what it rests on."""
         event = 'server.doubted'
-        if change.after is ServerStanding.OUT:
+        if change.after is ServerHealth.OUT:
             event = 'server.out'
-        elif change.before is ServerStanding.OUT:
+        elif change.before is ServerHealth.OUT:
             event = 'server.back'
-        elif change.after is ServerStanding.SOUND:
+        elif change.after is ServerHealth.SOUND:
             event = 'server.sound'
         self._metrics.counters[event.replace('.', 's_')] += 1
         log.info(
--- a/citrondyke/gateway/servers/crash_guard.py
+++ b/citrondyke/gateway/servers/poison_request_guard.py
@@ -7,20 +7,20 @@
 import gevent
 import logbook
 
-from citrondyke.decisions.crashes.life_watch import BrokenOff, LifeWatch
-from citrondyke.decisions.crashes.news_queue import NewsKind
-from citrondyke.decisions.crashes.suspect_book import Standing, SuspectBook
-from citrondyke.decisions.forwarding.server_book import server_digest
+from citrondyke.decisions.crashes.server_exit_detector import InterruptedRequest, ServerExitDetector
+from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry, SuspectVerdict
+from citrondyke.decisions.crashes.suspect_update_queue import SuspectUpdateKind
+from citrondyke.decisions.forwarding.server_registry import server_digest
 from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
-from citrondyke.gateway.peers.suspect_teller import SuspectTeller
+from citrondyke.gateway.peers.suspect_publisher import SuspectPublisher
 from citrondyke.gateway.sockets import connect
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.crashes.content import AskedWork, RequestContent
-    from citrondyke.decisions.forwarding.server_book import ServerBook
+    from citrondyke.decisions.crashes.content import LazyRequestContent, RequestContent
+    from citrondyke.decisions.forwarding.server_registry import ServerRegistry
     from citrondyke.decisions.forwarding.server_state import ServerState
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.gateway.peers.peer_codec import CrashNews, PeerText
@@ -28,7 +28,7 @@
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.ids import InstanceId
 
-__all__ = ('CrashGuard',)
+__all__ = ('PoisonRequestGuard',)
 
 log = logbook.Logger(__name__)
 
@@ -42,14 +42,14 @@
 NAMED_LIMIT = 8
 
 
-class CrashGuard:
+class PoisonRequestGuard:
     """One instance's part in stopping requests that end their servers."""
 
     def __init__(
         self,
         context: Context,
-        book: ServerBook,
-        suspects: SuspectBook,
+        book: ServerRegistry,
+        suspects: SuspectRegistry,
         store: SuspectStore,
         metrics: Metrics,
         tasks: Tasks,
@@ -61,8 +61,8 @@
         self._store = store
         self._metrics = metrics
         self._tasks = tasks
-        self._watch = LifeWatch(context)
-        self.teller = SuspectTeller(context, book.neighbours, suspects)
+        self._watch = ServerExitDetector(context)
+        self.teller = SuspectPublisher(context, book.neighbours, suspects)
         self._probes: dict[int, gevent.Greenlet] = {}
 
     def start(self, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
@@ -73,25 +73,25 @@
         self._store.start(self._tasks)
         self.teller.start(self._tasks, send)
 
-    def standing(self, work: AskedWork, *, is_item: bool = False) -> Standing:
+    def standing(self, work: LazyRequestContent, *, is_item: bool = False) -> SuspectVerdict:
         """Tell what may be done with a request; its body is looked at for suspects only."""
         if not self._may_be_suspect(work):
-            return Standing.FREE
+            return SuspectVerdict.FREE
         return self._suspects.standing(work.content, is_item=is_item)
 
-    def _may_be_suspect(self, work: AskedWork) -> bool:
+    def _may_be_suspect(self, work: LazyRequestContent) -> bool:
         return len(self._suspects) > 0 and self._suspects.concerns(work.target)
 
     def ends_count(self, content: RequestContent) -> float:
         """Give the servers that have ended under a request, weighed."""
         return self._suspects.score(content)
 
-    def claim_trial(self, content: RequestContent, who: str, *, is_item: bool = False) -> bool:
+    def claim_probe(self, content: RequestContent, who: str, *, is_item: bool = False) -> bool:
         """Get the trial of a request; tell whether it is this instance's.
 
         :param who: id of the request or item.
         """
-        is_granted = self._store.claim_trial(content, is_item=is_item)
+        is_granted = self._store.claim_probe(content, is_item=is_item)
         log.info(
             'suspect.trial',
             extra={
@@ -103,12 +103,12 @@
         )
         return is_granted
 
-    def note_trial_refused(self, content: RequestContent) -> None:
+    def record_probe_refused(self, content: RequestContent) -> None:
         """Take note that no server ran a trial."""
-        self._suspects.note_trial_refused(content)
+        self._suspects.record_probe_refused(content)
         self._store.save(content)
 
-    def note_survived(self, work: AskedWork) -> None:
+    def record_survived(self, work: LazyRequestContent) -> None:
         """Take in that a server answered a request whole and well; it clears a suspect.
 
         A server may fail requests that it has not begun to run: a trial that met such a one would
@@ -118,9 +118,9 @@
             return
         survivor = work.content
         was_known = self.teller.is_known_to_all(survivor)
-        if self._suspects.note_survived(survivor):
+        if self._suspects.record_survived(survivor):
             self._log_cleared(survivor, 'own')
-            self.teller.tell_survived(survivor, is_wide=was_known)
+            self.teller.notify_survived(survivor, is_wide=was_known)
             self._store.save(survivor)
 
     def note_broken(
@@ -148,7 +148,7 @@
         since_ms = 0.0 if first_event_ms is None else self._context.now_ms() - first_event_ms
         is_fresh = since_ms <= BEGUN_MS
         if self._watch.note_broken(server, content, is_fresh=is_fresh):
-            self._count(server, [BrokenOff(content, is_fresh, self._context.now_ms())])
+            self._count(server, [InterruptedRequest(content, is_fresh, self._context.now_ms())])
             return
         if kind is not BreakKind.CUT:
             return
@@ -158,7 +158,7 @@
         if waits:
             probe.join(PROBE_MS / 1e3)
 
-    def note_no_connection(self, state: ServerState, error: BrokenReplyError) -> None:
+    def record_connect_failure(self, state: ServerState, error: BrokenReplyError) -> None:
         """Take in that a server took no connection."""
         server = server_digest(state.listed)
         if _is_refusal(error) and not state.listed.is_leaving:
@@ -172,7 +172,7 @@
             self._log_ended(server, 'list', broken)
             self._count(server, broken)
 
-    def note_life_over(self, state: ServerState) -> None:
+    def record_incarnation_ended(self, state: ServerState) -> None:
         """Take in that a server has begun another life."""
         if not state.listed.is_leaving:
             self._end(server_digest(state.listed), 'next_life')
@@ -180,15 +180,15 @@
     def take(self, news: CrashNews) -> None:
         """Take in what a peer tells."""
         for each in news.news:
-            if each.kind is NewsKind.SURVIVED:
-                if self._suspects.note_survived(each.content):
+            if each.kind is SuspectUpdateKind.SURVIVED:
+                if self._suspects.record_survived(each.content):
                     self._log_cleared(each.content, 'peer')
                 continue
-            is_fresh = each.kind is NewsKind.FRESH
+            is_fresh = each.kind is SuspectUpdateKind.FRESH
             was_known = self.teller.is_known_to_all(each.content)
-            if self._suspects.note_end(each.content, news.server, is_fresh=is_fresh):
+            if self._suspects.record_server_exit(each.content, news.server, is_fresh=is_fresh):
                 self._log_counted(each.content, news.server, 'peer', is_fresh=is_fresh)
-                self._make_known(each.content, was_known=was_known)
+                self._publish_suspect(each.content, was_known=was_known)
         if news.server:
             self._end(news.server, 'peer')
 
@@ -198,7 +198,7 @@
             while not is_settled:
                 asked_ms = self._context.now_ms()
                 connect(state.listed.ip, state.listed.port, PROBE_MS).close()
-                is_settled = not self._watch.note_alive(server, asked_ms)
+                is_settled = not self._watch.record_server_alive(server, asked_ms)
         except BrokenReplyError as error:
             if _is_refusal(error):
                 self._end(server, 'refused')
@@ -211,28 +211,28 @@
 
     def _end(self, server: int, how: str) -> None:
         is_news = not self._watch.has_ended(server)
-        broken = self._watch.note_ended(server)
+        broken = self._watch.record_server_ended(server)
         if is_news:
             self._log_ended(server, how, broken)
         self._count(server, broken)
 
-    def _count(self, server: int, broken: Iterable[BrokenOff]) -> None:
+    def _count(self, server: int, broken: Iterable[InterruptedRequest]) -> None:
         for each in broken:
             was_known = self.teller.is_known_to_all(each.content)
-            if not self._suspects.note_end(each.content, server, is_fresh=each.is_fresh):
+            if not self._suspects.record_server_exit(each.content, server, is_fresh=each.is_fresh):
                 continue
             self._log_counted(each.content, server, 'own', is_fresh=each.is_fresh)
-            self.teller.tell_end(server, each.content, is_fresh=each.is_fresh)
-            self._make_known(each.content, was_known=was_known)
+            self.teller.notify_end(server, each.content, is_fresh=each.is_fresh)
+            self._publish_suspect(each.content, was_known=was_known)
             self._store.save(each.content)
 
-    def _make_known(self, content: RequestContent, *, was_known: bool) -> None:
+    def _publish_suspect(self, content: RequestContent, *, was_known: bool) -> None:
         """Tell everybody of what only those who collect have known."""
         if not was_known and self.teller.is_known_to_all(content):
-            self.teller.tell_all_ends(content)
+            self.teller.notify_all_ends(content)
             self._store.save(content)
 
-    def _log_ended(self, server: int, how: str, broken: list[BrokenOff]) -> None:
+    def _log_ended(self, server: int, how: str, broken: list[InterruptedRequest]) -> None:
         state = self._book.by_digest(server)
         self._metrics.counters['servers_ended'] += 1
         log.info(
--- a/citrondyke/gateway/servers/server_sends.py
+++ b/citrondyke/gateway/servers/server_sends.py
@@ -8,7 +8,7 @@
 import logbook
 import msgspec
 
-from citrondyke.decisions.forwarding.patience import CONNECT_MS
+from citrondyke.decisions.forwarding.failover_timeouts import CONNECT_MS
 from citrondyke.decisions.servers.outcomes import Outcome
 from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
 from citrondyke.gateway.servers.connection_pool import ConnectionPool
@@ -21,7 +21,7 @@
     from citrondyke.gateway.dialect import Dialect, ReplyFacts
     from citrondyke.gateway.servers.reply_reader import ReplyHead
     from citrondyke.gateway.servers.server_connection import ServerConnection
-    from citrondyke.ids import RequestId, ServerLife
+    from citrondyke.ids import RequestId, ServerIncarnation
     from citrondyke.util.clock import Clock
 
 __all__ = ('SERVER_FAILURE', 'OpenReply', 'ServerSends')
@@ -61,10 +61,10 @@
         self._dialect = dialect
         self._on_change = on_change
         self._on_outcome = on_outcome
-        self._idle: ConnectionPool[ServerLife] = ConnectionPool(clock, IDLE_PER_SERVER)
-        self._in_use: dict[ServerLife, set[ServerConnection]] = {}
+        self._idle: ConnectionPool[ServerIncarnation] = ConnectionPool(clock, IDLE_PER_SERVER)
+        self._in_use: dict[ServerIncarnation, set[ServerConnection]] = {}
         #: Lives that stated what cannot be a load, each logged once.
-        self._odd: set[ServerLife] = set()
+        self._odd: set[ServerIncarnation] = set()
 
     @contextmanager
     def place(self, state: ServerState) -> Iterator[None]:
@@ -104,7 +104,7 @@
             try:
                 connection = open_connection(self._clock, listed.ip, listed.port, left_ms)
             except BrokenReplyError:
-                state.note_unreachable(self._clock.now_ms())
+                state.record_unreachable(self._clock.now_ms())
                 raise
         self._in_use.setdefault(state.life, set()).add(connection)
         return connection
@@ -125,7 +125,7 @@
         self._idle.drop(state.life)
         self._odd.discard(state.life)
 
-    def end_life(self, state: ServerState) -> None:
+    def end_incarnation(self, state: ServerState) -> None:
         """Break off what is on its way to a life that is over.
 
         Behind a cut nothing tells the callers' side that the server has crashed: without this
@@ -166,7 +166,7 @@
 
     def _note_status(self, state: ServerState, status: int, now_ms: float) -> None:
         if status < SERVER_FAILURE:
-            state.note_answered(now_ms)
+            state.record_answered(now_ms)
         else:
             # What ran out of time may have been given too little of it.
             is_late = status == OUT_OF_TIME
@@ -175,7 +175,7 @@
 
     def _note_load(self, state: ServerState, facts: ReplyFacts, now_ms: float) -> None:
         if facts.load is not None:
-            state.note_stated_load(*facts.load, now_ms)
+            state.record_reported_load(*facts.load, now_ms)
         if facts.pace is None or state.pace.note(facts.pace, now_ms):
             return
         if state.life not in self._odd:
--- a/citrondyke/gateway/servers/suspect_store.py
+++ b/citrondyke/gateway/servers/suspect_store.py
@@ -11,10 +11,10 @@
 
 from citrondyke.decisions.crashes.content import RequestContent
 from citrondyke.decisions.crashes.suspect import SuspectRow
-from citrondyke.decisions.crashes.suspect_book import STORED_SCORE, Standing
+from citrondyke.decisions.crashes.suspect_registry import STORED_SCORE, SuspectVerdict
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
-from citrondyke.gateway.beliefs.change_feed import ChangeFeed
-from citrondyke.gateway.beliefs.unreadable_rows import UnreadableRows
+from citrondyke.gateway.replication.change_feed import ChangeFeed
+from citrondyke.gateway.replication.unreadable_rows import UnreadableRows
 from citrondyke.ids import ContentDigest
 from citrondyke.storage.failure import PlatformFailure
 from citrondyke.storage.partitioned_table import (
@@ -30,8 +30,8 @@
     from collections.abc import Callable, Iterable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.crashes.suspect_book import SuspectBook
-    from citrondyke.gateway.beliefs.dependency import Dependency
+    from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry
+    from citrondyke.gateway.replication.dependency import Dependency
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.storage.partitioned_table import PartitionedTable, PartRow
 
@@ -67,7 +67,7 @@
         context: Context,
         table: PartitionedTable,
         store: Dependency,
-        suspects: SuspectBook,
+        suspects: SuspectRegistry,
         pace: Callable[[], float],
     ) -> None:
         """Use the parts handed in.
@@ -93,7 +93,7 @@
         """Begin to follow and to write."""
         tasks.keep(self._feed.run)
         tasks.keep(self._run_writes)
-        tasks.keep(self._run_tidy)
+        tasks.keep(self._run_cleanup)
 
     def save(self, content: RequestContent) -> None:
         """Have a row written soon, where others must know of it; else have it looked for."""
@@ -101,7 +101,7 @@
             self._waiting[content.digest] = content
             self._has_some.set()
 
-    def claim_trial(self, content: RequestContent, *, is_item: bool) -> bool:
+    def claim_probe(self, content: RequestContent, *, is_item: bool) -> bool:
         """Get the one trial that is due; tell whether this instance has it.
 
         Where the store does not answer nobody gets it: two trials at once would lose two servers.
@@ -109,9 +109,9 @@
         for _ in range(TRIES):
             if self._store.silent_ms > SILENT_MS:
                 return False
-            if self._suspects.standing(content, is_item=is_item) is not Standing.TRIAL_DUE:
+            if self._suspects.standing(content, is_item=is_item) is not SuspectVerdict.TRIAL_DUE:
                 return False
-            row = self._suspects.trial_row(content)
+            row = self._suspects.probe_row(content)
             written = self._put(row)
             if written is None:
                 return False
@@ -217,7 +217,7 @@
             del self._waiting[digest]
             if not self._waiting:
                 self._has_some.clear()
-            if not self._is_worth_a_row(content):
+            if not self._should_store(content):
                 self.look(content)
             elif not self._write(content):
                 # Left out, it would be forgotten with this instance once the store is back.
@@ -225,7 +225,7 @@
                 gevent.sleep(self._context.jittered_ms(RETRY_MS) / 1e3)
             gevent.sleep(WRITE_GAP_S)
 
-    def _is_worth_a_row(self, content: RequestContent) -> bool:
+    def _should_store(self, content: RequestContent) -> bool:
         return content.digest in self._versions or self._suspects.score(content) >= STORED_SCORE
 
     def _write(self, content: RequestContent) -> bool:
@@ -241,7 +241,7 @@
         log.info('suspect.not_written', extra={'content': content.digest, 'reason': 'contended'})
         return False
 
-    def _run_tidy(self) -> None:
+    def _run_cleanup(self) -> None:
         while True:
             gevent.sleep(self._context.jittered_ms(TIDY_EVERY_S * 1e3) / 1e3)
             for digest in self._suspects.forget_old():
--- a/citrondyke/gateway/settings_watch.py
+++ b/citrondyke/gateway/settings_watch.py
@@ -19,7 +19,7 @@
 log = logbook.Logger(__name__)
 
 #: The file may change without a signal; reading its few KB costs about 1 ms.
-LOOK_EVERY_S = 2.0
+POLL_EVERY_S = 2.0
 
 
 class SettingsWatch:
@@ -53,5 +53,5 @@
 
     def _run(self) -> None:
         while True:
-            gevent.sleep(LOOK_EVERY_S)
+            gevent.sleep(POLL_EVERY_S)
             self.look()
--- a/citrondyke/ids.py
+++ b/citrondyke/ids.py
@@ -16,7 +16,7 @@
     'RouteName',
     'RowKey',
     'ServerId',
-    'ServerLife',
+    'ServerIncarnation',
     'ServiceName',
     'SessionId',
     'TargetName',
@@ -38,7 +38,7 @@
 RowKey = NewType('RowKey', str)
 ServerId = NewType('ServerId', str)
 #: One life of one backend server, which may start again under its id.
-ServerLife = NewType('ServerLife', str)
+ServerIncarnation = NewType('ServerIncarnation', str)
 ServiceName = NewType('ServiceName', str)
 #: One life of one instance: ``<instance>#<epoch>``.
 SessionId = NewType('SessionId', str)
--- a/citrondyke/platform/rows.py
+++ b/citrondyke/platform/rows.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from citrondyke.decisions.accounts.account import Account
-from citrondyke.decisions.forwarding.listed_backend import ListedBackend
 from citrondyke.decisions.forwarding.route import Route, RouteKind, RouteLimits, ServiceShare
 from citrondyke.decisions.forwarding.route_table import RouteTable
+from citrondyke.decisions.forwarding.server_list_entry import ServerListEntry
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.ids import (
     AvailabilityZone,
@@ -168,7 +168,7 @@
     return tuple(made)
 
 
-def decode_server(key: str, value: bytes) -> ListedBackend:
+def decode_server(key: str, value: bytes) -> ServerListEntry:
     """Decode a backend server's row.
 
     An entry with a field missing, of another type or out of range was not written by a server:
@@ -180,7 +180,7 @@
         raise UnreadableBytesError(f'the key {key!r} is no id')
     server = decode_json(value, _Server)
     ip, port = _address(server.address)
-    return ListedBackend(
+    return ServerListEntry(
         id=ServerId(key),
         service=ServiceName(server.service),
         ip=ip,
--- a/tests/support/limit_world.py
+++ b/tests/support/limit_world.py
@@ -13,15 +13,19 @@
 import msgspec
 
 from citrondyke.decisions.accounts.account import Account
-from citrondyke.decisions.accounts.fleet_limits import FleetLimits, LimitVerdict, VerdictKind
+from citrondyke.decisions.accounts.fleet_rate_limiter import (
+    FleetRateLimiter,
+    LimitVerdict,
+    VerdictKind,
+)
 from citrondyke.decisions.accounts.limit_messages import (
     Addressed,
     FloorsTold,
     UseAnswered,
     UseNeed,
 )
-from citrondyke.decisions.accounts.marks import MarkCall, MarkRow
-from citrondyke.decisions.accounts.tolerance import GRANT_MS, LimitTolerance
+from citrondyke.decisions.accounts.limit_overshoot_budget import GRANT_MS, LimitOvershootBudget
+from citrondyke.decisions.accounts.prepaid_accounts import PrepaidAccountRow, PrepaidStoreCall
 from citrondyke.decisions.core.context import Context
 from citrondyke.ids import AvailabilityZone, InstanceId, TenantId
 from citrondyke.util.clock import Clock
@@ -40,16 +44,16 @@
 #: A call that goes by way of a peer may be carried out much later.
 STORE_LATE_MS = 3_000.0
 
-TOLERANCE = LimitTolerance(window_ms=WINDOW_MS, overshoot=0.1, slack=20.0)
+TOLERANCE = LimitOvershootBudget(window_ms=WINDOW_MS, overshoot=0.1, slack=20.0)
 
 Make = Callable[
     [
         Context,
         Callable[[], tuple[InstanceId, ...]],
         Callable[[TenantId], Account | None],
-        LimitTolerance,
+        LimitOvershootBudget,
     ],
-    FleetLimits,
+    FleetRateLimiter,
 ]
 
 
@@ -79,7 +83,7 @@
 
     id: InstanceId
     clock: _NodeClock
-    limits: FleetLimits
+    limits: FleetRateLimiter
     members: tuple[InstanceId, ...]
     accounts: dict[TenantId, Account]
     version: int = 0
@@ -126,7 +130,7 @@
         self.told: Counter[str] = Counter()
         self._works = count(1)
         #: Rows of marks by slot; they outlive all instances.
-        self.rows: dict[int, MarkRow] = {}
+        self.rows: dict[int, PrepaidAccountRow] = {}
         self.is_store_silent = False
         #: Part of the store's answers that get lost.
         self.lost_part = 0.0
@@ -272,7 +276,7 @@
             self._run_marks(node)
 
     def _run_marks(self, node: Node) -> None:
-        for call in node.limits.mark_calls():
+        for call in node.limits.prepaid_calls():
             if self.is_store_silent:
                 self.at(STORE_TIMEOUT_MS, partial(self._marked, node, call, None))
                 continue
@@ -281,22 +285,22 @@
                 delay_ms += STORE_LATE_MS
             self.at(delay_ms / 2, partial(self._at_store, node, call, delay_ms / 2))
 
-    def _at_store(self, node: Node, call: MarkCall, back_ms: float) -> None:
-        row = self.rows.get(call.slot, MarkRow(frozenset(), 0))
+    def _at_store(self, node: Node, call: PrepaidStoreCall, back_ms: float) -> None:
+        row = self.rows.get(call.slot, PrepaidAccountRow(frozenset(), 0))
         if call.wanted is not None and call.version == row.version:
-            self.rows[call.slot] = MarkRow(call.wanted, row.version + 1)
-            row = MarkRow(call.wanted, row.version + 1, is_written=True)
+            self.rows[call.slot] = PrepaidAccountRow(call.wanted, row.version + 1)
+            row = PrepaidAccountRow(call.wanted, row.version + 1, is_written=True)
         is_lost = self.random.random() < self.lost_part
         self.at(back_ms, partial(self._marked, node, call, None if is_lost else row))
 
-    def _marked(self, node: Node, call: MarkCall, row: MarkRow | None) -> None:
+    def _marked(self, node: Node, call: PrepaidStoreCall, row: PrepaidAccountRow | None) -> None:
         if node.is_dead:
             return
         if node.silent_until_ms > self.now_ms:
             wait_ms = node.silent_until_ms - self.now_ms
             self.at(wait_ms, partial(self._marked, node, call, row))
             return
-        self._send(node, node.limits.note_marks(call, row))
+        self._send(node, node.limits.record_prepaid(call, row))
         self._run_marks(node)
 
     def _go_on(self, asking: _Asking) -> None:
@@ -327,7 +331,7 @@
             asking.tried.add(step.receiver)
             verdict = None
             if answer is None:
-                node.limits.note_silent(asking.account, step.receiver)
+                node.limits.record_no_reply(asking.account, step.receiver)
             else:
                 verdict = node.limits.note_answer(asking.account, step.receiver, answer)
             if verdict is None:
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from citrondyke.decisions.forwarding.listed_backend import ListedBackend
+from citrondyke.decisions.forwarding.server_list_entry import ServerListEntry
 from citrondyke.ids import AvailabilityZone, InstanceId, ServerId, ServiceName
 
 __all__ = ('listed_server', 'other_instances', 'server_row')
@@ -32,9 +32,9 @@
 
 def listed_server(
     name: str, service: str, slots_count: int = 8, zone: str = 'zone-a', **more: Any
-) -> ListedBackend:
+) -> ServerListEntry:
     """Make an entry of the list of servers."""
-    return ListedBackend(
+    return ServerListEntry(
         id=ServerId(name),
         service=ServiceName(service),
         ip='',
--- a/tests/support/virtual.py
+++ b/tests/support/virtual.py
@@ -9,7 +9,7 @@
 from citrondyke.decisions.core.signal import Signal
 from citrondyke.decisions.instance_limits import InstanceLimits
 from citrondyke.decisions.jobs.item_set import ItemSet
-from citrondyke.decisions.jobs.job_wish import AcceptedJob
+from citrondyke.decisions.jobs.job_request import AcceptedJob
 from citrondyke.decisions.jobs.rows import (
     JobRow,
     JobState,
--- a/tests/test_accounts/test_accounts_limits.py
+++ b/tests/test_accounts/test_accounts_limits.py
@@ -8,9 +8,9 @@
 import pytest
 
 from citrondyke.decisions.accounts.account import Account
-from citrondyke.decisions.accounts.fleet_limits import LimitVerdict, VerdictKind
+from citrondyke.decisions.accounts.fleet_rate_limiter import LimitVerdict, VerdictKind
 from citrondyke.decisions.accounts.limit_messages import UseNeed
-from citrondyke.decisions.accounts.steward_limits import StewardLimits
+from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
 from citrondyke.ids import InstanceId, TenantId
 from tests.support.limit_world import LimitWorld, allowed_in_window
 
--- a/tests/test_accounts/test_accounts_machine.py
+++ b/tests/test_accounts/test_accounts_machine.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from citrondyke.decisions.accounts.account import Account
-from citrondyke.decisions.accounts.steward_limits import StewardLimits
+from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
 from citrondyke.ids import InstanceId, TenantId
 from tests.support.limit_world import LAG_MS, WINDOW_MS, LimitWorld, allowed_in_window
 
--- a/tests/test_accounts/test_accounts_turns.py
+++ b/tests/test_accounts/test_accounts_turns.py
@@ -11,7 +11,7 @@
 from citrondyke.decisions.accounts.account import Account
 from citrondyke.decisions.forwarding.admission_rule import AdmissionRule, Admitted
 from citrondyke.decisions.forwarding.route import RouteKind
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.ids import ServiceName, TenantId
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import listed_server
@@ -28,12 +28,12 @@
 
     def __init__(self, seed: int) -> None:
         self.clock = ManualClock()
-        self.book = ServerBook(manual_context(self.clock, seed=seed))
+        self.book = ServerRegistry(manual_context(self.clock, seed=seed))
         self.book.replace([listed_server('a', SERVICE, SLOTS)])
         self.rule = AdmissionRule(manual_context(self.clock, seed=seed), self.book)
         self.random = random.Random(seed)
         self.route = route(RouteKind.STREAM)
-        self.rule.note_stay(self.route, STAY_MS)
+        self.rule.record_service_time(self.route, STAY_MS)
         self.served: Counter[TenantId] = Counter()
         self.asked: Counter[TenantId] = Counter()
 
--- a/tests/test_accounts/test_accounts_window.py
+++ b/tests/test_accounts/test_accounts_window.py
@@ -6,10 +6,10 @@
 import pytest
 
 from citrondyke.decisions.accounts.account import Account
-from citrondyke.decisions.accounts.fleet_limits import VerdictKind
+from citrondyke.decisions.accounts.fleet_rate_limiter import VerdictKind
 from citrondyke.decisions.accounts.limit_messages import UseNeed, UseOutcome
 from citrondyke.decisions.accounts.slots import slot_of
-from citrondyke.decisions.accounts.steward_limits import StewardLimits
+from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
 from citrondyke.ids import InstanceId, TenantId
 from tests.support.limit_world import LimitWorld, Node, allowed_in_window
 
--- a/tests/test_batch/test_batch_acceptance_wait.py
+++ b/tests/test_batch/test_batch_acceptance_wait.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from citrondyke.decisions.batch.acceptance_wait import begin_wait
+from citrondyke.decisions.batch.acceptance_deadline import begin_wait
 
 DEADLINE_MS = 5_100.0
 TRY_MS = 150.0
@@ -17,7 +17,7 @@
     asked = []
     while now_ms + TRY_MS <= wait.until_ms:
         asked.append(now_ms)
-        wait.note_failed()
+        wait.record_failed()
         now_ms += TRY_MS
     return [*asked, now_ms]
 
@@ -49,11 +49,11 @@
 def test_nobody_is_held_while_one_instance_alone_is_slow() -> None:
     wait = begin_wait(0.0, DEADLINE_MS, may_hold=True)
     assert wait.until_ms == pytest.approx(1_500.0)
-    wait.note_failed()
+    wait.record_failed()
     assert wait.until_ms < DEADLINE_MS
 
 
 def test_caller_without_time_is_not_held_beyond_it() -> None:
     wait = begin_wait(0.0, 1_000.0, may_hold=True)
-    wait.note_failed()
+    wait.record_failed()
     assert wait.until_ms <= 1_500.0
--- a/tests/test_batch/test_batch_give_way.py
+++ b/tests/test_batch/test_batch_give_way.py
@@ -4,18 +4,18 @@
 
 import pytest
 
-from citrondyke.decisions.batch.give_way import (
+from citrondyke.decisions.batch.batch_preemption import (
     AT_RISK_MS,
     SOON_WAIT_SHARE,
     WAIT_SHARE,
-    GiveWay,
+    BatchPreemption,
     RunningItem,
     Urgency,
     urgency,
 )
-from citrondyke.decisions.batch.run_length import RunLengths
-from citrondyke.decisions.batch.start_pace import StartPace
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.batch.run_length import RunLengthEstimator
+from citrondyke.decisions.batch.start_rate_limiter import StartRateLimiter
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.decisions.forwarding.server_state import ServerState
 from citrondyke.ids import InstanceId, RouteName, ServerId, ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
@@ -32,10 +32,10 @@
     def __init__(self, seed: int = 1, name: str = 'instance-0') -> None:
         self.clock = ManualClock()
         context = manual_context(self.clock, name, seed=seed)
-        self.book = ServerBook(context)
+        self.book = ServerRegistry(context)
         self.book.replace([listed_server(A, SERVICE, SLOTS)])
-        self.pace = StartPace(context, self.book.neighbours)
-        self.give_way = GiveWay(context, self.book, self.pace)
+        self.pace = StartRateLimiter(context, self.book.neighbours)
+        self.give_way = BatchPreemption(context, self.book, self.pace)
 
     @property
     def state(self) -> ServerState:
@@ -115,11 +115,11 @@
 
 
 def test_item_is_at_risk_when_it_must_run_from_now_on() -> None:
-    lengths = RunLengths()
+    lengths = RunLengthEstimator()
     route = RouteName('r')
     for _ in range(200):
-        lengths.note_whole(route, 100)
-        lengths.note_pace(route, 10, 400.0)
+        lengths.record_complete_run(route, 100)
+        lengths.record_event_interval(route, 10, 400.0)
     left_ms = lengths.remaining_ms(route, 50)
     assert 1_900.0 < left_ms < 2_100.0
     assert urgency(10_000.0, 0.0, left_ms) is Urgency.PATIENT
--- a/tests/test_batch/test_batch_machine.py
+++ b/tests/test_batch/test_batch_machine.py
@@ -8,7 +8,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from citrondyke.decisions.batch.job import ItemResult, JobHead, JobItem
-from citrondyke.decisions.batch.owned_job import OwnedJob, RunEnd
+from citrondyke.decisions.batch.owned_job import OwnedJob, RunResult
 from citrondyke.gateway.jobs.job_rows import CommitVerdict, NoJob, StoredHead
 from citrondyke.gateway.jobs.job_store import JobStore
 from citrondyke.ids import InstanceId, JobId, RouteName
@@ -90,8 +90,10 @@
         self.jobs[owner] = OwnedJob(stored.head, stored.version, items, results)
 
     @precondition(lambda self: self.jobs)
-    @rule(owner=OWNERS, end=st.sampled_from([RunEnd.COMPLETED, RunEnd.FAILED, RunEnd.BROKEN]))
-    def run_item(self, owner: int, end: RunEnd) -> None:
+    @rule(
+        owner=OWNERS, end=st.sampled_from([RunResult.COMPLETED, RunResult.FAILED, RunResult.BROKEN])
+    )
+    def run_item(self, owner: int, end: RunResult) -> None:
         job = self.jobs.get(owner)
         progress = job.next_item(1e15) if job is not None else None
         if job is None or progress is None:
@@ -161,7 +163,7 @@
         job = self.jobs[2]
         while (progress := job.next_item(1e15)) is not None:
             progress.texts = ['last']
-            job.end_run(progress, RunEnd.COMPLETED, 0.0, 0.0)
+            job.end_run(progress, RunResult.COMPLETED, 0.0, 0.0)
         while job.to_commit():
             assert self.store.commit(job, job.to_commit()) is CommitVerdict.DONE
         results = self.store.results(JOB, 0)
--- a/tests/test_batch/test_batch_needs.py
+++ b/tests/test_batch/test_batch_needs.py
@@ -7,10 +7,15 @@
 import msgspec
 import pytest
 
-from citrondyke.decisions.batch.batch_need import BatchNeed, Prospect, ToldNeed
+from citrondyke.decisions.batch.batch_demand import BatchDemand, CompletionLikelihood, DemandNotice
+from citrondyke.decisions.batch.batch_demand_table import (
+    LAPSE_MS,
+    RENEW_MS,
+    TELL_EVERY_MS,
+    BatchDemandTable,
+)
+from citrondyke.decisions.batch.item_priority import LATE_MS, batch_demand_of, outlook
 from citrondyke.decisions.batch.kept_places import RISE_PART, WATCHED_MS, KeptPlaces
-from citrondyke.decisions.batch.need_book import LAPSE_MS, RENEW_MS, TELL_EVERY_MS, NeedBook
-from citrondyke.decisions.batch.outlook import LATE_MS, need_of, outlook
 from citrondyke.gateway.peers.need_codec import pack_needs, unpack_needs
 from citrondyke.gateway.peers.peer_codec import (
     BatchNeeds,
@@ -23,7 +28,11 @@
 
 SERVICE = ServiceName('lm')
 PEER = InstanceId('peer')
-DOABLE, DOUBTFUL, LATE = Prospect.DOABLE, Prospect.DOUBTFUL, Prospect.LATE
+DOABLE, DOUBTFUL, LATE = (
+    CompletionLikelihood.DOABLE,
+    CompletionLikelihood.DOUBTFUL,
+    CompletionLikelihood.LATE,
+)
 
 
 class Owner:
@@ -31,23 +40,25 @@
 
     def __init__(self) -> None:
         self.clock = ManualClock()
-        self.book = NeedBook(manual_context(self.clock))
+        self.book = BatchDemandTable(manual_context(self.clock))
 
-    def wait_for(self, count: int, prospect: Prospect = DOABLE, start_in_ms: float = 9e3) -> None:
-        need = BatchNeed(SERVICE, prospect, count, self.clock.ms + start_in_ms)
-        self.book.note_own([need])
+    def wait_for(
+        self, count: int, prospect: CompletionLikelihood = DOABLE, start_in_ms: float = 9e3
+    ) -> None:
+        need = BatchDemand(SERVICE, prospect, count, self.clock.ms + start_in_ms)
+        self.book.record_own_demand([need])
 
     def hear(
         self,
         count: int,
-        prospect: Prospect = DOABLE,
+        prospect: CompletionLikelihood = DOABLE,
         start_in_ms: float = 9e3,
         peer: InstanceId = PEER,
     ) -> None:
-        self.book.note_peer(peer, [ToldNeed(SERVICE, prospect, count, start_in_ms)])
+        self.book.note_peer(peer, [DemandNotice(SERVICE, prospect, count, start_in_ms)])
 
     def part(self, free_count: int) -> float:
-        return self.book.own_part(SERVICE, free_count)
+        return self.book.own_share_of_capacity(SERVICE, free_count)
 
 
 def test_only_those_who_have_items_waiting_share_free_places() -> None:
@@ -68,7 +79,9 @@
 
 
 @pytest.mark.parametrize('prospect', [DOUBTFUL, LATE])
-def test_items_that_may_be_late_leave_the_places_to_those_in_time(prospect: Prospect) -> None:
+def test_items_that_may_be_late_leave_the_places_to_those_in_time(
+    prospect: CompletionLikelihood,
+) -> None:
     owner = Owner()
     owner.wait_for(30, prospect, start_in_ms=-100.0)
     owner.hear(6, start_in_ms=60_000.0)
@@ -90,12 +103,12 @@
     assert owner.book.to_tell() is None
     owner.wait_for(30)
     told = owner.book.to_tell()
-    assert told == [ToldNeed(SERVICE, DOABLE, 30, 9_000.0)]
+    assert told == [DemandNotice(SERVICE, DOABLE, 30, 9_000.0)]
     owner.clock.ms += TELL_EVERY_MS
     assert owner.book.to_tell() is None
     owner.clock.ms += RENEW_MS
     assert owner.book.to_tell() is not None
-    owner.book.note_own([])
+    owner.book.record_own_demand([])
     owner.clock.ms += TELL_EVERY_MS
     assert owner.book.to_tell() == []
     owner.clock.ms += RENEW_MS
@@ -105,9 +118,9 @@
 def test_owner_shares_with_all_until_others_had_the_time_to_tell() -> None:
     owner = Owner()
     owner.wait_for(5)
-    assert not owner.book.knows_others(SERVICE)
+    assert not owner.book.has_peer_demand(SERVICE)
     owner.clock.ms += RENEW_MS
-    assert owner.book.knows_others(SERVICE)
+    assert owner.book.has_peer_demand(SERVICE)
 
 
 def test_items_start_by_due_time_and_doubtful_ones_by_their_chance() -> None:
@@ -115,7 +128,7 @@
     spares_ms = [5_000.0, 900.0, 1_500.0, 100.0, LATE_MS - 1.0]
     outlooks = sorted((outlook(each, margin_ms) for each in spares_ms), key=lambda each: each.order)
     assert [each.spare_ms for each in outlooks] == [1_500.0, 5_000.0, 900.0, 100.0, LATE_MS - 1.0]
-    assert need_of(SERVICE, outlooks, 0.0) == BatchNeed(SERVICE, DOABLE, 2, 1_500.0)
+    assert batch_demand_of(SERVICE, outlooks, 0.0) == BatchDemand(SERVICE, DOABLE, 2, 1_500.0)
     cut = outlook(5_000.0, margin_ms, has_begun=True)
     assert cut.order < outlooks[0].order
 
@@ -141,7 +154,7 @@
 
 
 def test_needs_pass_between_instances() -> None:
-    needs = [ToldNeed(SERVICE, LATE, 7, -1_200.0)]
+    needs = [DemandNotice(SERVICE, LATE, 7, -1_200.0)]
     message = PeerMessage(PEER, ConfigVersion(3), BatchNeeds(needs))
     assert decode_message(encode_message(message)) == message
     empty = PeerMessage(PEER, ConfigVersion(3), BatchNeeds([]))
@@ -155,8 +168,8 @@
         msgspec.msgpack.encode([['lm', 3, 1, 0.0]]),
         msgspec.msgpack.encode([['lm', 0, -1, 0.0]]),
         msgspec.msgpack.encode([['lm', 0, 10**9, 0.0]]),
-        pack_needs([ToldNeed(SERVICE, DOABLE, 1, math.nan)]),
-        pack_needs([ToldNeed(SERVICE, DOABLE, 1, math.inf)]),
+        pack_needs([DemandNotice(SERVICE, DOABLE, 1, math.nan)]),
+        pack_needs([DemandNotice(SERVICE, DOABLE, 1, math.inf)]),
     ],
 )
 def test_needs_that_cannot_be_are_no_message(data: bytes) -> None:
--- a/tests/test_batch/test_batch_owned_job.py
+++ b/tests/test_batch/test_batch_owned_job.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from citrondyke.decisions.batch.job import ItemState, JobItem
-from citrondyke.decisions.batch.owned_job import ABANDON_MARGIN_MS, OwnedJob, RunEnd
+from citrondyke.decisions.batch.owned_job import ABANDON_MARGIN_MS, OwnedJob, RunResult
 from citrondyke.gateway.jobs.job_rows import CommitVerdict, StoredHead
 from citrondyke.gateway.jobs.job_store import JobStore
 from tests.support.flaky_table import FlakyTable, MemoryObjects
@@ -23,7 +23,7 @@
         assert progress is not None
         assert progress.item.id == 'i0'
         assert not job.finished, attempt
-        job.end_run(progress, RunEnd.FAILED, 0.0, 0.0)
+        job.end_run(progress, RunResult.FAILED, 0.0, 0.0)
     assert [(each.id, each.state) for each in job.finished] == [('i0', ItemState.ERRORED)]
 
 
@@ -34,12 +34,12 @@
     for _ in range(20):
         progress = job.next_item(1e9)
         assert progress is not None
-        job.end_run(progress, RunEnd.BROKEN, 0.0, 0.0)
+        job.end_run(progress, RunResult.BROKEN, 0.0, 0.0)
     assert not job.finished
     late = job.head.abandon_epoch_ms + ABANDON_MARGIN_MS
-    job.abandon_late(late - 1.0)
+    job.abandon_overdue(late - 1.0)
     assert not job.finished
-    job.abandon_late(late)
+    job.abandon_overdue(late)
     assert len(job.finished) == 3
 
 
@@ -54,8 +54,8 @@
     assert second is not None
     second.is_running = True
     second.last_event_id = 4
-    job.end_run(second, RunEnd.GAVE_WAY, 0.0, 0.0)
-    job.end_run(first, RunEnd.GAVE_WAY, 0.0, 0.0)
+    job.end_run(second, RunResult.GAVE_WAY, 0.0, 0.0)
+    job.end_run(first, RunResult.GAVE_WAY, 0.0, 0.0)
     assert job.next_item(0.0) is second
 
 
@@ -65,7 +65,7 @@
     job = owned()
     for item_id in ('i0', 'i1'):
         progress = job.open[item_id]
-        job.end_run(progress, RunEnd.COMPLETED, 0.0, 0.0)
+        job.end_run(progress, RunResult.COMPLETED, 0.0, 0.0)
         if item_id == 'i0':
             first = list(job.to_commit())
     assert list(job.to_commit()) == first
@@ -82,7 +82,7 @@
     job = OwnedJob(accepted.head, accepted.version, ITEMS)
     for _ in range(2):
         progress = job.open['i0']
-        job.end_run(progress, RunEnd.FAILED, 0.0, 0.0)
+        job.end_run(progress, RunResult.FAILED, 0.0, 0.0)
     assert store.release(job, list(job.open.values())) is CommitVerdict.DONE
     kept = store.progress(job.head.job_id)
     assert isinstance(kept, list)
@@ -91,5 +91,5 @@
     ]
     later = owned()
     later.restore('i0', None, '', kept[0].failures_count)
-    later.end_run(later.open['i0'], RunEnd.FAILED, 0.0, 0.0)
+    later.end_run(later.open['i0'], RunResult.FAILED, 0.0, 0.0)
     assert [each.id for each in later.finished] == ['i0']
--- a/tests/test_batch/test_batch_takeover.py
+++ b/tests/test_batch/test_batch_takeover.py
@@ -10,8 +10,8 @@
     SETTLE_MS,
     SILENT_MS,
     TURN_MS,
-    LiveInstances,
-    Takeover,
+    InstanceLiveness,
+    TakeoverSchedule,
 )
 from citrondyke.ids import InstanceId
 from tests.support.manual_clock import ManualClock, manual_context
@@ -24,15 +24,15 @@
     def __init__(self, clock: ManualClock, name: str = 'instance-1') -> None:
         context = manual_context(clock, name)
         self.clock = clock
-        self.live = LiveInstances(context)
-        self.takeover = Takeover(context, f'life of {name}', self.live)
+        self.live = InstanceLiveness(context)
+        self.takeover = TakeoverSchedule(context, f'life of {name}', self.live)
 
     def look(self, **lives: tuple[str, int]) -> None:
         """Read the table of heartbeats: life and row version by instance."""
         for name, (life, version) in lives.items():
             self.live.note(InstanceId(name.replace('_', '-')), life, version)
-        self.live.note_look()
-        self.live.note_beat()
+        self.live.record_poll()
+        self.live.record_heartbeat()
 
     def settle(self, **lives: tuple[str, int]) -> None:
         self.look(**lives)
@@ -64,7 +64,7 @@
     for _ in range(10):
         watcher.clock.ms += 500.0
         watcher.live.note(InstanceId('instance-0'), 'a', 5)
-        watcher.live.note_look()
+        watcher.live.record_poll()
         assert not watcher.takeover.is_due(head, 4)
     watcher.look(instance_0=('a', 5))
     assert not watcher.takeover.is_due(head, 4)
@@ -163,16 +163,16 @@
     # In a fleet of 90 instances heartbeats are written every 1.8 s and read every 2 s. The job of
     # an owner that lives must not be taken over for that; one that is gone loses it later.
     clock = ManualClock()
-    live = LiveInstances(manual_context(clock))
+    live = InstanceLiveness(manual_context(clock))
     live.pace = 2.0
     owner = InstanceId('instance-0')
     since_ms = clock.ms
     for version in range(1, 6):
-        live.note_beat()
+        live.record_heartbeat()
         live.note(owner, 'life', version)
-        live.note_look()
+        live.record_poll()
         clock.ms += 3_300.0
-        assert live.is_beating
+        assert live.has_heartbeat
         assert live.is_settled
         assert not live.is_gone(owner, 'life', 0, since_ms)
     clock.ms += 2_700.0
--- a/tests/test_batch/test_batch_waiting_bound.py
+++ b/tests/test_batch/test_batch_waiting_bound.py
@@ -9,20 +9,20 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
-from citrondyke.decisions.batch.job import JobHead, JobItem
-from citrondyke.decisions.batch.owned_job import OwnedJob, RunEnd
-from citrondyke.decisions.batch.waiting_bound import (
-    Allowed,
-    NoRoom,
-    OtherShares,
-    ShareStanding,
+from citrondyke.decisions.batch.backlog_limit import (
+    BacklogFull,
+    BacklogLimit,
+    PeerShares,
+    ShareValidity,
     TokenShare,
-    WaitingBound,
+    WithinBacklogLimit,
     count_others,
 )
+from citrondyke.decisions.batch.job import JobHead, JobItem
+from citrondyke.decisions.batch.owned_job import OwnedJob, RunResult
 from citrondyke.decisions.forwarding.route import Route, RouteKind, ServiceShare
 from citrondyke.decisions.forwarding.route_table import RouteTable
-from citrondyke.gateway.beliefs.fleet_facts import FleetFacts
+from citrondyke.gateway.jobs.backlog_tokens import BacklogTokens
 from citrondyke.gateway.jobs.job_rows import (
     HEAD_KEY,
     HEADS_TABLE,
@@ -32,9 +32,9 @@
 )
 from citrondyke.gateway.jobs.job_store import JobStore
 from citrondyke.gateway.jobs.owned_jobs import OwnedJobs
-from citrondyke.gateway.jobs.route_tokens import Reservation
+from citrondyke.gateway.jobs.route_backlog_tokens import BacklogReservation
 from citrondyke.gateway.jobs.token_shares import TokenShares
-from citrondyke.gateway.jobs.waiting_tokens import WaitingTokens
+from citrondyke.gateway.replication.fleet_queries import FleetQueries
 from citrondyke.ids import ConfigVersion, InstanceId, JobId, RouteName, ServiceName
 from citrondyke.storage.partitioned_table import (
     Listing,
@@ -97,12 +97,12 @@
         self.context = manual_context(fleet.clock, self.instance_id)
         self.owned = OwnedJobs()
         self.store = JobStore(fleet.table, MemoryObjects(), 65_536)
-        self.waiting = WaitingTokens(
+        self.waiting = BacklogTokens(
             self.context,
             life,
             TokenShares(fleet.table, life),
             self.owned,
-            FleetFacts(
+            FleetQueries(
                 lambda: [each.head for each in fleet.open_jobs()],
                 lambda _instance, other, _version, _since: fleet.gone_for_ms(other),
                 lambda: [node.life for node in fleet.nodes if node is not self],
@@ -135,9 +135,9 @@
         )
         until_ms = self.context.now_ms() + 1_500.0
         reserved = self.waiting.reserve(self.fleet.route, head.job_id, tokens, until_ms)
-        if isinstance(reserved, NoRoom):
+        if isinstance(reserved, BacklogFull):
             return 429
-        if not isinstance(reserved, Reservation):
+        if not isinstance(reserved, BacklogReservation):
             return 503
         accepted = self.store.accept(head, items)
         if isinstance(accepted, StoredHead) and accepted.head.owner_life == self.life:
@@ -152,7 +152,7 @@
             for progress in list(job.open.values())[:count]:
                 count -= 1
                 self.fleet.finished.add(progress.item.id)
-                job.end_run(progress, RunEnd.COMPLETED, 0.0, 0.0)
+                job.end_run(progress, RunResult.COMPLETED, 0.0, 0.0)
             if not job.open:
                 self.change(job, is_done=True)
                 self.owned.drop(job.head.job_id)
@@ -409,7 +409,7 @@
     node = fleet.nodes[1]
     fleet.table.late = []
     reserved = node.waiting.reserve(fleet.route, JobId('late'), JOB_TOKENS, 1e9)
-    assert reserved is Reservation.DONE
+    assert reserved is BacklogReservation.DONE
     fleet.kill(node)
     fleet.look_all()
     assert fleet.burst([2]) == [429]
@@ -466,25 +466,25 @@
 
 
 def test_too_large_a_job_is_told_no_time_to_come_back() -> None:
-    bound = WaitingBound(1_000, OVERSHOOT, 3)
-    nobody = OtherShares(0, 0, 0)
-    assert bound.decide(0, 1_001, nobody, 0.0) == NoRoom(1, None)
-    assert isinstance(bound.decide(0, 1_000, nobody, 0.0), Allowed)
+    bound = BacklogLimit(1_000, OVERSHOOT, 3)
+    nobody = PeerShares(0, 0, 0)
+    assert bound.decide(0, 1_001, nobody, 0.0) == BacklogFull(1, None)
+    assert isinstance(bound.decide(0, 1_000, nobody, 0.0), WithinBacklogLimit)
 
 
 def test_caller_without_room_is_asked_back_when_there_is_some() -> None:
-    bound = WaitingBound(1_000, OVERSHOOT, 3)
-    others = OtherShares(900, 900, 0)
-    assert bound.decide(0, 200, others, 100.0) == NoRoom(100, 1_000.0)
-    assert bound.decide(0, 200, others, 1e6) == NoRoom(100, 300.0)
-    assert bound.decide(0, 200, others, 0.1) == NoRoom(100, 5_000.0)
+    bound = BacklogLimit(1_000, OVERSHOOT, 3)
+    others = PeerShares(900, 900, 0)
+    assert bound.decide(0, 200, others, 100.0) == BacklogFull(100, 1_000.0)
+    assert bound.decide(0, 200, others, 1e6) == BacklogFull(100, 300.0)
+    assert bound.decide(0, 200, others, 0.1) == BacklogFull(100, 5_000.0)
 
 
 def test_share_of_a_life_that_is_gone_is_not_counted_beside_its_claimed_jobs() -> None:
     shares = {'a': TokenShare(InstanceId('i'), 500, 400)}
-    counted = count_others(shares, 'b', lambda _life, _share: ShareStanding.GONE, [], ROUTE)
-    assert counted == OtherShares(0, 0, 0)
-    counted = count_others(shares, 'b', lambda _life, _share: ShareStanding.DOUBTFUL, [], ROUTE)
+    counted = count_others(shares, 'b', lambda _life, _share: ShareValidity.GONE, [], ROUTE)
+    assert counted == PeerShares(0, 0, 0)
+    counted = count_others(shares, 'b', lambda _life, _share: ShareValidity.DOUBTFUL, [], ROUTE)
     assert counted.held == 500
 
 
@@ -508,7 +508,7 @@
     assert fleet.burst([0]) == [202]
     node = fleet.nodes[1]
     reserved = node.waiting.reserve(fleet.route, JobId('late'), JOB_TOKENS, 1e9)
-    assert reserved is Reservation.DONE
+    assert reserved is BacklogReservation.DONE
     node.waiting.settle(ROUTE, JobId('late'), in_doubt=True)
     fleet.look_all()
     fleet.clock.ms += 6_000.0
@@ -546,5 +546,5 @@
     # counts as a whole then; taken off the share, it would leave nothing for the other.
     shares = {'a': TokenShare(InstanceId('i'), 1_100, 1_100, finished=900)}
     head = msgspec.structs.replace(new_head(0), route=ROUTE, owner_life='a', tokens=1_000)
-    counted = count_others(shares, 'b', lambda _life, _share: ShareStanding.DOUBTFUL, [head], ROUTE)
+    counted = count_others(shares, 'b', lambda _life, _share: ShareValidity.DOUBTFUL, [head], ROUTE)
     assert counted.held == 2_000
--- a/tests/test_batch/test_batch_wave.py
+++ b/tests/test_batch/test_batch_wave.py
@@ -15,12 +15,12 @@
 #: Items in time, and places in use, against what the places allow.
 SHARE = 0.95
 CALM_PER_S, BURST_PER_S = 60.0, 330.0
-CALM_MS, STEP_MS = 3_400.0, 5_800.0
+OVERLOAD_MEMORY_MS, STEP_MS = 3_400.0, 5_800.0
 
 
 def bursts(at_ms: float) -> float:
     """Online requests a second: 42 places in the calm, 230 in a burst."""
-    return CALM_PER_S if at_ms % STEP_MS < CALM_MS else BURST_PER_S
+    return CALM_PER_S if at_ms % STEP_MS < OVERLOAD_MEMORY_MS else BURST_PER_S
 
 
 def most_done_ms(ends_ms: list[float]) -> float:
--- a/tests/test_batch/wave_world.py
+++ b/tests/test_batch/wave_world.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
-from citrondyke.decisions.batch.batch_need import ToldNeed
-from citrondyke.decisions.batch.give_way import GiveWay, RunningItem, urgency
-from citrondyke.decisions.batch.outlook import Outlook, need_of, outlook
-from citrondyke.decisions.batch.start_pace import StartPace
+from citrondyke.decisions.batch.batch_demand import DemandNotice
+from citrondyke.decisions.batch.batch_preemption import BatchPreemption, RunningItem, urgency
+from citrondyke.decisions.batch.item_priority import ItemPriority, batch_demand_of, outlook
+from citrondyke.decisions.batch.start_rate_limiter import StartRateLimiter
 from citrondyke.decisions.forwarding.load_notices import TOTALS_EVERY_MS, LoadNotices, ServerLoad
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.ids import InstanceId, ServerId, ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import listed_server
@@ -54,7 +54,7 @@
     loads: list[ServerLoad]
 
 
-Told = ZoneTotals | list[ServerLoad] | list[ToldNeed]
+Told = ZoneTotals | list[ServerLoad] | list[DemandNotice]
 
 
 class Instance:
@@ -63,10 +63,10 @@
     def __init__(self, clock: ManualClock, number: int, zone: str) -> None:
         context = manual_context(clock, f'i{number}', zone, seed=number)
         self.context = context
-        self.book = ServerBook(context)
-        self.book.when_choosing(self.look)
-        self.pace = StartPace(context, self.book.neighbours)
-        self.way = GiveWay(context, self.book, self.pace)
+        self.book = ServerRegistry(context)
+        self.book.on_choose(self.look)
+        self.pace = StartRateLimiter(context, self.book.neighbours)
+        self.way = BatchPreemption(context, self.book, self.pace)
         self.notices = LoadNotices(context, self.book)
         self.inbox: list[tuple[InstanceId, Told]] = []
         self.waiting: list[Item] = []
@@ -77,7 +77,7 @@
     def look(self) -> None:
         for sender, told in self.inbox:
             if isinstance(told, ZoneTotals):
-                self.notices.note_totals(told.loads)
+                self.notices.record_totals(told.loads)
             elif told and isinstance(told[0], ServerLoad):
                 self.notices.note(sender, told)
             else:
@@ -198,14 +198,14 @@
             each.way.watch(SERVICE)
         if int(now_ms / COUNT_MS) != int((now_ms - LOOK_MS) / COUNT_MS):
             outlooks = [self._outlook(item) for item in each.waiting]
-            own = [need_of(SERVICE, outlooks, now_ms)] if outlooks else []
-            each.pace.needs.note_own(own)
+            own = [batch_demand_of(SERVICE, outlooks, now_ms)] if outlooks else []
+            each.pace.needs.record_own_demand(own)
             told = each.pace.needs.to_tell()
             if told is not None:
                 self._send(each, told, each.book.neighbours.near())
         self._start(each)
 
-    def _outlook(self, item: Item) -> Outlook:
+    def _outlook(self, item: Item) -> ItemPriority:
         spare_ms = item.due_ms - self.clock.ms - self._expected_ms(item)
         has_begun = item.cuts_count > 0
         return outlook(spare_ms, self.item_ms * self.spread, has_begun=has_begun)
--- a/tests/test_cmd/test_cmd_start_files.py
+++ b/tests/test_cmd/test_cmd_start_files.py
@@ -11,7 +11,7 @@
 import pytest
 
 from citrondyke.util.code_bundle import LIBRARY, PACKAGES, open_bundle
-from citrondyke.util.put_off import put_off
+from citrondyke.util.lazy_import import put_off
 
 
 def write_bundle(folder: Path, version: str = sys.version) -> str:
--- a/tests/test_crashes/test_crashes_life_watch.py
+++ b/tests/test_crashes/test_crashes_life_watch.py
@@ -5,7 +5,11 @@
 import pytest
 
 from citrondyke.decisions.crashes.content import RequestContent, content_of
-from citrondyke.decisions.crashes.life_watch import ALIVE_WITHIN_MS, KEPT_MS, LifeWatch
+from citrondyke.decisions.crashes.server_exit_detector import (
+    ALIVE_WITHIN_MS,
+    KEPT_MS,
+    ServerExitDetector,
+)
 from tests.support.manual_clock import ManualClock, manual_context
 
 SERVER = 7
@@ -16,13 +20,13 @@
 
     def __init__(self) -> None:
         self.clock = ManualClock()
-        self.watch = LifeWatch(manual_context(self.clock))
+        self.watch = ServerExitDetector(manual_context(self.clock))
 
     def break_off(self, name: bytes = b'a') -> bool:
         return self.watch.note_broken(SERVER, content(name), is_fresh=True)
 
     def counted(self) -> list[RequestContent]:
-        return [each.content for each in self.watch.note_ended(SERVER)]
+        return [each.content for each in self.watch.record_server_ended(SERVER)]
 
 
 @pytest.fixture
@@ -46,7 +50,7 @@
 def test_server_that_takes_a_connection_has_not_ended(desk: Desk) -> None:
     desk.break_off()
     desk.clock.ms += 2.0
-    desk.watch.note_alive(SERVER, desk.clock.ms)
+    desk.watch.record_server_alive(SERVER, desk.clock.ms)
     assert desk.counted() == []
 
 
@@ -55,7 +59,7 @@
     # server at the same address; the list shows later that the one before is gone.
     desk.break_off()
     desk.clock.ms += ALIVE_WITHIN_MS + 1.0
-    desk.watch.note_alive(SERVER, desk.clock.ms)
+    desk.watch.record_server_alive(SERVER, desk.clock.ms)
     assert [each.content for each in desk.watch.note_gone(SERVER)] == [content(b'a')]
 
 
@@ -64,7 +68,7 @@
     desk.clock.ms += 1.0
     desk.break_off()
     # It is asked again.
-    assert desk.watch.note_alive(SERVER, asked_ms)
+    assert desk.watch.record_server_alive(SERVER, asked_ms)
     assert desk.counted() == [content(b'a')]
 
 
--- a/tests/test_crashes/test_crashes_news.py
+++ b/tests/test_crashes/test_crashes_news.py
@@ -5,15 +5,22 @@
 import itertools
 
 from citrondyke.decisions.crashes.content import content_of
-from citrondyke.decisions.crashes.news_queue import GAP_MS, NewsKind, NewsQueue, SuspectNews
+from citrondyke.decisions.crashes.suspect_update_queue import (
+    GAP_MS,
+    SuspectNews,
+    SuspectUpdateKind,
+    SuspectUpdateQueue,
+)
 from tests.support.manual_clock import ManualClock, manual_context
 
 
-def news(number: int, kind: NewsKind = NewsKind.FRESH) -> SuspectNews:
+def news(number: int, kind: SuspectUpdateKind = SuspectUpdateKind.FRESH) -> SuspectNews:
     return SuspectNews(content_of(b'POST', b'h', b'/', b'%d' % number), kind)
 
 
-def drain(queue: NewsQueue, clock: ManualClock) -> list[tuple[float, int, list[SuspectNews]]]:
+def drain(
+    queue: SuspectUpdateQueue, clock: ManualClock
+) -> list[tuple[float, int, list[SuspectNews]]]:
     """Take all that there is to tell, each when it is due."""
     told = []
     while (pause_ms := queue.next_pause_ms()) is not None:
@@ -26,7 +33,7 @@
 
 def test_each_is_told_three_times_at_once_first() -> None:
     clock = ManualClock()
-    queue = NewsQueue(manual_context(clock))
+    queue = SuspectUpdateQueue(manual_context(clock))
     queue.add(5, news(1), 1.0)
     queue.add(5, news(2), 1.0)
     assert queue.next_pause_ms() == 0.0
@@ -37,7 +44,7 @@
 def test_messages_are_spaced_and_name_one_server_each() -> None:
     # Six servers of a rack end at once with sixty requests on each.
     clock = ManualClock()
-    queue = NewsQueue(manual_context(clock))
+    queue = SuspectUpdateQueue(manual_context(clock))
     for server in range(1, 7):
         for number in range(60):
             queue.add(server, news(server * 100 + number), 1.0)
@@ -49,19 +56,19 @@
 
 def test_least_suspected_is_left_out_when_there_is_too_much() -> None:
     clock = ManualClock()
-    queue = NewsQueue(manual_context(clock))
+    queue = SuspectUpdateQueue(manual_context(clock))
     queue.add(1, news(1), 3.0)
-    queue.add(0, news(2, NewsKind.SURVIVED), 0.0)
+    queue.add(0, news(2, SuspectUpdateKind.SURVIVED), 0.0)
     for number in range(2_000):
         queue.add(2, news(number + 10), 1.0)
     told = {each for _, _, found in drain(queue, clock) for each in found}
-    assert {news(1), news(2, NewsKind.SURVIVED)} <= told
+    assert {news(1), news(2, SuspectUpdateKind.SURVIVED)} <= told
     assert len(told) <= 512
 
 
 def test_what_everybody_and_what_few_are_told_goes_apart() -> None:
     clock = ManualClock()
-    queue = NewsQueue(manual_context(clock))
+    queue = SuspectUpdateQueue(manual_context(clock))
     queue.add(1, news(1), 1.0, is_wide=False)
     queue.add(1, news(2), 2.0, times=1)
     first = queue.take()
--- a/tests/test_crashes/test_crashes_suspects.py
+++ b/tests/test_crashes/test_crashes_suspects.py
@@ -11,18 +11,18 @@
 
 from citrondyke.decisions.crashes.content import RequestContent, content_of
 from citrondyke.decisions.crashes.suspect import Suspect, SuspectRow
-from citrondyke.decisions.crashes.suspect_book import (
-    FIRST_TRIAL_PAUSE_MS,
-    TRIAL_MS,
-    TRIAL_PAUSE_MS,
-    TRIALS_LIMIT,
-    Standing,
-    SuspectBook,
+from citrondyke.decisions.crashes.suspect_registry import (
+    FIRST_PROBE_PAUSE_MS,
+    PROBE_PAUSE_MS,
+    PROBE_TIMEOUT_MS,
+    PROBES_LIMIT,
+    SuspectRegistry,
+    SuspectVerdict,
 )
 from tests.support.manual_clock import ManualClock, manual_context
 
 CULPRIT = content_of(b'POST', b'h', b'/p/', b'culprit')
-SENT = (Standing.FREE, Standing.SUSPECTED)
+SENT = (SuspectVerdict.FREE, SuspectVerdict.SUSPECTED)
 
 
 def other(number: int) -> RequestContent:
@@ -34,11 +34,11 @@
 
     def __init__(self) -> None:
         self.clock = ManualClock()
-        self.book = SuspectBook(manual_context(self.clock))
+        self.book = SuspectRegistry(manual_context(self.clock))
 
     def end(self, server: int, *contents: RequestContent, is_fresh: bool = True) -> None:
         for content in contents:
-            self.book.note_end(content, server, is_fresh=is_fresh)
+            self.book.record_server_exit(content, server, is_fresh=is_fresh)
 
     def stop(self, content: RequestContent = CULPRIT) -> None:
         for server in (1, 2, 3):
@@ -46,20 +46,20 @@
 
     def try_it(self) -> bool:
         """Have a trial given out, as the store does."""
-        if self.book.standing(CULPRIT) is not Standing.TRIAL_DUE:
+        if self.book.standing(CULPRIT) is not SuspectVerdict.TRIAL_DUE:
             return False
-        return self.book.join(self.book.trial_row(CULPRIT))
+        return self.book.join(self.book.probe_row(CULPRIT))
 
 
 def test_third_end_stops_a_request() -> None:
     desk = Desk()
     for server in (1, 2):
         desk.end(server, CULPRIT)
-        assert desk.book.standing(CULPRIT) is Standing.SUSPECTED
+        assert desk.book.standing(CULPRIT) is SuspectVerdict.SUSPECTED
     desk.end(3, CULPRIT)
-    assert desk.book.standing(CULPRIT) is Standing.STOPPED
+    assert desk.book.standing(CULPRIT) is SuspectVerdict.STOPPED
     assert desk.book.concerns(CULPRIT.target)
-    assert desk.book.standing(other(1)) is Standing.FREE
+    assert desk.book.standing(other(1)) is SuspectVerdict.FREE
 
 
 def test_one_servers_end_counts_once_whoever_tells_of_it() -> None:
@@ -85,13 +85,13 @@
     # well; then a report of one of the three comes once more, delayed.
     desk = Desk()
     desk.stop()
-    assert desk.book.note_survived(CULPRIT)
-    assert not desk.book.note_survived(CULPRIT)
+    assert desk.book.record_survived(CULPRIT)
+    assert not desk.book.record_survived(CULPRIT)
     desk.end(2, CULPRIT)
-    assert desk.book.standing(CULPRIT) is Standing.FREE
+    assert desk.book.standing(CULPRIT) is SuspectVerdict.FREE
     for server in (4, 5, 6):
         desk.end(server, CULPRIT)
-    assert desk.book.standing(CULPRIT) is Standing.STOPPED
+    assert desk.book.standing(CULPRIT) is SuspectVerdict.STOPPED
 
 
 def test_answer_that_has_long_begun_is_weak_evidence() -> None:
@@ -99,9 +99,9 @@
     desk = Desk()
     for server in range(11):
         desk.end(server, CULPRIT, is_fresh=False)
-        assert desk.book.standing(CULPRIT) is Standing.SUSPECTED
+        assert desk.book.standing(CULPRIT) is SuspectVerdict.SUSPECTED
     desk.end(11, CULPRIT, is_fresh=False)
-    assert desk.book.standing(CULPRIT) is Standing.STOPPED
+    assert desk.book.standing(CULPRIT) is SuspectVerdict.STOPPED
 
 
 def test_trials_are_few_and_far_between() -> None:
@@ -114,13 +114,13 @@
         desk.clock.ms += 1_000.0
         if desk.try_it():
             tried_ms.append(desk.clock.ms - stopped_ms)
-            assert desk.book.standing(CULPRIT) is Standing.ON_TRIAL
+            assert desk.book.standing(CULPRIT) is SuspectVerdict.ON_TRIAL
             desk.end(100 + len(tried_ms), CULPRIT)
-        assert desk.book.standing(CULPRIT) is not Standing.FREE
-    assert len(tried_ms) == TRIALS_LIMIT
-    assert tried_ms[0] >= FIRST_TRIAL_PAUSE_MS
-    assert tried_ms[1] - tried_ms[0] >= TRIAL_PAUSE_MS
-    assert tried_ms[2] - tried_ms[1] >= 2 * TRIAL_PAUSE_MS
+        assert desk.book.standing(CULPRIT) is not SuspectVerdict.FREE
+    assert len(tried_ms) == PROBES_LIMIT
+    assert tried_ms[0] >= FIRST_PROBE_PAUSE_MS
+    assert tried_ms[1] - tried_ms[0] >= PROBE_PAUSE_MS
+    assert tried_ms[2] - tried_ms[1] >= 2 * PROBE_PAUSE_MS
 
 
 def test_trial_that_a_full_server_turned_away_is_made_up_for_twice() -> None:
@@ -128,20 +128,20 @@
     desk.stop()
     tried_count = 0
     for _ in range(100):
-        desk.clock.ms += TRIAL_MS
+        desk.clock.ms += PROBE_TIMEOUT_MS
         if desk.try_it():
             tried_count += 1
-            desk.book.note_trial_refused(CULPRIT)
+            desk.book.record_probe_refused(CULPRIT)
     assert tried_count == 2
 
 
 def test_trial_without_a_word_is_over_in_time() -> None:
     desk = Desk()
     desk.stop()
-    desk.clock.ms += FIRST_TRIAL_PAUSE_MS
+    desk.clock.ms += FIRST_PROBE_PAUSE_MS
     assert desk.try_it()
-    desk.clock.ms += TRIAL_MS
-    assert desk.book.standing(CULPRIT) is Standing.STOPPED
+    desk.clock.ms += PROBE_TIMEOUT_MS
+    assert desk.book.standing(CULPRIT) is SuspectVerdict.STOPPED
 
 
 def test_item_gets_its_trials_within_its_jobs_time() -> None:
@@ -150,11 +150,11 @@
     tried_count = 0
     for _ in range(40):
         desk.clock.ms += 1_000.0
-        if desk.book.standing(CULPRIT, is_item=True) is Standing.TRIAL_DUE:
-            desk.book.join(desk.book.trial_row(CULPRIT))
+        if desk.book.standing(CULPRIT, is_item=True) is SuspectVerdict.TRIAL_DUE:
+            desk.book.join(desk.book.probe_row(CULPRIT))
             tried_count += 1
             desk.end(100 + tried_count, CULPRIT)
-    assert tried_count == TRIALS_LIMIT
+    assert tried_count == PROBES_LIMIT
 
 
 def test_book_is_bounded_and_keeps_the_most_suspected() -> None:
@@ -163,7 +163,7 @@
     for number in range(3_000):
         desk.end(number + 10, other(number))
     assert len(desk.book) <= 1_000
-    assert desk.book.standing(CULPRIT) is Standing.STOPPED
+    assert desk.book.standing(CULPRIT) is SuspectVerdict.STOPPED
 
 
 def test_suspect_of_yesterday_is_forgotten() -> None:
@@ -174,7 +174,7 @@
     assert list(desk.book.forget_old()) == [CULPRIT.digest]
     assert row is not None
     assert not desk.book.join(row)
-    assert desk.book.standing(CULPRIT) is Standing.FREE
+    assert desk.book.standing(CULPRIT) is SuspectVerdict.FREE
     assert not desk.book.concerns(CULPRIT.target)
 
 
@@ -232,7 +232,7 @@
             desk.end(1_000 + ends_count, CULPRIT, *beside)
         for each in crowd[:4]:
             if desk.book.standing(each) in SENT:
-                desk.book.note_survived(each)
+                desk.book.record_survived(each)
                 answered.add(each)
     assert ends_count == 3
     assert all(desk.book.standing(other(turn)) in SENT for turn in range(200))
--- a/tests/test_decisions/test_decisions_crash_points.py
+++ b/tests/test_decisions/test_decisions_crash_points.py
@@ -7,9 +7,9 @@
 import msgspec
 import pytest
 
+from citrondyke.decisions.at_most_once.once_result import OnceResultKind
 from citrondyke.decisions.core.runner import Effect
 from citrondyke.decisions.jobs.rows import TodoRow
-from citrondyke.decisions.once.once_end import OnceEndKind
 from citrondyke.driver.virtual.virtual_fleet import VirtualFleet
 from citrondyke.driver.virtual.virtual_instance import VirtualInstance
 from citrondyke.ids import RowKey
@@ -92,11 +92,11 @@
         assert sum(runs.values()) <= 1, point
         assert len(ends) == 2, point
         assert ends[0].kind is ends[1].kind
-        assert ends[0].kind in (OnceEndKind.ANSWERED, OnceEndKind.UNKNOWN)
-        if first and first[0].kind is OnceEndKind.ANSWERED:
-            assert ends[0].kind is OnceEndKind.ANSWERED
+        assert ends[0].kind in (OnceResultKind.ANSWERED, OnceResultKind.UNKNOWN)
+        if first and first[0].kind is OnceResultKind.ANSWERED:
+            assert ends[0].kind is OnceResultKind.ANSWERED
         if not runs:
-            assert ends[0].kind is OnceEndKind.UNKNOWN
+            assert ends[0].kind is OnceResultKind.UNKNOWN
 
 
 @pytest.mark.parametrize('start', range(3))
--- a/tests/test_decisions/test_decisions_list_readers.py
+++ b/tests/test_decisions/test_decisions_list_readers.py
@@ -5,17 +5,17 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from citrondyke.decisions.forwarding.listed_rows import ListedRows, SeenRow
-from citrondyke.decisions.knowledge.list_position import ListPosition
-from citrondyke.decisions.knowledge.reader_rule import PAYS_BYTES, STOPS_SHARE, ReaderRule
-from citrondyke.decisions.knowledge.reader_watch import (
+from citrondyke.decisions.forwarding.replicated_rows import ObservedRow, ReplicatedRows
+from citrondyke.decisions.server_list.reader_election import PAYS_BYTES, STOPS_SHARE, ReaderElection
+from citrondyke.decisions.server_list.reader_lease_tracker import (
     DIFFERS_MS,
     FRESH_MS,
     SILENT_MS,
-    Lack,
-    ReaderWatch,
+    MissingRows,
+    ReaderLeaseTracker,
 )
-from citrondyke.gateway.beliefs.change_feed import FEED_PAUSE_MS
+from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
+from citrondyke.gateway.replication.change_feed import FEED_PAUSE_MS
 from citrondyke.ids import InstanceId
 from tests.support.manual_clock import ManualClock, manual_context
 
@@ -23,8 +23,8 @@
 DIGEST = 7
 
 
-def position(number: int, *, digest: int = DIGEST, age_ms: float = 0.0) -> ListPosition:
-    return ListPosition('life', number, digest, is_whole=True, age_ms=age_ms)
+def position(number: int, *, digest: int = DIGEST, age_ms: float = 0.0) -> ServerListCursor:
+    return ServerListCursor('life', number, digest, is_whole=True, age_ms=age_ms)
 
 
 class Listening:
@@ -32,15 +32,15 @@
 
     def __init__(self) -> None:
         self.clock = ManualClock()
-        self.watch = ReaderWatch(manual_context(self.clock))
+        self.watch = ReaderLeaseTracker(manual_context(self.clock))
 
-    def hear(self, told: ListPosition, reader: InstanceId = READER) -> Lack:
-        return self.watch.note_position(reader, told, DIGEST)
+    def hear(self, told: ServerListCursor, reader: InstanceId = READER) -> MissingRows:
+        return self.watch.record_cursor(reader, told, DIGEST)
 
 
 def test_reader_covers_until_it_is_silent() -> None:
     at = Listening()
-    assert at.hear(position(3)) is Lack.NOTHING
+    assert at.hear(position(3)) is MissingRows.NOTHING
     at.clock.ms += SILENT_MS - 1
     assert at.watch.is_covered
     at.clock.ms += 1
@@ -67,37 +67,37 @@
 def test_second_reader_with_the_same_list_covers_without_a_question() -> None:
     at = Listening()
     at.hear(position(3))
-    assert at.hear(position(40), SECOND) is Lack.NOTHING
+    assert at.hear(position(40), SECOND) is MissingRows.NOTHING
     at.clock.ms += SILENT_MS
-    assert at.hear(position(40), SECOND) is Lack.NOTHING
+    assert at.hear(position(40), SECOND) is MissingRows.NOTHING
     assert at.watch.is_covered
 
 
 def test_lost_changes_are_asked_for_and_a_list_that_differs_for_long_as_a_whole() -> None:
     at = Listening()
-    assert at.hear(position(3, digest=1)) is Lack.EVERYTHING
-    at.watch.note_changes(READER, 'life', 0, 3)
-    assert at.hear(position(4, digest=2)) is Lack.CHANGES
-    at.watch.note_changes(READER, 'life', 3, 4)
-    assert at.hear(position(4, digest=2)) is Lack.NOTHING
+    assert at.hear(position(3, digest=1)) is MissingRows.EVERYTHING
+    at.watch.record_changes(READER, 'life', 0, 3)
+    assert at.hear(position(4, digest=2)) is MissingRows.CHANGES
+    at.watch.record_changes(READER, 'life', 3, 4)
+    assert at.hear(position(4, digest=2)) is MissingRows.NOTHING
     at.clock.ms += DIFFERS_MS
     # Asked for a moment ago; each question brings hundreds of KB.
-    assert at.hear(position(4, digest=2)) is Lack.NOTHING
+    assert at.hear(position(4, digest=2)) is MissingRows.NOTHING
     at.clock.ms += 5_000.0
-    assert at.hear(position(4, digest=2)) is Lack.EVERYTHING
+    assert at.hear(position(4, digest=2)) is MissingRows.EVERYTHING
     assert not at.watch.is_covered
 
 
 def test_next_life_of_a_reader_counts_anew() -> None:
     at = Listening()
     at.hear(position(30))
-    told = ListPosition('next', 40, 1, is_whole=True)
+    told = ServerListCursor('next', 40, 1, is_whole=True)
     at.clock.ms += SILENT_MS
-    assert at.hear(told) is Lack.EVERYTHING
+    assert at.hear(told) is MissingRows.EVERYTHING
 
 
 def test_few_bytes_are_read_by_everybody_and_the_rule_does_not_flap() -> None:
-    rule = ReaderRule(manual_context())
+    rule = ReaderElection(manual_context())
     assert not rule.pays(PAYS_BYTES // 30 - 1, 30)
     assert rule.pays(PAYS_BYTES // 300 + 1, 300)
     assert rule.pays(int(PAYS_BYTES * STOPS_SHARE) // 300 + 1, 300)
@@ -105,7 +105,7 @@
 
 
 def test_all_choose_the_same_readers_and_a_small_zone_none() -> None:
-    rule = ReaderRule(manual_context())
+    rule = ReaderElection(manual_context())
     members = [InstanceId(f'instance-{number}') for number in range(75)]
     readers = rule.readers(members)
     assert readers == rule.readers(reversed(members))
@@ -123,8 +123,8 @@
 def test_follower_of_changes_has_the_readers_list(
     made: list[tuple[str, str]], told_after: list[int]
 ) -> None:
-    reader: ListedRows[str] = ListedRows(0.0)
-    follower: ListedRows[str] = ListedRows(0.0)
+    reader: ReplicatedRows[str] = ReplicatedRows(0.0)
+    follower: ReplicatedRows[str] = ReplicatedRows(0.0)
     told = 0
     for version, (key, what) in enumerate(made, 1):
         if what == 'list':
@@ -132,7 +132,7 @@
             reader.apply_listing(kept, version, 0.0)
         else:
             value = 'x' if what == 'put' else None
-            reader.apply_feed([SeenRow(key, version, value)], 0.0)
+            reader.apply_feed([ObservedRow(key, version, value)], 0.0)
         if version in told_after:
             follower.apply_feed(reader.changes_since(told) or [], 0.0)
             told = reader.revision
@@ -143,9 +143,9 @@
 
 
 def test_changes_that_are_forgotten_are_told_as_a_whole() -> None:
-    rows: ListedRows[str] = ListedRows(0.0)
+    rows: ReplicatedRows[str] = ReplicatedRows(0.0)
     for number in range(1, 5_000):
-        rows.apply_feed([SeenRow(f'k{number}', 2 * number, 'x')], 0.0)
-        rows.apply_feed([SeenRow(f'k{number}', 2 * number + 1, None)], 0.0)
+        rows.apply_feed([ObservedRow(f'k{number}', 2 * number, 'x')], 0.0)
+        rows.apply_feed([ObservedRow(f'k{number}', 2 * number + 1, None)], 0.0)
     assert rows.changes_since(10) is None
     assert rows.changes_since(rows.revision) == []
--- a/tests/test_decisions/test_decisions_lost_replies.py
+++ b/tests/test_decisions/test_decisions_lost_replies.py
@@ -6,10 +6,10 @@
 
 import pytest
 
+from citrondyke.decisions.at_most_once.once_result import OnceResultKind
 from citrondyke.decisions.configuration.change import ConfigChange
 from citrondyke.decisions.configuration.proposal import ConfigProposal, WantedEdit
 from citrondyke.decisions.core import ops
-from citrondyke.decisions.once.once_end import OnceEndKind
 from citrondyke.driver.virtual.virtual_fleet import VirtualFleet
 from citrondyke.ids import ConfigVersion
 from citrondyke.storage.failure import AMBIGUOUS
@@ -55,7 +55,7 @@
     lose_reply(fleet, number)
     order(host, fleet, 'key', ends)
     fleet.time.run_until(fleet.time.now_ms() + 10_000.0)
-    assert [end.kind for end in ends] == [OnceEndKind.ANSWERED]
+    assert [end.kind for end in ends] == [OnceResultKind.ANSWERED]
     assert list(fleet.servers['orders'].runs.values()) == [1]  # type: ignore[index]
 
 
@@ -124,12 +124,12 @@
     refused: list[Any] = []
     order(first, fleet, 'key', refused)
     fleet.time.run_until(fleet.time.now_ms() + 9000.0)
-    assert [end.kind for end in refused] == [OnceEndKind.PLATFORM_DOWN]
+    assert [end.kind for end in refused] == [OnceResultKind.PLATFORM_DOWN]
     assert not fleet.servers['orders'].runs  # type: ignore[index]
     ends: list[Any] = []
     order(second, fleet, 'key', ends)
     fleet.time.run_until(fleet.time.now_ms() + 10_000.0)
-    assert [end.kind for end in ends] == [OnceEndKind.ANSWERED]
+    assert [end.kind for end in ends] == [OnceResultKind.ANSWERED]
     assert list(fleet.servers['orders'].runs.values()) == [1]  # type: ignore[index]
 
 
--- a/tests/test_decisions/test_decisions_machine.py
+++ b/tests/test_decisions/test_decisions_machine.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from citrondyke.decisions.jobs.job_wish import AcceptedJob
-from citrondyke.decisions.once.once_end import OnceEndKind
+from citrondyke.decisions.at_most_once.once_result import OnceResultKind
+from citrondyke.decisions.jobs.job_request import AcceptedJob
 from citrondyke.driver.virtual.virtual_instance import VirtualInstance
 from citrondyke.standin.faults import FaultMode
 from tests.support.virtual import LIMITS, job_outcomes, make_fleet, model_lines, order, wait_for_job
@@ -111,7 +111,7 @@
         self.no_order_runs_twice()
         for ends in self.ends.values():
             told = {end.kind for end in ends}
-            assert not {OnceEndKind.ANSWERED, OnceEndKind.UNKNOWN} <= told, told
+            assert not {OnceResultKind.ANSWERED, OnceResultKind.UNKNOWN} <= told, told
 
 
 FleetMachine.TestCase.settings = settings(
--- a/tests/test_decisions/test_decisions_online.py
+++ b/tests/test_decisions/test_decisions_online.py
@@ -8,7 +8,7 @@
 
 from citrondyke.decisions.core.context import Context
 from citrondyke.decisions.membership.peer_messages import ServerState
-from citrondyke.decisions.online.admission import Admission, Place, Queued
+from citrondyke.decisions.online.admission import Admission, Place, WaitingForCapacity
 from citrondyke.decisions.online.fleet import Fleet
 from citrondyke.decisions.online.refusal import Refusal, RefusalReason
 from citrondyke.decisions.online.retry_budget import RetryBudget
@@ -41,7 +41,7 @@
         assert found is not None
         return found
 
-    def enter(self, tenant: str) -> Place | Refusal | Queued:
+    def enter(self, tenant: str) -> Place | Refusal | WaitingForCapacity:
         return self.admission.enter(MODEL, TenantId(tenant), 100.0, LATER)
 
 
@@ -97,7 +97,7 @@
     places = [parts.enter('a') for _ in range(20)]
     assert all(isinstance(place, Place) for place in places)
     waiting = parts.enter('b')
-    assert isinstance(waiting, Queued)
+    assert isinstance(waiting, WaitingForCapacity)
     refused = parts.enter('a')
     assert isinstance(refused, Refusal)
     assert refused.retry_in_ms > 0
@@ -110,7 +110,7 @@
     # A caller goes away in the queue at the moment it is given a place; the place is not lost.
     places = [parts.enter('a') for _ in range(20)]
     waiting = parts.enter('b')
-    assert isinstance(waiting, Queued)
+    assert isinstance(waiting, WaitingForCapacity)
     parts.admission.leave(places[0])  # type: ignore[arg-type]
     parts.admission.give_up(MODEL, waiting)
     assert isinstance(parts.enter('b'), Place)
--- a/tests/test_decisions/test_decisions_rows.py
+++ b/tests/test_decisions/test_decisions_rows.py
@@ -7,8 +7,9 @@
 import msgspec
 import pytest
 
+from citrondyke.decisions.at_most_once.intent_row import IntentRow
 from citrondyke.decisions.jobs.job_file_reader import JobFileReader
-from citrondyke.decisions.jobs.job_wish import JobWish
+from citrondyke.decisions.jobs.job_request import JobRequest
 from citrondyke.decisions.jobs.rows import (
     JobRow,
     OpenRow,
@@ -17,7 +18,6 @@
     open_row_key,
 )
 from citrondyke.decisions.membership.session_row import SessionRow, SessionState
-from citrondyke.decisions.once.intent_row import IntentRow
 from citrondyke.ids import ClassName, JobId, RowKey, TargetName, TenantId, WriteId
 from citrondyke.storage.table_service import Transaction, Write
 from tests.support.virtual import LIMITS, job_outcomes, make_fleet, model_lines, wait_for_job
@@ -111,7 +111,7 @@
     changed = msgspec.structs.replace(LIMITS, segment_items=13)
     new = fleet.add_instance('i7', 'z', changed)
     fleet.time.run_until(fleet.time.now_ms() + 500.0)
-    wish = JobWish(
+    wish = JobRequest(
         tenant_id=tenant,
         file_id=recorded[0],
         endpoint='/v1/completions',
--- a/tests/test_decisions/test_decisions_steward.py
+++ b/tests/test_decisions/test_decisions_steward.py
@@ -40,7 +40,7 @@
     # engine's steward stops counting them once the instance does not answer pings.
     fleet = make_fleet(seed=3, instances=3)
     hosts = list(fleet.instances.values())
-    steward = next(host for host in hosts if host.instance.steward.looks_after(ENGINE))
+    steward = next(host for host in hosts if host.instance.steward.is_steward_for(ENGINE))
     entry = next(host for host in hosts if host is not steward)
     share = steward.instance.steward.share(ENGINE)
     assert share is not None
--- a/tests/test_forwarding/test_forwarding_admission.py
+++ b/tests/test_forwarding/test_forwarding_admission.py
@@ -7,10 +7,10 @@
     WAIT_SHARE,
     AdmissionRule,
     Admitted,
-    TurnedAway,
+    Rejected,
 )
 from citrondyke.decisions.forwarding.route import RouteKind
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.decisions.forwarding.server_state import ServerState
 from citrondyke.ids import ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
@@ -27,19 +27,19 @@
     def __init__(self) -> None:
         self.clock = ManualClock()
         context = manual_context(self.clock)
-        self.book = ServerBook(context)
+        self.book = ServerRegistry(context)
         self.book.replace(listed_server(name, 's', SLOTS) for name in ('a', 'b'))
         self.rule = AdmissionRule(context, self.book)
         self.book.neighbours.replace(other_instances(9))
         self.route = route(RouteKind.STREAM)
-        self.rule.note_stay(self.route, STAY_MS)
+        self.rule.record_service_time(self.route, STAY_MS)
 
     def best(self) -> ServerState:
         state = self.book.choose(ServiceName('s'), (), '')
         assert state is not None
         return state
 
-    def ask(self, left_ms: float = 5_000.0) -> Admitted | TurnedAway:
+    def ask(self, left_ms: float = 5_000.0) -> Admitted | Rejected:
         return self.rule.decide(self.route, self.best(), left_ms)
 
 
@@ -63,7 +63,7 @@
     door = Door()
     fill(door, SLOTS + 2)
     answer = door.ask()
-    assert isinstance(answer, TurnedAway)
+    assert isinstance(answer, Rejected)
     assert answer.expected_wait_ms > WAIT_SHARE * door.route.target_ms
 
 
@@ -77,7 +77,7 @@
 def test_request_whose_caller_leaves_before_is_not_taken() -> None:
     door = Door()
     fill(door, SLOTS + 1)
-    assert isinstance(door.ask(left_ms=150.0), TurnedAway)
+    assert isinstance(door.ask(left_ms=150.0), Rejected)
 
 
 def test_those_turned_away_are_asked_back_over_as_long_as_is_needed_for_them() -> None:
@@ -88,7 +88,7 @@
     times = []
     for _ in range(6):
         answer = door.ask()
-        assert isinstance(answer, TurnedAway)
+        assert isinstance(answer, Rejected)
         times.append(answer.retry_in_ms)
         door.clock.ms += 100.0
     assert times[0] < 300.0
@@ -96,5 +96,5 @@
     assert max(times) <= LONGEST_RETRY_MS * 1.25
     door.clock.ms += 10_000.0
     later = door.ask()
-    assert isinstance(later, TurnedAway)
+    assert isinstance(later, Rejected)
     assert later.retry_in_ms < 300.0
--- a/tests/test_forwarding/test_forwarding_config_holder.py
+++ b/tests/test_forwarding/test_forwarding_config_holder.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citrondyke.decisions.forwarding.config_holder import CONFIRMED_MS, ConfigHolder
+from citrondyke.decisions.forwarding.current_config import CONFIRMED_MS, CurrentConfig
 from citrondyke.decisions.forwarding.route_table import RouteTable
 from citrondyke.ids import ConfigVersion
 
@@ -14,7 +14,7 @@
 def test_older_version_from_a_late_read_changes_nothing() -> None:
     # The feed brought version 9; a read that is seconds old, or a peer that is behind, shows 7.
     # Routes that version 9 dropped would be served again.
-    holder = ConfigHolder()
+    holder = CurrentConfig()
     assert holder.offer(table(7))
     assert holder.offer(table(9))
     assert not holder.offer(table(7))
@@ -22,7 +22,7 @@
 
 
 def test_absence_of_a_route_is_certain_only_while_confirmed() -> None:
-    holder = ConfigHolder()
+    holder = CurrentConfig()
     holder.offer(table(7))
     assert not holder.is_confirmed(0.0)
     holder.confirm(100.0)
@@ -34,7 +34,7 @@
     # The store confirmed the configuration a moment ago; then a peer tells when it last heard from
     # the store, which is longer ago. A caller who asks for a route that does not exist is told so
     # and not to come back.
-    holder = ConfigHolder()
+    holder = CurrentConfig()
     holder.offer(table(7))
     holder.confirm(10_000.0)
     holder.confirm(7_000.0)
@@ -45,10 +45,10 @@
 def test_absence_is_not_certain_once_a_peer_has_a_newer_version() -> None:
     # A key is added; a peer has the new version and the store's news is still on its way here. A
     # caller with the new key who is told 401 never comes back with it.
-    holder = ConfigHolder()
+    holder = CurrentConfig()
     holder.offer(table(7))
     holder.confirm(100.0)
-    holder.note_heard(ConfigVersion(8))
+    holder.record_peer_version(ConfigVersion(8))
     assert not holder.is_confirmed(100.0)
     holder.offer(table(8))
     assert holder.is_confirmed(100.0)
--- a/tests/test_forwarding/test_forwarding_course.py
+++ b/tests/test_forwarding/test_forwarding_course.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from citrondyke.decisions.forwarding.course import Course, SendOutcome, Verdict
 from citrondyke.decisions.forwarding.route import Route, RouteKind, ServiceShare
-from citrondyke.ids import RouteName, ServerLife, ServiceName
+from citrondyke.decisions.forwarding.send_history import SendHistory, SendOutcome, Verdict
+from citrondyke.ids import RouteName, ServerIncarnation, ServiceName
 
-A, B, C = ServerLife('a'), ServerLife('b'), ServerLife('c')
+A, B, C = ServerIncarnation('a'), ServerIncarnation('b'), ServerIncarnation('c')
 
 
 def route(kind: RouteKind, attempts: int = 2, *, is_resumable: bool = False) -> Route:
@@ -29,7 +29,7 @@
 def test_request_that_may_have_run_once_is_not_sent_again(outcome: SendOutcome) -> None:
     # A server books an order and its answer is lost. The caller is told that it may have run;
     # sending it to another server would book it twice.
-    course = Course(route(RouteKind.ONCE))
+    course = SendHistory(route(RouteKind.ONCE))
     course.note(A, outcome)
     assert not course.may_send
     assert course.verdict is Verdict.MAY_HAVE_RUN
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize('outcome', [SendOutcome.NOT_SENT, SendOutcome.REFUSED])
 def test_request_that_certainly_has_not_run_goes_to_another_server(outcome: SendOutcome) -> None:
-    course = Course(route(RouteKind.ONCE))
+    course = SendHistory(route(RouteKind.ONCE))
     course.note(A, outcome)
     assert course.may_send
     assert course.verdict is Verdict.NOT_RUN
@@ -46,7 +46,7 @@
 
 def test_refusal_after_a_run_does_not_make_it_not_run() -> None:
     # One server ran the request and broke off, the next turned it away. "Not run" would be false.
-    course = Course(route(RouteKind.IDEMPOTENT, attempts=3))
+    course = SendHistory(route(RouteKind.IDEMPOTENT, attempts=3))
     course.note(A, SendOutcome.UNKNOWN)
     course.note(B, SendOutcome.REFUSED)
     assert course.verdict is Verdict.MAY_HAVE_RUN
@@ -54,7 +54,7 @@
 
 
 def test_attempts_are_bounded_by_the_route() -> None:
-    course = Course(route(RouteKind.IDEMPOTENT, attempts=2))
+    course = SendHistory(route(RouteKind.IDEMPOTENT, attempts=2))
     course.note(A, SendOutcome.UNKNOWN)
     assert course.may_send
     course.note(B, SendOutcome.FAILED)
@@ -62,19 +62,19 @@
 
 
 def test_stream_that_cannot_be_resumed_runs_once() -> None:
-    course = Course(route(RouteKind.STREAM))
+    course = SendHistory(route(RouteKind.STREAM))
     course.note(A, SendOutcome.UNKNOWN)
     assert not course.may_send
-    resumable = Course(route(RouteKind.STREAM, is_resumable=True))
+    resumable = SendHistory(route(RouteKind.STREAM, is_resumable=True))
     resumable.note(A, SendOutcome.UNKNOWN)
     assert resumable.may_send
 
 
 def test_refusals_are_bounded() -> None:
     # All servers are full and say so. The caller is told at once rather than after a round of all.
-    course = Course(route(RouteKind.IDEMPOTENT))
+    course = SendHistory(route(RouteKind.IDEMPOTENT))
     for name in 'abcd':
         assert course.may_send
-        course.note(ServerLife(name), SendOutcome.REFUSED)
+        course.note(ServerIncarnation(name), SendOutcome.REFUSED)
     assert not course.may_send
     assert course.verdict is Verdict.NOT_RUN
--- a/tests/test_forwarding/test_forwarding_dark_server.py
+++ b/tests/test_forwarding/test_forwarding_dark_server.py
@@ -7,12 +7,12 @@
 import msgspec
 import pytest
 
-from citrondyke.decisions.forwarding.course import Course, SendOutcome
-from citrondyke.decisions.forwarding.patience import CONNECT_MS, Patience
+from citrondyke.decisions.forwarding.failover_timeouts import CONNECT_MS, FailoverTimeouts
 from citrondyke.decisions.forwarding.route import Route, RouteKind
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.forwarding.send_history import SendHistory, SendOutcome
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.decisions.forwarding.server_state import ServerState
-from citrondyke.ids import RouteName, ServerId, ServerLife, ServiceName
+from citrondyke.ids import RouteName, ServerId, ServerIncarnation, ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import listed_server
 from tests.test_forwarding.test_forwarding_course import route
@@ -30,15 +30,15 @@
     def __init__(self, clock: ManualClock, *, keeps_connections: bool) -> None:
         self._clock = clock
         self._keeps_connections = keeps_connections
-        self.book = ServerBook(manual_context(clock))
+        self.book = ServerRegistry(manual_context(clock))
         self.book.replace(listed_server(f's-{number}', SERVICE, 8) for number in range(SERVERS))
-        self.patience = Patience()
+        self.patience = FailoverTimeouts()
         for state in self.book.states():
-            state.note_time(FIRST_EVENT_MS)
+            state.record_latency(FIRST_EVENT_MS)
 
     def serve(self, served_by: Route) -> float:
         """Serve one request; give the time until its first event."""
-        course = Course(served_by)
+        course = SendHistory(served_by)
         self.patience.note(served_by, FIRST_EVENT_MS)
         started_ms = self._clock.now_ms()
         while course.may_send:
@@ -57,7 +57,7 @@
             state.note_failure(self._clock.now_ms())
             return SendOutcome.UNKNOWN
         self._clock.ms += CONNECT_MS
-        state.note_unreachable(self._clock.now_ms())
+        state.record_unreachable(self._clock.now_ms())
         return SendOutcome.NOT_SENT
 
 
@@ -85,7 +85,7 @@
 def test_long_request_is_not_cut_since_others_are_short() -> None:
     # A service answers look-ups in 90 ms and trivial calls of another route in 2 ms. A look-up
     # that takes its time must not be cut while its server works, or it is cut everywhere.
-    patience = Patience()
+    patience = FailoverTimeouts()
     clock = ManualClock()
     state = next(iter(Instance(clock, keeps_connections=True).book.states()))
     look_up = msgspec.structs.replace(route(RouteKind.IDEMPOTENT), target_ms=400.0)
@@ -93,18 +93,18 @@
     for _ in range(20):
         patience.note(look_up, 90.0)
         patience.note(trivial, 2.0)
-        state.note_time(2.0)
+        state.record_latency(2.0)
     assert patience.first_answer_ms(look_up, state, 0.0) >= 5 * 90.0
 
 
 def test_last_server_is_waited_for() -> None:
     # Two servers may run a request, and the first was given up as silent. The second takes its
     # time as well; to give it up too would fail a request that is being worked on.
-    course = Course(route(RouteKind.IDEMPOTENT, attempts=2))
+    course = SendHistory(route(RouteKind.IDEMPOTENT, attempts=2))
     assert not course.is_last_run
-    course.note(ServerLife(DARK), SendOutcome.NOT_SENT)
+    course.note(ServerIncarnation(DARK), SendOutcome.NOT_SENT)
     assert not course.is_last_run
-    course.note(ServerLife('s-1'), SendOutcome.UNKNOWN)
+    course.note(ServerIncarnation('s-1'), SendOutcome.UNKNOWN)
     assert course.may_send
     assert course.is_last_run
-    assert Course(route(RouteKind.ONCE, attempts=3)).is_last_run
+    assert SendHistory(route(RouteKind.ONCE, attempts=3)).is_last_run
--- a/tests/test_forwarding/test_forwarding_grey_server.py
+++ b/tests/test_forwarding/test_forwarding_grey_server.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.decisions.forwarding.server_state import ServerState
 from citrondyke.ids import ServerId, ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
@@ -25,7 +25,7 @@
 
     def __init__(self, seed: int) -> None:
         self.clock = ManualClock()
-        self.book = ServerBook(manual_context(self.clock, seed=seed))
+        self.book = ServerRegistry(manual_context(self.clock, seed=seed))
         self.book.replace(listed_server(f's-{number}', SERVICE, 8) for number in range(5))
         self.running: list[ServerState] = []
         self.grey_count = 0
@@ -44,7 +44,7 @@
                 self.failed_count += 1
                 state.note_failure(self.clock.ms)
                 return
-        state.note_answered(self.clock.ms)
+        state.record_answered(self.clock.ms)
         state.note_success()
         state.own.online += 1
         self.running.append(state)
--- a/tests/test_forwarding/test_forwarding_listed_rows.py
+++ b/tests/test_forwarding/test_forwarding_listed_rows.py
@@ -2,19 +2,19 @@
 
 from __future__ import annotations
 
-from citrondyke.decisions.forwarding.listed_rows import ListedRows, SeenRow
+from citrondyke.decisions.forwarding.replicated_rows import ObservedRow, ReplicatedRows
 
 GRACE_MS = 2_200.0
 
 
-def row(key: str, version: int, value: str | None = 'up') -> SeenRow[str]:
-    return SeenRow(key, version, value)
+def row(key: str, version: int, value: str | None = 'up') -> ObservedRow[str]:
+    return ObservedRow(key, version, value)
 
 
 def test_older_read_does_not_bring_a_removed_server_back() -> None:
     # A server is removed; then a read that is seconds old still shows it. Requests sent there
     # would reach whoever has its address now.
-    rows: ListedRows[str] = ListedRows(GRACE_MS)
+    rows: ReplicatedRows[str] = ReplicatedRows(GRACE_MS)
     rows.apply_listing([row('a', 5), row('b', 6)], 6, 0.0)
     rows.apply_feed([row('a', 7, None)], 10.0)
     rows.apply_listing([row('a', 5), row('b', 6)], 6, 20.0)
@@ -22,14 +22,14 @@
 
 
 def test_older_read_does_not_undo_that_a_server_leaves() -> None:
-    rows: ListedRows[str] = ListedRows(GRACE_MS)
+    rows: ReplicatedRows[str] = ReplicatedRows(GRACE_MS)
     rows.apply_feed([row('a', 7, 'leaving')], 0.0)
     rows.apply_listing([row('a', 5, 'up')], 6, 10.0)
     assert rows.values() == ['leaving']
 
 
 def test_older_read_without_a_new_server_does_not_drop_it() -> None:
-    rows: ListedRows[str] = ListedRows(GRACE_MS)
+    rows: ReplicatedRows[str] = ReplicatedRows(GRACE_MS)
     rows.apply_listing([row('a', 5)], 9, 0.0)
     rows.apply_feed([row('b', 12)], 10.0)
     rows.apply_listing([row('a', 5)], 10, 20.0)
@@ -39,9 +39,9 @@
 def test_servers_that_lapsed_in_an_outage_get_time_to_come_back() -> None:
     # The store is down for longer than servers' entries live. When it returns the list is empty
     # although all servers work; dropping them would turn every caller away for 2 s.
-    rows: ListedRows[str] = ListedRows(GRACE_MS)
+    rows: ReplicatedRows[str] = ReplicatedRows(GRACE_MS)
     rows.apply_listing([row('a', 5), row('b', 6)], 6, 0.0)
-    rows.note_outage(5_000.0)
+    rows.record_outage(5_000.0)
     rows.apply_listing([], 8, 5_100.0)
     rows.settle(5_200.0)
     assert len(rows.values()) == 2
@@ -51,7 +51,7 @@
 
 
 def test_missing_server_goes_at_once_while_the_store_answers() -> None:
-    rows: ListedRows[str] = ListedRows(GRACE_MS)
+    rows: ReplicatedRows[str] = ReplicatedRows(GRACE_MS)
     rows.apply_listing([row('a', 5), row('b', 6)], 6, 0.0)
     rows.apply_listing([row('b', 6)], 7, 10.0)
     assert [each.key for each in rows.rows()] == ['b']
--- a/tests/test_forwarding/test_forwarding_lives.py
+++ b/tests/test_forwarding/test_forwarding_lives.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from citrondyke.decisions.forwarding.listed_rows import ListedRows, SeenRow
 from citrondyke.decisions.forwarding.load_notices import LoadNotices, ServerLoad
-from citrondyke.decisions.forwarding.server_book import ServerBook, server_digest
+from citrondyke.decisions.forwarding.replicated_rows import ObservedRow, ReplicatedRows
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry, server_digest
 from citrondyke.ids import InstanceId, ServerId, ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import listed_server
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self.clock = ManualClock()
         context = manual_context(self.clock)
-        self.book = ServerBook(context)
+        self.book = ServerRegistry(context)
         self.notices = LoadNotices(context, self.book)
 
     def list(self, **more: Any) -> bool:
@@ -42,11 +42,11 @@
         state = self.book.state(A)
         assert state is not None
         state.own.online = 2
-        state.note_time(500.0)
+        state.record_latency(500.0)
         state.note_peer(PEER, 3, 0, self.clock.ms)
         state.note_total(5, 0, self.clock.ms)
-        state.note_stated_load(8, 4, self.clock.ms)
-        state.note_unreachable(self.clock.ms)
+        state.record_reported_load(8, 4, self.clock.ms)
+        state.record_unreachable(self.clock.ms)
         state.is_misplaced = True
 
 
@@ -112,34 +112,34 @@
     assert floor.book.choose(SERVICE, {first.life}, '') is not None
 
 
-def lived(version: int, born: int | None, value: str | None = 'up') -> SeenRow[str]:
-    return SeenRow('a', version, value, born)
+def lived(version: int, born: int | None, value: str | None = 'up') -> ObservedRow[str]:
+    return ObservedRow('a', version, value, born)
 
 
 def test_late_write_of_an_earlier_life_does_not_bring_it_back() -> None:
     # A write of the earlier life is done seconds late, after the next life's, so that its row has
     # the higher version. Requests would name a life that is over and be turned away with 421.
-    rows: ListedRows[str] = ListedRows(2_200.0)
+    rows: ReplicatedRows[str] = ReplicatedRows(2_200.0)
     rows.apply_feed([lived(5, 2_000, 'second')], 0.0)
     rows.apply_feed([lived(8, 1_000, 'first')], 1.0)
     assert rows.values() == ['second']
     rows.apply_listing([lived(8, 1_000, 'first')], 9, 2.0)
     assert rows.values() == ['second']
-    rows.apply_feed([SeenRow('a', 10, None)], 3.0)
+    rows.apply_feed([ObservedRow('a', 10, None)], 3.0)
     rows.apply_feed([lived(11, 1_000, 'first')], 4.0)
     assert rows.values() == []
 
 
 def test_next_life_counts_though_its_row_is_the_older_one() -> None:
-    rows: ListedRows[str] = ListedRows(2_200.0)
+    rows: ReplicatedRows[str] = ReplicatedRows(2_200.0)
     rows.apply_feed([lived(8, 1_000, 'first')], 0.0)
     rows.apply_feed([lived(5, 2_000, 'second')], 1.0)
     assert rows.values() == ['second']
 
 
 def test_deleted_life_does_not_come_back_by_a_peer() -> None:
-    rows: ListedRows[str] = ListedRows(2_200.0)
+    rows: ReplicatedRows[str] = ReplicatedRows(2_200.0)
     rows.apply_feed([lived(5, 1_000)], 0.0)
-    rows.apply_feed([SeenRow('a', 9, None)], 1.0)
+    rows.apply_feed([ObservedRow('a', 9, None)], 1.0)
     rows.apply_feed([lived(7, 2_000)], 2.0)
     assert rows.values() == []
--- a/tests/test_forwarding/test_forwarding_neighbours.py
+++ b/tests/test_forwarding/test_forwarding_neighbours.py
@@ -10,8 +10,8 @@
     LoadNotices,
     ServerLoad,
 )
-from citrondyke.decisions.forwarding.neighbours import MESH_LIMIT, PACED_FROM, Neighbours
-from citrondyke.decisions.forwarding.server_book import ServerBook, server_digest
+from citrondyke.decisions.forwarding.peer_topology import MESH_LIMIT, PACING_THRESHOLD, PeerTopology
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry, server_digest
 from citrondyke.decisions.forwarding.server_state import ServerState
 from citrondyke.ids import InstanceId, ServerId, ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
@@ -28,7 +28,7 @@
 
     def __init__(self, clock: ManualClock, zone: str, number: int) -> None:
         self.context = manual_context(clock, f'{zone}-{number}', zone, seed=number)
-        self.book = ServerBook(self.context)
+        self.book = ServerRegistry(self.context)
         self.book.replace(
             listed_server(f's{n}', SERVICE, 7, ZONES[n % len(ZONES)]) for n in range(SERVERS)
         )
@@ -74,11 +74,11 @@
             turn = node.notices.totals_turn
             for receiver in node.book.neighbours.one_in_each_other_zone(turn):
                 self.datagrams += 1
-                self.nodes[receiver].notices.note_totals(totals)
+                self.nodes[receiver].notices.record_totals(totals)
 
 
 def test_small_fleet_tells_all() -> None:
-    neighbours = Neighbours(manual_context())
+    neighbours = PeerTopology(manual_context())
     neighbours.replace(other_instances(6) | other_instances(6, 'zone-b'))
     assert not neighbours.is_zoned
     assert len(neighbours.near()) == 12
@@ -88,8 +88,8 @@
 def test_calls_of_the_store_grow_slower_than_the_fleet() -> None:
     # Each instance reads all heartbeats; if 370 did so every second as 13 do, the reads alone
     # would be 370 rows each for 370 instances, and the writes half of what the store takes.
-    neighbours = Neighbours(manual_context())
-    neighbours.replace(other_instances(2 * PACED_FROM - 1))
+    neighbours = PeerTopology(manual_context())
+    neighbours.replace(other_instances(2 * PACING_THRESHOLD - 1))
     assert neighbours.store_pace == 2.0
     neighbours.replace(other_instances(10_000))
     assert neighbours.store_pace == 3.0
@@ -149,7 +149,7 @@
     # A sum is up to half a second old. An instance knows the servers of its own zone better.
     fleet = Fleet()
     node = fleet.node('zone-a-0')
-    node.notices.note_totals([ServerLoad(server_digest(node.state('s0').listed), 7, 0)])
+    node.notices.record_totals([ServerLoad(server_digest(node.state('s0').listed), 7, 0)])
     assert node.state('s0').online_count(fleet.clock.ms) == 0
 
 
@@ -182,7 +182,7 @@
     node = Fleet().node('zone-a-0')
     for state in list(node.book.states()):
         state.is_misplaced = state.listed.zone == node.context.zone and state.listed.id != 's0'
-        state.note_time(50.0 if state.listed.id != 's0' else 400.0)
+        state.record_latency(50.0 if state.listed.id != 's0' else 400.0)
     node.state('s0').own.online = 3
     chosen = node.book.choose(SERVICE, (), '')
     assert chosen is not None
@@ -240,19 +240,19 @@
     # Notices lie unread in a large fleet until a server is chosen. Chosen without a look, the
     # server that a neighbour has just filled would get the request.
     clock = ManualClock()
-    book = ServerBook(manual_context(clock))
+    book = ServerRegistry(manual_context(clock))
     book.replace(listed_server(name, 's', 1) for name in ('full', 'free'))
     full = book.state(ServerId('full'))
     assert full is not None
-    book.when_choosing(lambda: full.note_peer(InstanceId('other'), 1, 0, clock.ms))
-    for choose in (book.choose, book.choose_apart):
+    book.on_choose(lambda: full.note_peer(InstanceId('other'), 1, 0, clock.ms))
+    for choose in (book.choose, book.choose_excluding):
         chosen = choose(ServiceName('s'), (), 'name')
         assert chosen is not None
         assert chosen.listed.id == 'free'
 
 
 def test_notices_wait_in_a_large_fleet_only_and_less_for_owners() -> None:
-    neighbours = Neighbours(manual_context())
+    neighbours = PeerTopology(manual_context())
     assert neighbours.gather_ms(is_owner=False) == 0.0
     neighbours.replace(other_instances(40))
     assert 0.0 < neighbours.gather_ms(is_owner=True) < neighbours.gather_ms(is_owner=False)
--- a/tests/test_forwarding/test_forwarding_start_hold.py
+++ b/tests/test_forwarding/test_forwarding_start_hold.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citrondyke.decisions.forwarding.start_hold import HELD_LIMIT, StartHold
+from citrondyke.decisions.forwarding.startup_hold import HELD_LIMIT, StartupHold
 from tests.support.manual_clock import ManualClock, manual_context
 
 
@@ -10,7 +10,7 @@
     # 1,000 callers at once: as many as may wait do so within a third of their time, the others are
     # told at once, each with another time.
     context = manual_context()
-    hold = StartHold(context)
+    hold = StartupHold(context)
     until = [hold.begin(900.0) for _ in range(1_000)]
     assert until.count(None) == 1_000 - HELD_LIMIT
     assert until[0] == context.now_ms() + 300.0
@@ -24,7 +24,7 @@
 
 def test_a_start_that_takes_long_is_expected_to_go_on() -> None:
     clock = ManualClock()
-    hold = StartHold(manual_context(clock))
+    hold = StartupHold(manual_context(clock))
     clock.ms += 1_000.0
     assert 1_000.0 <= hold.retry_in_ms() <= 1_500.0
     clock.ms += 60_000.0
--- a/tests/test_gateway/test_beliefs/test_beliefs_dependency.py
+++ b/tests/test_gateway/test_beliefs/test_beliefs_dependency.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citrondyke.gateway.beliefs.dependency import LOST_AFTER_MS, Dependency
+from citrondyke.gateway.replication.dependency import LOST_AFTER_MS, Dependency
 from tests.support.manual_clock import ManualClock
 
 
--- a/tests/test_gateway/test_beliefs/test_beliefs_table_follower.py
+++ b/tests/test_gateway/test_beliefs/test_beliefs_table_follower.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from citrondyke.gateway.beliefs.dependency import Dependency
-from citrondyke.gateway.beliefs.table_follower import (
-    LOOK_BACK_MS,
+from citrondyke.gateway.replication.dependency import Dependency
+from citrondyke.gateway.replication.table_follower import (
+    REREAD_WINDOW_MS,
     WHOLE_PROOF_FACTOR,
     WHOLE_READS_BYTES_PER_S,
     TableFollower,
@@ -85,30 +85,30 @@
     # had changed; the store would have sent 23 MB a second.
     follower.put(LARGE)
     for _ in range(20):
-        assert follower.follower.look_once()
+        assert follower.follower.poll_once()
         follower.clock.ms += 1_000.0
     assert follower.table.shown_bytes == len(LARGE)
     assert follower.current_count == 19
     follower.clock.ms += len(LARGE) / WHOLE_READS_BYTES_PER_S * 1e3
-    follower.follower.look_once()
+    follower.follower.poll_once()
     assert follower.table.shown_bytes == 2 * len(LARGE)
 
 
 def test_change_is_seen_without_a_whole_read(follower: Follower) -> None:
     follower.put(LARGE)
-    follower.follower.look_once()
+    follower.follower.poll_once()
     follower.put(b'next')
-    follower.follower.look_once()
+    follower.follower.poll_once()
     assert follower.seen == [LARGE, b'next']
 
 
 def test_lost_history_is_made_up_by_a_whole_read(follower: Follower) -> None:
     # The store drops its history in a moment in which this instance heard nothing.
     follower.put(LARGE)
-    follower.follower.look_once()
+    follower.follower.poll_once()
     follower.put(b'next')
     follower.table.forget_history()
-    assert follower.follower.look_once()
+    assert follower.follower.poll_once()
     assert follower.seen[-1] == b'next'
 
 
@@ -117,12 +117,12 @@
 ) -> None:
     # The store tells nobody of a change for a second, and names a version beyond it.
     follower.put(LARGE)
-    follower.follower.look_once()
+    follower.follower.poll_once()
     follower.put(b'next')
     follower.table.hides_changes = True
-    follower.follower.look_once()
+    follower.follower.poll_once()
     follower.table.hides_changes = False
-    follower.follower.look_once()
+    follower.follower.poll_once()
     assert follower.seen[-1] == b'next'
 
 
@@ -133,16 +133,16 @@
     # 700 KB of them every 3 s take 70 MB a second from the store, and spend their time on it.
     for number in range(1_400):
         follower.put(b'x' * 250, f'server-{number:05d}')
-    follower.follower.look_once()
+    follower.follower.poll_once()
     whole_bytes = follower.table.shown_bytes
     for number in range(20):
         follower.put(b'y' * 250, f'server-{number:05d}')
         follower.clock.ms += 1_000.0
-        assert follower.follower.look_once()
+        assert follower.follower.poll_once()
     assert follower.seen[-1] == b'y' * 250
     looks_bytes = follower.table.shown_bytes - whole_bytes
     # Each change is shown by the looks of the five seconds that it lies behind.
-    assert looks_bytes <= 20 * 250 * (LOOK_BACK_MS / 1e3 + 1)
+    assert looks_bytes <= 20 * 250 * (REREAD_WINDOW_MS / 1e3 + 1)
 
 
 def test_change_that_was_hidden_behind_newer_ones_is_seen_by_a_look_back(
@@ -151,16 +151,16 @@
     # The store hides a change for a moment and shows a newer one meanwhile; a look behind the
     # newer one would never show the first.
     follower.put(LARGE)
-    follower.follower.look_once()
+    follower.follower.poll_once()
     follower.clock.ms += 10_000.0
-    follower.follower.look_once()
+    follower.follower.poll_once()
     follower.put(b'hidden', 'a')
     follower.table.hides_changes = True
     follower.clock.ms += 1_000.0
-    follower.follower.look_once()
+    follower.follower.poll_once()
     follower.table.hides_changes = False
     follower.clock.ms += 1_000.0
-    follower.follower.look_once()
+    follower.follower.poll_once()
     assert follower.seen[-1] == b'hidden'
 
 
@@ -179,7 +179,7 @@
         return read(table, part, from_key, limit)
 
     follower.table.read = read_and_count  # type: ignore[method-assign]
-    follower.follower.look_once()
+    follower.follower.poll_once()
     assert seen_counts == [0, 500, 1_000]
     assert len(follower.seen) == 1_000 + 1_200
 
@@ -190,7 +190,7 @@
     follower.put(LARGE)
     follower.follower.adopt(follower.table.version, len(LARGE))
     follower.put(b'next')
-    assert follower.follower.look_once()
+    assert follower.follower.poll_once()
     assert follower.seen == [b'next']
     assert follower.table.shown_bytes < len(LARGE)
 
@@ -199,7 +199,7 @@
     follower.put(LARGE)
     follower.follower.adopt(follower.table.version, len(LARGE))
     follower.clock.ms += 1.5 * WHOLE_PROOF_FACTOR * len(LARGE) / WHOLE_READS_BYTES_PER_S * 1e3
-    assert follower.follower.look_once()
+    assert follower.follower.poll_once()
     assert follower.table.shown_bytes == len(LARGE)
 
 
@@ -213,5 +213,5 @@
     follower.put(b'hidden', 'a')
     follower.put(b'shown', 'b')
     follower.follower.adopt(settled, len(LARGE))
-    follower.follower.look_once()
+    follower.follower.poll_once()
     assert b'hidden' in follower.seen
--- a/tests/test_gateway/test_callers/test_callers_forwarding.py
+++ b/tests/test_gateway/test_callers/test_callers_forwarding.py
@@ -6,7 +6,7 @@
 import pytest
 
 from citrondyke.decisions.forwarding.load_notices import ServerLoad
-from citrondyke.decisions.forwarding.server_book import server_digest
+from citrondyke.decisions.forwarding.server_registry import server_digest
 from citrondyke.gateway.peers.peer_codec import LoadNotice
 from citrondyke.standin.platform_server import Act, PlatformServer
 from tests.support.gateway import GatewayFleet, Reply, exchange, wait_until_seen
--- a/tests/test_gateway/test_callers/test_callers_limits.py
+++ b/tests/test_gateway/test_callers/test_callers_limits.py
@@ -9,8 +9,8 @@
 import pytest
 
 from citrondyke.cmd.ctl.accounts import read_states
+from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
 from citrondyke.decisions.accounts.slots import SLOTS_COUNT
-from citrondyke.decisions.accounts.tolerance import LimitTolerance
 from citrondyke.decisions.accounts.window_count import StewardCount
 from citrondyke.gateway.accounts import limit_exchange
 from citrondyke.operator.account_report import (
@@ -102,11 +102,11 @@
 
 
 def test_tolerance_of_the_settings_is_used_for_uneven_callers() -> None:
-    tolerance = LimitTolerance(overshoot=0.1, slack=20.0)
+    tolerance = LimitOvershootBudget(overshoot=0.1, slack=20.0)
     rate_per_s, burst = 54.0, 54.0
     window_s = tolerance.window_ms / 1e3
     allowed = (rate_per_s * window_s + burst) * (1 + tolerance.overshoot) + tolerance.slack
     steward = rate_per_s * window_s + tolerance.depth(rate_per_s, burst)
-    refilled = tolerance.stand_in_rate_per_s * window_s
-    stand_in = refilled + tolerance.stand_in_depth(rate_per_s)
+    refilled = tolerance.fallback_rate_per_s * window_s
+    stand_in = refilled + tolerance.fallback_depth(rate_per_s)
     assert steward + 3 * stand_in <= allowed
--- a/tests/test_gateway/test_gateway_metrics.py
+++ b/tests/test_gateway/test_gateway_metrics.py
@@ -10,8 +10,8 @@
 
 def test_text_has_counts_by_route_and_end() -> None:
     metrics = Metrics()
-    metrics.note_request('r', 'done', 12.0, 700.0)
-    metrics.note_request('r', 'turned_away', 0.3, 0.3)
+    metrics.record_request('r', 'done', 12.0, 700.0)
+    metrics.record_request('r', 'turned_away', 0.3, 0.3)
     text = metrics.text()
     assert 'citrondyke_requests_total{route="r",end="done"} 1' in text
     assert 'citrondyke_first_answer_ms_bucket{route="r",le="20"} 2' in text
@@ -24,7 +24,7 @@
     # would grow without end.
     metrics = Metrics()
     for number in range(ROUTES_LIMIT * 3):
-        metrics.note_request(f'r-{number}', 'done', 1.0, 1.0)
+        metrics.record_request(f'r-{number}', 'done', 1.0, 1.0)
     assert metrics.text().count('citrondyke_requests_total') == ROUTES_LIMIT + 1
 
 
--- a/tests/test_gateway/test_jobs/test_jobs_job_committer.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_committer.py
@@ -45,7 +45,7 @@
     # each. Each look at the job's head was one more of them, so that results were listed late.
     owner = _Owner()
     for _ in range(5):
-        owner.committer.look_at_all()
+        owner.committer.check_all()
     assert owner.table.transactions_count == 0
     assert owner.owned.owned(JOB) is not None
 
@@ -55,7 +55,7 @@
     # The items must stop all the same.
     owner = _Owner()
     owner.end_elsewhere()
-    owner.committer.look_at_all()
+    owner.committer.check_all()
     assert owner.owned.owned(JOB) is None
 
 
@@ -71,7 +71,7 @@
     assert isinstance(claimed, StoredHead)
     owner.owned.add(OwnedJob(claimed.head, claimed.version, ITEMS))
     owner.table.stale = stale
-    owner.committer.look_at_all()
+    owner.committer.check_all()
     assert owner.owned.owned(JOB) is not None
 
 
@@ -103,14 +103,14 @@
     owner = _Owner()
     job = owner.owned.drop(JOB)
     assert job is not None
-    waiting = gevent.spawn(owner.owned.wait_for_some)
+    waiting = gevent.spawn(owner.owned.wait_for_results)
     gevent.sleep(0)
     assert not waiting.dead
     owner.owned.add(job)
     waiting.join(timeout=1.0)
     assert waiting.dead
     owner.owned.lose(JOB, 'ended')
-    again = gevent.spawn(owner.owned.wait_for_some)
+    again = gevent.spawn(owner.owned.wait_for_results)
     gevent.sleep(0)
     assert not again.dead
     again.kill()
--- a/tests/test_gateway/test_jobs/test_jobs_job_keeper.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_keeper.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from citrondyke.decisions.batch.read_budget import ReadBudget
-from citrondyke.decisions.batch.takeover import LiveInstances, Takeover
-from citrondyke.gateway.jobs.job_keeper import JobKeeper
+from citrondyke.decisions.batch.takeover import InstanceLiveness, TakeoverSchedule
+from citrondyke.gateway.jobs.job_claimer import JobClaimer
 from citrondyke.gateway.jobs.job_rows import StoredHead
 from citrondyke.gateway.jobs.job_runner import JobRunner
 from citrondyke.gateway.jobs.job_store import JobStore
@@ -32,7 +32,7 @@
         assert isinstance(store.accept(head, ITEMS), StoredHead)
     table.transactions_count = 0
     context = manual_context(name='instance-7')
-    keeper = JobKeeper(
+    keeper = JobClaimer(
         context,
         'life',
         table,
@@ -40,7 +40,7 @@
         OwnedJobs(),
         # Nothing is claimed here, so that nothing is handed to a runner.
         cast('JobRunner', None),
-        Takeover(context, 'life', LiveInstances(context)),
+        TakeoverSchedule(context, 'life', InstanceLiveness(context)),
         ReadBudget(context, 2_000.0, lambda: 13),
         lambda: 1.0,
         Tasks(),
--- a/tests/test_gateway/test_jobs/test_jobs_job_sweeper.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_sweeper.py
@@ -9,7 +9,7 @@
 
 from citrondyke.decisions.batch.job import ItemResult, ItemState
 from citrondyke.decisions.batch.owned_job import OwnedJob
-from citrondyke.decisions.batch.takeover import LiveInstances
+from citrondyke.decisions.batch.takeover import InstanceLiveness
 from citrondyke.gateway.jobs.job_removal import JobRemoval
 from citrondyke.gateway.jobs.job_rows import CommitVerdict, NoJob, StoredHead
 from citrondyke.gateway.jobs.job_store import JobStore
@@ -39,7 +39,7 @@
         assert isinstance(accepted, StoredHead)
         self.job = OwnedJob(accepted.head, accepted.version, ITEMS)
         self.removal = JobRemoval(self.table, self.objects)
-        live = LiveInstances(self.context)
+        live = InstanceLiveness(self.context)
         self.sweeper = JobSweeper(self.context, self.store, self.removal, live, KEPT_MS)
 
     def finish(self, text: str = 'text') -> None:
--- a/tests/test_gateway/test_peers/test_peers_knowledge.py
+++ b/tests/test_gateway/test_peers/test_peers_knowledge.py
@@ -5,21 +5,21 @@
 import gevent
 import pytest
 
-from citrondyke.gateway.peers import knowledge_exchange
-from citrondyke.gateway.peers.knowledge_exchange import Knowledge
+from citrondyke.gateway.peers import store_state_exchange
 from citrondyke.gateway.peers.list_codec import expand
 from citrondyke.gateway.peers.peer_codec import KnowledgeData, KnowledgeWanted
+from citrondyke.gateway.peers.store_state_exchange import StoreState
 from citrondyke.ids import ConfigVersion
 from citrondyke.util.decoding import decode_msgpack
 from tests.support.gateway import GatewayFleet, wait_until_seen
 
 
-def known(fleet: GatewayFleet, instances_count: int, version: int) -> Knowledge:
+def known(fleet: GatewayFleet, instances_count: int, version: int) -> StoreState:
     """Ask the first instance without a socket."""
     exchange = fleet.instances[0].peers.knowledge
     data = exchange.answer(KnowledgeWanted(instances_count), ConfigVersion(version))
     assert isinstance(data, KnowledgeData)
-    return decode_msgpack(data.data, Knowledge)
+    return decode_msgpack(data.data, StoreState)
 
 
 def asks_count(fleet: GatewayFleet) -> int:
@@ -66,13 +66,13 @@
     data = exchange.answer(
         KnowledgeWanted(2, asking.list_digest), fleet.instances[1].beliefs.config.current.version
     )
-    known_there = decode_msgpack(data.data, Knowledge)
+    known_there = decode_msgpack(data.data, StoreState)
     assert known_there.has_same_servers
     assert not known_there.servers
     whole = exchange.answer(KnowledgeWanted(0, takes_compressed=True), ConfigVersion(0))
     plain = exchange.answer(KnowledgeWanted(), ConfigVersion(0))
     assert len(whole.data) <= len(plain.data)
-    assert decode_msgpack(expand(whole.data), Knowledge).servers
+    assert decode_msgpack(expand(whole.data), StoreState).servers
     before = list(asking.known_servers()[0])
     fleet.instances[1].peers.knowledge._ask(fleet.instances[0].address.ip)
     assert asking.known_servers()[0] == before
@@ -86,6 +86,6 @@
     fleet.store.faults.refused_ips = {'*'}
     fleet.store.faults.is_silent = True
     # Nobody but the first question can bring it.
-    monkeypatch.setattr(knowledge_exchange, 'ASK_EVERY_MS', 1e6)
+    monkeypatch.setattr(store_state_exchange, 'ASK_EVERY_MS', 1e6)
     started = fleet.start_instance(seed_ips=(fleet.instances[0].address.ip,))
     wait_until_seen(lambda: started.beliefs.is_complete, 'the new instance to serve')
--- a/tests/test_gateway/test_peers/test_peers_list_readers.py
+++ b/tests/test_gateway/test_peers/test_peers_list_readers.py
@@ -9,11 +9,11 @@
 import pytest
 from gevent.event import Event
 
-from citrondyke.decisions.knowledge import reader_rule
+from citrondyke.decisions.server_list import reader_election
 from citrondyke.gateway.instance import GatewayInstance
-from citrondyke.gateway.peers import list_readers
-from citrondyke.gateway.peers.list_listener import ListListener
+from citrondyke.gateway.peers import server_list_readers
 from citrondyke.gateway.peers.membership import INSTANCES_TABLE
+from citrondyke.gateway.peers.server_list_subscriber import ServerListSubscriber
 from citrondyke.gateway.settings import Address
 from citrondyke.ids import AvailabilityZone, InstanceId
 from citrondyke.platform.rows import CONFIG_TABLE, SERVERS_TABLE
@@ -44,7 +44,7 @@
         self._wsgi.application = counted
 
     def reading(self) -> list[GatewayInstance]:
-        return [each for each in self.instances if each.peers.list_readers.reads_for_others]
+        return [each for each in self.instances if each.peers.list_readers.is_delegate_reader]
 
     def following(self) -> list[GatewayInstance]:
         return [each for each in self.instances if each.peers.list_readers.is_covered]
@@ -82,9 +82,9 @@
 
     All instances share one process: on a busy machine each would be slow for the others.
     """
-    monkeypatch.setattr(reader_rule, 'PAYS_BYTES', 1)
-    monkeypatch.setattr(list_readers, 'MEMBERS_WITHIN_MS', 2_500.0)
-    monkeypatch.setattr(list_readers, 'DECIDED_WITHIN_MS', 2_000.0)
+    monkeypatch.setattr(reader_election, 'PAYS_BYTES', 1)
+    monkeypatch.setattr(server_list_readers, 'MEMBERS_WITHIN_MS', 2_500.0)
+    monkeypatch.setattr(server_list_readers, 'DECIDED_WITHIN_MS', 2_000.0)
     made = ReadersFleet()
     try:
         made.configure()
@@ -118,7 +118,7 @@
 def test_small_fleet_reads_as_before(fleet: GatewayFleet) -> None:
     # Few bytes are no reason to rely on a neighbour.
     gevent.sleep(0.5)
-    assert not any(each.peers.list_readers.reads_for_others for each in fleet.instances)
+    assert not any(each.peers.list_readers.is_delegate_reader for each in fleet.instances)
     assert not any(each.peers.list_readers.is_covered for each in fleet.instances)
 
 
@@ -232,10 +232,10 @@
     dark_ip = next(
         each.address.ip for each in readers.instances if each.context.instance_id == dark
     )
-    ask = ListListener.ask
+    ask = ServerListSubscriber.ask
     powered = Event()
 
-    def hanging(listener: ListListener, reader: InstanceId, ip: str) -> bool:
+    def hanging(listener: ServerListSubscriber, reader: InstanceId, ip: str) -> bool:
         if ip == dark_ip:
             powered.wait()
             return False
@@ -243,7 +243,7 @@
 
     follower = next(each for each in readers.instances if each.peers.list_readers.is_covered)
     readers.drop(follower)
-    monkeypatch.setattr(ListListener, 'ask', hanging)
+    monkeypatch.setattr(ServerListSubscriber, 'ask', hanging)
     for each in readers.instances:
         if each.context.instance_id == dark:
             silence(each)
--- a/tests/test_gateway/test_peers/test_peers_membership.py
+++ b/tests/test_gateway/test_peers/test_peers_membership.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
-from citrondyke.decisions.batch.takeover import LiveInstances
+from citrondyke.decisions.batch.takeover import InstanceLiveness
 from citrondyke.gateway.peers.membership import (
-    GONE_MS,
+    DEAD_AFTER_MS,
     INSTANCES_TABLE,
-    ROW_GONE_MS,
+    ROW_EXPIRY_MS,
     Heartbeat,
     Membership,
 )
@@ -27,7 +27,7 @@
         self.clock = ManualClock()
         context = manual_context(self.clock)
         self.table = FlakyTable()
-        self.live = LiveInstances(context)
+        self.live = InstanceLiveness(context)
         self.membership = Membership(context, 'life', ('ip', 1), self.table, self.live)
         self.number = 0
 
@@ -38,7 +38,7 @@
         self.table.transact(PartTransaction('', puts=(put,)))
 
     def look(self) -> None:
-        self.live.note_beat()
+        self.live.record_heartbeat()
         page = self.table.read(INSTANCES_TABLE, '')
         assert isinstance(page, Listing)
         self.membership.on_listing(list(page.rows), page.version)
@@ -59,9 +59,9 @@
     watcher.peer_beats()
     watcher.look()
     assert PEER in watcher.membership.peers
-    watcher.watch(GONE_MS + 2_000.0, peer_beats=False)
+    watcher.watch(DEAD_AFTER_MS + 2_000.0, peer_beats=False)
     assert PEER not in watcher.membership.peers
-    watcher.watch(ROW_GONE_MS, peer_beats=False)
+    watcher.watch(ROW_EXPIRY_MS, peer_beats=False)
     page = watcher.table.read(INSTANCES_TABLE, '')
     assert isinstance(page, Listing)
     assert not page.rows
@@ -69,9 +69,9 @@
 
 def test_peer_that_beats_stays_and_one_that_comes_back_is_known_again() -> None:
     watcher = Watcher()
-    watcher.watch(GONE_MS * 2, peer_beats=True)
+    watcher.watch(DEAD_AFTER_MS * 2, peer_beats=True)
     assert PEER in watcher.membership.peers
-    watcher.watch(GONE_MS * 2, peer_beats=False)
+    watcher.watch(DEAD_AFTER_MS * 2, peer_beats=False)
     assert PEER not in watcher.membership.peers
     watcher.watch(2_000.0, peer_beats=True)
     assert PEER in watcher.membership.peers
