--- a/tests/test_gateway/test_peers/test_peers_peer_codec.py
+++ b/tests/test_gateway/test_peers/test_peers_peer_codec.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from citrondyke.decisions.forwarding.load_notices import ServerLoad
-from citrondyke.decisions.knowledge.list_position import ListPosition
+from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
 from citrondyke.decisions.servers.server_evidence import ServerEvidence
 from citrondyke.gateway.peers.peer_codec import (
     EvidenceNews,
@@ -42,8 +42,8 @@
     JobChanged(JobId('job')),
     KnowledgeWanted(),
     KnowledgeData(b'\0' * 100),
-    ListTold(ListPosition('life', 3, 2**64 - 1, is_whole=True, store_version=2**40)),
-    ListOffered(b'\0' * 100, ListPosition('life', 3)),
+    ListTold(ServerListCursor('life', 3, 2**64 - 1, is_whole=True, store_version=2**40)),
+    ListOffered(b'\0' * 100, ServerListCursor('life', 3)),
 ]
 
 
--- a/tests/test_gateway/test_peers/test_peers_relay.py
+++ b/tests/test_gateway/test_peers/test_peers_relay.py
@@ -7,7 +7,6 @@
 import gevent
 import pytest
 
-from citrondyke.gateway.beliefs.dependency import Dependency
 from citrondyke.gateway.peers.relayed_table import (
     ReadCall,
     RelayedTable,
@@ -15,6 +14,7 @@
     StoreCall,
     perform,
 )
+from citrondyke.gateway.replication.dependency import Dependency
 from citrondyke.gateway.tasks import Tasks
 from citrondyke.standin.part_table import PartTable
 from citrondyke.storage.failure import AMBIGUOUS, PlatformFailure, PlatformFailureReason
--- a/tests/test_gateway/test_servers/test_servers_crash_fleet.py
+++ b/tests/test_gateway/test_servers/test_servers_crash_fleet.py
@@ -7,13 +7,13 @@
 import pytest
 
 from citrondyke.decisions.core.context import Context
-from citrondyke.decisions.crashes.content import AskedWork, RequestContent
-from citrondyke.decisions.crashes.suspect_book import Standing, SuspectBook
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.crashes.content import LazyRequestContent, RequestContent
+from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry, SuspectVerdict
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
-from citrondyke.gateway.beliefs.dependency import Dependency
 from citrondyke.gateway.metrics import Metrics
-from citrondyke.gateway.servers.crash_guard import CrashGuard
+from citrondyke.gateway.replication.dependency import Dependency
+from citrondyke.gateway.servers.poison_request_guard import PoisonRequestGuard
 from citrondyke.gateway.servers.suspect_store import SuspectStore
 from citrondyke.gateway.tasks import Tasks
 from citrondyke.ids import AvailabilityZone, InstanceId, ServerId
@@ -22,7 +22,7 @@
 from tests.support.peers import listed_server
 
 SERVERS = 20
-CULPRIT_WORK = AskedWork(b'POST', 'h', b'/p/', b'culprit')
+CULPRIT_WORK = LazyRequestContent(b'POST', 'h', b'/p/', b'culprit')
 CULPRIT = CULPRIT_WORK.content
 
 
@@ -30,12 +30,14 @@
     """One instance without sockets."""
 
     def __init__(self, context: Context, table: PartTable) -> None:
-        self.book = ServerBook(context)
+        self.book = ServerRegistry(context)
         self.book.replace(listed_server(f's-{n}', 's') for n in range(SERVERS))
-        self.suspects = SuspectBook(context)
+        self.suspects = SuspectRegistry(context)
         dependency = Dependency(context.clock, 'store')
         store = SuspectStore(context, table, dependency, self.suspects, lambda: 1.0)
-        self.guard = CrashGuard(context, self.book, self.suspects, store, Metrics(), Tasks())
+        self.guard = PoisonRequestGuard(
+            context, self.book, self.suspects, store, Metrics(), Tasks()
+        )
 
     def see_end(self, server: int, *contents: RequestContent) -> None:
         """Have requests break off at a server that then refuses connections."""
@@ -45,7 +47,7 @@
             self.guard.note_broken(state, content, BreakKind.SILENT, None)
         refused = BrokenReplyError(BreakKind.NO_CONNECTION)
         refused.__cause__ = ConnectionRefusedError()
-        self.guard.note_no_connection(state, refused)
+        self.guard.record_connect_failure(state, refused)
 
 
 class LargeFleet:
@@ -98,7 +100,7 @@
         member.see_end(server, CULPRIT)
         fleet.deliver()
     standings = [member.suspects.standing(CULPRIT) for member in fleet.members.values()]
-    assert standings.count(Standing.STOPPED) >= 0.99 * instances_count
+    assert standings.count(SuspectVerdict.STOPPED) >= 0.99 * instances_count
 
 
 def test_whole_answer_clears_what_everybody_knows() -> None:
@@ -107,7 +109,7 @@
         member.see_end(server, CULPRIT)
         fleet.deliver()
     assert all(member.suspects.score(CULPRIT) == 2.0 for member in fleet.members.values())
-    fleet.some(1)[0].guard.note_survived(CULPRIT_WORK)
+    fleet.some(1)[0].guard.record_survived(CULPRIT_WORK)
     fleet.deliver()
     assert not any(member.suspects.score(CULPRIT) for member in fleet.members.values())
 
@@ -117,13 +119,13 @@
     # answered well elsewhere. Told to all by all they would be 9,312 datagrams.
     fleet = LargeFleet(195)
     witnesses = fleet.some(8)
-    works = [AskedWork(b'POST', 'h', b'/p/', b'%d' % n) for n in range(8)]
+    works = [LazyRequestContent(b'POST', 'h', b'/p/', b'%d' % n) for n in range(8)]
     contents = [work.content for work in works]
     for member, content in zip(witnesses, contents, strict=True):
         member.see_end(0, content)
     fleet.deliver()
     for member, work in zip(witnesses, works, strict=True):
-        member.guard.note_survived(work)
+        member.guard.record_survived(work)
     fleet.deliver()
     assert fleet.sent_count <= 8 * 2 * 3 * 3
     assert not any(
--- a/tests/test_gateway/test_servers/test_servers_crashes.py
+++ b/tests/test_gateway/test_servers/test_servers_crashes.py
@@ -147,7 +147,7 @@
     for instance, servers in zip(fleet.instances, ((1,), (2, 3)), strict=True):
         instance.peers.stop()
         for server in servers:
-            instance.suspects.note_end(content, server, is_fresh=True)
+            instance.suspects.record_server_exit(content, server, is_fresh=True)
     fleet.instances[1].suspect_store.save(content)
     for instance in fleet.instances:
         wait_until_seen(lambda: instance.guard.ends_count(content) == 3.0, 'all three ends')  # noqa: B023
--- a/tests/test_gateway/test_servers/test_servers_suspect_store.py
+++ b/tests/test_gateway/test_servers/test_servers_suspect_store.py
@@ -4,9 +4,13 @@
 
 import pytest
 
-from citrondyke.decisions.crashes.content import AskedWork, content_of
-from citrondyke.decisions.crashes.suspect_book import FIRST_TRIAL_PAUSE_MS, Standing, SuspectBook
-from citrondyke.gateway.beliefs.dependency import Dependency
+from citrondyke.decisions.crashes.content import LazyRequestContent, content_of
+from citrondyke.decisions.crashes.suspect_registry import (
+    FIRST_PROBE_PAUSE_MS,
+    SuspectRegistry,
+    SuspectVerdict,
+)
+from citrondyke.gateway.replication.dependency import Dependency
 from citrondyke.gateway.servers.suspect_store import SILENT_MS, TRIES, SuspectStore
 from citrondyke.storage.partitioned_table import PartTransaction, RowPut
 from tests.support.flaky_table import FlakyTable, Trouble
@@ -21,14 +25,14 @@
 
     def __init__(self, clock: ManualClock, table: FlakyTable, name: str) -> None:
         context = manual_context(clock, name)
-        self.book = SuspectBook(context)
+        self.book = SuspectRegistry(context)
         self.dependency = Dependency(clock, 'store')
         self.store = SuspectStore(context, table, self.dependency, self.book, lambda: 1.0)
         for server in (1, 2, 3):
-            self.book.note_end(CULPRIT, server, is_fresh=True)
+            self.book.record_server_exit(CULPRIT, server, is_fresh=True)
 
     def claim(self) -> bool:
-        return self.store.claim_trial(CULPRIT, is_item=False)
+        return self.store.claim_probe(CULPRIT, is_item=False)
 
 
 class Floor:
@@ -38,7 +42,7 @@
         self.clock = ManualClock()
         self.table = FlakyTable()
         self.members = [Member(self.clock, self.table, f'instance-{n}') for n in range(3)]
-        self.clock.ms += FIRST_TRIAL_PAUSE_MS
+        self.clock.ms += FIRST_PROBE_PAUSE_MS
 
 
 @pytest.fixture
@@ -49,7 +53,7 @@
 def test_one_of_all_gets_the_trial(floor: Floor) -> None:
     assert [member.claim() for member in floor.members] == [True, False, False]
     for member in floor.members:
-        assert member.book.standing(CULPRIT) is Standing.ON_TRIAL
+        assert member.book.standing(CULPRIT) is SuspectVerdict.ON_TRIAL
 
 
 @pytest.mark.parametrize('trouble', [Trouble.REFUSED, Trouble.LATE, Trouble.REPLY_LOST])
@@ -86,13 +90,13 @@
         floor.table.transact(PartTransaction('', puts=(put,)))
         assert member.claim()
         floor.members[0] = member = Member(floor.clock, floor.table, 'again')
-        floor.clock.ms += FIRST_TRIAL_PAUSE_MS
+        floor.clock.ms += FIRST_PROBE_PAUSE_MS
 
 
 def test_instance_that_missed_all_news_learns_it_from_the_row(floor: Floor) -> None:
     # It was cut off while others saw three servers end, and hangs on a dead feed. At the first
     # end that it sees itself it looks for the row, instead of ending three servers more.
-    first, missed = floor.members[0], SuspectBook(manual_context(floor.clock, 'missed'))
+    first, missed = floor.members[0], SuspectRegistry(manual_context(floor.clock, 'missed'))
     assert first.claim()
     store = SuspectStore(
         manual_context(floor.clock, 'missed'),
@@ -101,7 +105,7 @@
         missed,
         lambda: 1.0,
     )
-    missed.note_end(CULPRIT, 4, is_fresh=True)
+    missed.record_server_exit(CULPRIT, 4, is_fresh=True)
     store.look(other := content_of(b'POST', b'h', b'/p/', b'other'))
     assert missed.score(other) == 0.0
     assert missed.score(CULPRIT) == 1.0
@@ -112,14 +116,14 @@
 def test_row_seen_after_the_success_is_cleared_too(fleet: GatewayFleet) -> None:
     # A request is answered well at an instance that has not seen its row yet. Left as it is, the
     # row would stop the request once all instances have started anew.
-    work = AskedWork(b'POST', HOST, b'/fetch/a', b'well')
+    work = LazyRequestContent(b'POST', HOST, b'/fetch/a', b'well')
     content = work.content
     first, second = fleet.instances
     second.peers.stop()
-    second.suspects.note_end(content, 1, is_fresh=True)
-    second.guard.note_survived(work)
+    second.suspects.record_server_exit(content, 1, is_fresh=True)
+    second.guard.record_survived(work)
     for server in (1, 2, 3):
-        first.suspects.note_end(content, server, is_fresh=True)
+        first.suspects.record_server_exit(content, server, is_fresh=True)
     first.suspect_store.save(content)
     wait_until_seen(lambda: not first.suspects.score(content), 'the row to be cleared')
 
@@ -131,7 +135,7 @@
     (first, other), faults = fleet.instances, fleet.store.faults
     faults.refused_ips = {'*'}
     for server in (1, 2, 3):
-        first.suspects.note_end(content, server, is_fresh=True)
+        first.suspects.record_server_exit(content, server, is_fresh=True)
     first.suspect_store.save(content)
     wait_until_seen(lambda: first.suspect_store.failed_count > TRIES, 'tries in vain')
     faults.refused_ips = set()
--- a/tests/test_jobs/test_jobs_part_committer.py
+++ b/tests/test_jobs/test_jobs_part_committer.py
@@ -12,7 +12,7 @@
 from citrondyke.decisions.jobs.held_segment import HeldSegment
 from citrondyke.decisions.jobs.item_set import ItemSet
 from citrondyke.decisions.jobs.outcome import ItemOutcome
-from citrondyke.decisions.jobs.part_committer import PartCommitter
+from citrondyke.decisions.jobs.outcome_committer import OutcomeCommitter
 from citrondyke.decisions.jobs.rows import JobRow, JobState, TodoRow
 from citrondyke.ids import ClassName, JobId, TargetName, TenantId
 from citrondyke.storage.table_service import Committed
@@ -81,7 +81,7 @@
     # still say that the second was sent: the next holder would place that order once more.
     held = new_segment()
     outcome(held, 0)
-    steps = PartCommitter(manual_context(), lambda _: None).commit_part(held)
+    steps = OutcomeCommitter(manual_context(), lambda _: None).commit_part(held)
     op = next(steps)
     assert isinstance(op, PutObject)
     outcome(held, 1)
@@ -97,7 +97,7 @@
     for position in (0, 2, 3):
         outcome(held, position)
     held.is_releasing = True
-    steps = PartCommitter(manual_context(), lambda _: None).commit_part(held)
+    steps = OutcomeCommitter(manual_context(), lambda _: None).commit_part(held)
     op = next(steps)
     outcome(held, 1)
     op = until_transaction(steps, op)
@@ -110,7 +110,7 @@
     assert end.value.value is True
     # The next commit has all outcomes, and gives the segment back.
     assert not held.is_given_back
-    again = PartCommitter(manual_context(), lambda _: None).commit_part(held)
+    again = OutcomeCommitter(manual_context(), lambda _: None).commit_part(held)
     op = until_transaction(again, next(again))
     with pytest.raises(StopIteration):
         again.send(Committed(3))
@@ -122,7 +122,7 @@
     # ended did not kill the holder, and must not be taken for the one that does.
     held = new_segment(is_repeatable=True)
     outcome(held, 0)
-    steps = PartCommitter(manual_context(), lambda _: None).commit_part(held)
+    steps = OutcomeCommitter(manual_context(), lambda _: None).commit_part(held)
     op = next(steps)
     outcome(held, 1)
     row = written_row(until_transaction(steps, op))
--- a/tests/test_platform/test_platform_foreign_entries.py
+++ b/tests/test_platform/test_platform_foreign_entries.py
@@ -10,11 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from citrondyke.decisions.forwarding.listed_backend import ListedBackend
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.forwarding.server_list_entry import ServerListEntry
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
-from citrondyke.gateway.beliefs.beliefs import Beliefs, RowDecoder
-from citrondyke.gateway.beliefs.dependency import Dependency
+from citrondyke.gateway.replication.dependency import Dependency
+from citrondyke.gateway.replication.replicated_state import ReplicatedState, RowDecoder
 from citrondyke.ids import ServerId
 from citrondyke.platform.rows import CONFIG_KEY, SERVERS_TABLE, decode_config, decode_server
 from citrondyke.storage.partitioned_table import PartRow
@@ -60,10 +60,10 @@
     def __init__(self) -> None:
         clock = ManualClock()
         context = manual_context(clock)
-        self.book = ServerBook(context)
+        self.book = ServerRegistry(context)
         decoder = RowDecoder(CONFIG_KEY, decode_config, decode_server)
         self.over: list[str] = []
-        self.beliefs = Beliefs(
+        self.beliefs = ReplicatedState(
             context,
             decoder,
             self.book,
@@ -120,7 +120,7 @@
 def test_outage_keeps_no_server_whose_entry_another_writer_holds() -> None:
     believer = Believer()
     believer.beliefs.on_server_listing([row('i-1', 5, GOOD)], 5)
-    believer.beliefs._servers.note_outage(1_000.0)
+    believer.beliefs._servers.record_outage(1_000.0)
     believer.beliefs.on_server_rows([row('i-1', 7, b'?')])
     assert believer.ids() == set()
 
@@ -169,6 +169,6 @@
 
 @given(st.binary())
 def test_packed_bytes_never_raise_anything_else(raw: bytes) -> None:
-    for decode in (lambda: decompress(raw, 1_000), lambda: decode_msgpack(raw, ListedBackend)):
+    for decode in (lambda: decompress(raw, 1_000), lambda: decode_msgpack(raw, ServerListEntry)):
         with contextlib.suppress(UnreadableBytesError):
             decode()
--- a/tests/test_servers/test_servers_failing.py
+++ b/tests/test_servers/test_servers_failing.py
@@ -7,7 +7,7 @@
 import pytest
 
 from citrondyke.decisions.servers.outcomes import Outcome
-from citrondyke.decisions.servers.standing import ServerStanding
+from citrondyke.decisions.servers.server_health import ServerHealth
 from citrondyke.ids import ServerId
 from tests.support.peers import listed_server
 from tests.test_servers.views import SERVICE, Asked, Fleet
@@ -15,7 +15,7 @@
 SEEDS = pytest.mark.parametrize('seed', range(3))
 BAD = ServerId('s-0')
 FAILING = {ServerId(f's-{n}') for n in range(6)}
-OUT = ServerStanding.OUT
+OUT = ServerHealth.OUT
 
 
 def good(_: Asked) -> Outcome:
@@ -36,7 +36,7 @@
     lost = fleet.run(7_000.0)
     assert lost.once <= 12
     assert lost.repeatable <= 3
-    assert all(fleet.seen(server)[ServerStanding.SOUND] == 0 for server in FAILING)
+    assert all(fleet.seen(server)[ServerHealth.SOUND] == 0 for server in FAILING)
 
 
 @SEEDS
@@ -107,7 +107,7 @@
     fleet.asked.clear()
     lost = fleet.run(6_000.0)
     assert lost.once <= 3
-    assert fleet.seen(BAD)[ServerStanding.SOUND] == 0
+    assert fleet.seen(BAD)[ServerHealth.SOUND] == 0
     assert fleet.asked[BAD] <= 20
 
 
@@ -124,7 +124,7 @@
     assert lost.once <= 1
     assert fleet.by_zone['zone-b', BAD] <= 12
     assert fleet.by_zone['zone-a', BAD] >= 120
-    assert fleet.views[0].state(BAD).record.standing is ServerStanding.SOUND
+    assert fleet.views[0].state(BAD).record.standing is ServerHealth.SOUND
 
 
 @SEEDS
@@ -138,7 +138,7 @@
     fleet.run(6_000.0)
     for view in fleet.views[1:]:
         assert view.standings()[OUT] == 0
-        assert view.standings()[ServerStanding.DOUBTED] <= 20 // 4
+        assert view.standings()[ServerHealth.DOUBTED] <= 20 // 4
 
 
 @SEEDS
@@ -181,7 +181,7 @@
     fleet.run(1_000.0)
     fleet.answer = fails if is_failing else good
     fleet.run(3_000.0)
-    assert fleet.seen(BAD)[ServerStanding.SOUND] == (0 if is_failing else 9)
+    assert fleet.seen(BAD)[ServerHealth.SOUND] == (0 if is_failing else 9)
 
 
 def test_tellings_are_bounded_though_all_servers_fail() -> None:
--- a/tests/test_servers/test_servers_pace.py
+++ b/tests/test_servers/test_servers_pace.py
@@ -7,10 +7,10 @@
 import pytest
 
 from citrondyke.decisions.forwarding.server_state import ServerState
-from citrondyke.decisions.servers.learned_speed import LearnedSpeed
-from citrondyke.decisions.servers.stated_pace import StatedPace
+from citrondyke.decisions.servers.latency_ratio import LatencyRatio
+from citrondyke.decisions.servers.reported_slowdown import ReportedSlowdown
 from citrondyke.gateway.servers.reply_reader import ReplyHead
-from citrondyke.ids import ServerLife
+from citrondyke.ids import ServerIncarnation
 from citrondyke.platform.dialect import PlatformDialect
 from tests.support.peers import listed_server
 
@@ -35,7 +35,7 @@
     facts = PlatformDialect().reply_facts(ReplyHead(200, [(b'instance-load', value)]))
     assert facts.load == (3, 1)
     assert facts.pace is not None
-    pace = StatedPace()
+    pace = ReportedSlowdown()
     assert not pace.note(facts.pace, 0.0)
     assert pace.factor(0.0) == 1.0
 
@@ -45,13 +45,13 @@
         ReplyHead(200, [(b'instance-load', b'1' * 6_000 + b',0')])
     )
     assert facts.load is not None
-    state = ServerState(listed_server('s-0', 's'), ServerLife('s-0'))
-    state.note_stated_load(*facts.load, 0.0)
+    state = ServerState(listed_server('s-0', 's'), ServerIncarnation('s-0'))
+    state.record_reported_load(*facts.load, 0.0)
     assert state.total_count(0.0) <= 16 * 8
 
 
 def test_figure_loses_its_weight_with_age() -> None:
-    pace = StatedPace()
+    pace = ReportedSlowdown()
     for number in range(50):
         pace.note(1.0, number)
     pace.note(2.5, 100.0)
@@ -61,14 +61,14 @@
 
 
 def test_figure_that_never_changes_counts_as_it_is() -> None:
-    pace = StatedPace()
+    pace = ReportedSlowdown()
     for number in range(50):
         pace.note(1.3, number)
     assert pace.factor(10_000.0) == pytest.approx(1.3)
 
 
 def test_stated_figure_is_bounded() -> None:
-    pace = StatedPace()
+    pace = ReportedSlowdown()
     assert pace.note(99.0, 0.0)
     assert pace.factor(0.0) == 4.0
     assert not pace.note(math.nan, 0.0)
@@ -76,17 +76,17 @@
 
 def test_speed_is_learned_whatever_the_machine_does_meanwhile() -> None:
     # A server takes 1.6 times the usual 20 ms, and its machine is slow for half of the time.
-    state = ServerState(listed_server('s-0', 's'), ServerLife('s-0'))
+    state = ServerState(listed_server('s-0', 's'), ServerIncarnation('s-0'))
     for number in range(60):
         now_ms = number * 500.0
         pace = 2.0 if number % 2 else 1.0
         state.pace.note(pace, now_ms)
-        state.note_work(20.0 * 1.6 * pace, 20.0, now_ms)
+        state.record_work(20.0 * 1.6 * pace, 20.0, now_ms)
     assert state.speed.factor == pytest.approx(1.6, rel=0.05)
 
 
 def test_one_long_answer_is_no_slow_server() -> None:
-    speed = LearnedSpeed()
+    speed = LatencyRatio()
     for _ in range(20):
         speed.note(20.0, 20.0)
     speed.note(400.0, 20.0)
@@ -94,7 +94,7 @@
 
 
 def test_server_without_figures_is_as_slow_as_any() -> None:
-    state = ServerState(listed_server('s-0', 's'), ServerLife('s-0'))
+    state = ServerState(listed_server('s-0', 's'), ServerIncarnation('s-0'))
     for _ in range(20):
-        state.note_work(80.0, 20.0, 0.0)
+        state.record_work(80.0, 20.0, 0.0)
     assert state.slowness(0.0) == 1.0
--- a/tests/test_servers/test_servers_uneven.py
+++ b/tests/test_servers/test_servers_uneven.py
@@ -10,8 +10,8 @@
 import msgspec
 import pytest
 
-from citrondyke.decisions.forwarding import server_book
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.forwarding import server_registry
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.decisions.forwarding.server_state import ServerState
 from citrondyke.decisions.servers.few_candidates import CANDIDATES, few_candidates
 from citrondyke.ids import InstanceId, ServerId, ServiceName
@@ -62,7 +62,7 @@
         self._events: list[tuple[float, int, tuple[int, int, int]]] = []
         self._number = 0
         for n in range(INSTANCES):
-            book = ServerBook(manual_context(self.clock, f'i-{n}', seed=100 * seed + n))
+            book = ServerRegistry(manual_context(self.clock, f'i-{n}', seed=100 * seed + n))
             book.replace(listed_server(f's-{m}', SERVICE, SLOTS) for m in range(SERVERS))
             self.books.append(book)
 
@@ -97,8 +97,8 @@
         self.running[server] += 1
         if self.states_pace:
             state.pace.note(self.pace(server), self.clock.ms)
-        state.note_work(first_ms, FIRST_MS * 1.2, self.clock.ms)
-        state.note_time(first_ms)
+        state.record_work(first_ms, FIRST_MS * 1.2, self.clock.ms)
+        state.record_latency(first_ms)
         result.first_ms.append(first_ms)
         result.by_server[server] += 1
         self._count(at, state, 1)
@@ -139,7 +139,7 @@
     """Play one way of choosing: by counts, the best of all, or among few."""
     if way == 'best':
         monkeypatch.setattr(
-            server_book,
+            server_registry,
             'few_candidates',
             lambda states, random, now_ms: few_candidates(states, random, now_ms, SERVERS),
         )
@@ -181,7 +181,7 @@
 
 
 def test_few_candidates_are_drawn_by_speed() -> None:
-    book = ServerBook(manual_context())
+    book = ServerRegistry(manual_context())
     book.replace(listed_server(f's-{n}', SERVICE) for n in range(9))
     for state in book.states():
         state.pace.note(4.0 if state.listed.id == 's-0' else 1.0, 0.0)
@@ -195,7 +195,7 @@
 
 
 def test_place_elsewhere_is_found_though_it_was_not_drawn() -> None:
-    book = ServerBook(manual_context())
+    book = ServerRegistry(manual_context())
     book.replace(listed_server(f's-{n}', SERVICE) for n in range(30))
     for state in book.states():
         state.pace.note(1.0, 0.0)
@@ -209,7 +209,7 @@
 def test_server_that_has_not_answered_here_yet_gets_requests_too() -> None:
     # In a large fleet an instance meets each server once in some seconds; those that it has not
     # met must not look worse for what is on them than those it has.
-    book = ServerBook(manual_context())
+    book = ServerRegistry(manual_context())
     book.replace(listed_server(f's-{n}', SERVICE) for n in range(8))
     for state in book.states():
         state.own.online = 2
--- a/tests/test_servers/views.py
+++ b/tests/test_servers/views.py
@@ -8,13 +8,13 @@
 
 import msgspec
 
-from citrondyke.decisions.forwarding.server_book import ServerBook
+from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.decisions.forwarding.server_state import ServerState
 from citrondyke.decisions.servers.evidence_notices import EvidenceNotices
 from citrondyke.decisions.servers.outcomes import Outcome
 from citrondyke.decisions.servers.server_evidence import ServerEvidence
-from citrondyke.decisions.servers.standing import ServerStanding
-from citrondyke.ids import AvailabilityZone, ServerId, ServerLife, ServiceName
+from citrondyke.decisions.servers.server_health import ServerHealth
+from citrondyke.ids import AvailabilityZone, ServerId, ServerIncarnation, ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import listed_server
 
@@ -49,10 +49,10 @@
 
     def __init__(self, clock: ManualClock, name: str, zone: str, seed: int) -> None:
         self.context = manual_context(clock, name, zone, seed)
-        self.book = ServerBook(self.context)
+        self.book = ServerRegistry(self.context)
         self.notices = EvidenceNotices(self.context, self.book)
 
-    def standings(self) -> Counter[ServerStanding]:
+    def standings(self) -> Counter[ServerHealth]:
         return Counter(state.record.standing for state in self.book.states())
 
     def state(self, server: ServerId) -> ServerState:
@@ -108,7 +108,7 @@
                 self._request()
         return self.lost
 
-    def seen(self, server: ServerId) -> Counter[ServerStanding]:
+    def seen(self, server: ServerId) -> Counter[ServerHealth]:
         """Count the instances by how they see a server."""
         return Counter(view.state(server).record.standing for view in self.views)
 
@@ -117,7 +117,7 @@
         self._telling.add(view)
         # A quarter of the requests may run once only.
         is_once = self.random.random() < 0.25
-        avoid: set[ServerLife] = set()
+        avoid: set[ServerIncarnation] = set()
         for _ in range(1 if is_once else 2):
             state = view.book.choose(SERVICE, avoid, '', is_once=is_once)
             if state is None:
@@ -139,7 +139,7 @@
             Asked(context.instance_id, context.zone, state.listed.id, self.clock.ms)
         )
         if outcome is Outcome.SUCCEEDED:
-            state.note_answered(self.clock.ms)
+            state.record_answered(self.clock.ms)
             state.note_success()
             state.own.online += 1
             self._running.append((self.clock.ms + WORK_MS, state))
