--- a/benchmarks/events.py
+++ b/benchmarks/events.py
@@ -36,13 +36,13 @@
     cuts: list[float] = []
     for host in run.hosts:
         worker = host.instance.worker
-        cut = worker.cut
+        cut = worker.preempt
 
         def noting(request_ids, cut=cut):  # type: ignore[no-untyped-def]  # noqa: ANN001, ANN202
             cuts.append(run.fleet.time.now_ms())
             cut(request_ids)
 
-        worker.cut = noting  # type: ignore[method-assign]
+        worker.preempt = noting  # type: ignore[method-assign]
     run.run()
     in_burst = [at_ms for at_ms in cuts if BURST_MS <= at_ms < BURST_MS + 100.0]
     allowed_ms = 2 * scenario.curve.step_ms(scenario.curve.knee_streams) + 2 * scenario.one_way_ms
--- a/benchmarks/gateway_load.py
+++ b/benchmarks/gateway_load.py
@@ -21,7 +21,7 @@
     Policy,
     RandomOfTwo,
 )
-from citrondyke.decisions.batch.batch_preemption import BatchPreemption, RunningItem, Urgency
+from citrondyke.decisions.batch.batch_scheduler import BatchScheduler, RunningItem, Urgency
 from citrondyke.decisions.batch.start_rate_limiter import StartRateLimiter
 from citrondyke.decisions.core.context import Context
 from citrondyke.decisions.forwarding.load_notices import RENEW_MS
@@ -44,7 +44,7 @@
 SERVERS = 5
 SLOTS = 8
 #: From the start of a run to its first event.
-FIRST_EVENT_MS = 12.0
+INITIAL_EVENT_MS = 12.0
 #: The traffic's steps: share of the mean, for so long.
 STEPS = ((0.383, 3_400.0), (1.87, 2_400.0))
 LENGTH_MS = 40_000.0
@@ -111,7 +111,7 @@
         self.batch_ms = 0.0
         self._policies = [self._new_instance(policy, n) for n in range(INSTANCES)]
         self._ways = [
-            BatchPreemption(
+            BatchScheduler(
                 each.context, each.book, StartRateLimiter(each.context, each.book.neighbours)
             )
             for each in self._policies
@@ -203,9 +203,9 @@
         self._at(self.clock.ms + run.left_ms, lambda: self._finish(server_id, run))
 
     def _note_first(self, request: _Request) -> None:
-        took_ms = self.clock.ms + FIRST_EVENT_MS - request.arrived_ms
+        took_ms = self.clock.ms + INITIAL_EVENT_MS - request.arrived_ms
         self.first_ms.append(took_ms)
-        second_ms = self.clock.ms + FIRST_EVENT_MS - request.tried_ms
+        second_ms = self.clock.ms + INITIAL_EVENT_MS - request.tried_ms
         if took_ms <= AIM_MS:
             self.worth += IN_AIM
         elif request.is_second and second_ms <= AIM_MS:
@@ -271,7 +271,7 @@
         for instance, way in enumerate(self._ways):
             if self._gives_way:
                 self._cut(instance, way)
-            while (state := way.choose(SERVICE, Urgency.PATIENT)) is not None:
+            while (state := way.choose_server(SERVICE, Urgency.PATIENT)) is not None:
                 self._count(instance, state.listed.id, batch=1)
                 self._enter(state.listed.id, _Run(instance, None, ITEM_MS))
 
@@ -280,7 +280,7 @@
         assert state is not None
         return state.life
 
-    def _cut(self, instance: int, way: BatchPreemption) -> None:
+    def _cut(self, instance: int, way: BatchScheduler) -> None:
         runs = [
             (server_id, run)
             for server_id, server in self._servers.items()
@@ -291,7 +291,7 @@
             RunningItem(number, self._life(instance, server_id), run.started_ms, Urgency.PATIENT)
             for number, (server_id, run) in enumerate(runs)
         ]
-        for item in way.to_cut(items):
+        for item in way.items_to_preempt(items):
             server_id, run = runs[item.number]
             if run in self._servers[server_id].running:
                 self.batch_ms += self.clock.ms - run.started_ms
--- a/citrondyke/decisions/accounts/limit_overshoot_budget.py
+++ b/citrondyke/decisions/accounts/limit_overshoot_budget.py
@@ -8,7 +8,7 @@
 
 #: Parts of what may pass a limit. A third lets callers through whose requests come unevenly; three
 #: fifths go to three keepers that stand in for a steward that is gone; the rest is left alone.
-SPARE_PART = 0.3
+HEADROOM_PART = 0.3
 STAND_IN_PART = 0.15
 STAND_IN_REFILL_PART = 0.05
 STAND_IN_FIRST_PART = 0.1
@@ -33,7 +33,7 @@
     def depth(self, rate_per_s: float, burst: float) -> float:
         """Give a steward's bucket."""
         spare = self.slack + rate_per_s * self.window_ms / 1e3 * self.overshoot
-        return burst * (1 + self.overshoot) + spare * SPARE_PART
+        return burst * (1 + self.overshoot) + spare * HEADROOM_PART
 
     def granted_ahead_uses(self, rate_per_s: float, burst: float) -> float:
         """Give what an account is promised in any window; uses ahead of time stay within it.
--- a/citrondyke/decisions/batch/backlog_limit.py
+++ b/citrondyke/decisions/batch/backlog_limit.py
@@ -23,26 +23,26 @@
     'ShareValidity',
     'TokenShare',
     'WithinBacklogLimit',
-    'count_others',
+    'sum_peer_shares',
 )
 
 #: Part of the tolerated overshoot that all instances together may hold unused, so that an
 #: acceptance far from the bound needs no further call of the store. The rest is for what they
 #: have finished or taken over and not yet written.
-SPARE_PART = 0.5
+HEADROOM_PART = 0.5
 #: Part of the overshoot that is never given out: jobs that change hands are counted late.
-MARGIN_PART = 0.1
+OVERSHOOT_RESERVE_PART = 0.1
 #: From this part of the bound on, what leaves the count is written soon: a job that fits by the
 #: count of a second ago must not be turned away.
-NEAR_PART = 0.5
+NEAR_LIMIT_PART = 0.5
 #: Bounds of the time after which a caller without room is asked back: a look of another instance
 #: takes 300 ms to show that items are finished, and nobody waits longer than seconds.
-SOONEST_MS = 300.0
-LATEST_MS = 5_000.0
+MIN_RETRY_MS = 300.0
+MAX_RETRY_MS = 5_000.0
 #: Stands in a share for the configuration under which nothing is allowed.
 NO_CONFIGURATION = ConfigVersion(0)
 #: Where nothing has left the count yet, there is no rate to go by.
-UNKNOWN_RATE_MS = 1_000.0
+UNKNOWN_RATE_RETRY_MS = 1_000.0
 
 
 class TokenShare(msgspec.Struct, frozen=True):
@@ -99,14 +99,14 @@
 
     ALIVE = 'alive'
     #: Gone, but what it sent to the store last may still be done.
-    DOUBTFUL = 'doubtful'
-    GONE = 'gone'
+    UNCERTAIN = 'doubtful'
+    DEAD = 'gone'
 
 
-def count_others(
+def sum_peer_shares(
     shares: Mapping[str, TokenShare],
-    own_life: str,
-    standing: Callable[[str, TokenShare], ShareValidity],
+    own_incarnation: str,
+    validity_of: Callable[[str, TokenShare], ShareValidity],
     heads: Iterable[JobHead],
     route: RouteName,
 ) -> PeerShares:
@@ -125,19 +125,19 @@
     orphaned: dict[str, int] = {}
     claimed: dict[str, int] = {}
     for head in heads:
-        if head.bound == route and head.owner_life != own_life:
+        if head.backlog_name == route and head.owner_life != own_incarnation:
             orphaned[head.owner_life] = orphaned.get(head.owner_life, 0) + head.tokens
-        if head.bound == route:
+        if head.backlog_name == route:
             claimed[head.life_before] = claimed.get(head.life_before, 0) + head.tokens
     for life, share in shares.items():
-        if life == own_life:
+        if life == own_incarnation:
             continue
-        stands = standing(life, share)
-        if stands is ShareValidity.ALIVE:
+        validity = validity_of(life, share)
+        if validity is ShareValidity.ALIVE:
             # Its jobs are counted by what it tells.
             orphaned.pop(life, None)
             total = total.plus(max(share.held, share.used), share.used, share.left)
-        elif stands is ShareValidity.DOUBTFUL:
+        elif validity is ShareValidity.UNCERTAIN:
             known = orphaned.get(life, 0) + claimed.get(life, 0) - share.finished
             total = total.plus(max(0, share.held - known), max(0, share.used - known), 0)
     whole = sum(orphaned.values())
@@ -162,27 +162,27 @@
         :param overshoot: tolerated part of it beyond.
         """
         self._limit = limit
-        self._ceiling = limit * (1.0 + overshoot * (1.0 - MARGIN_PART))
-        self._spare = int(limit * overshoot * SPARE_PART / max(1, instances_count))
+        self._ceiling = limit * (1.0 + overshoot * (1.0 - OVERSHOOT_RESERVE_PART))
+        self._headroom = int(limit * overshoot * HEADROOM_PART / max(1, instances_count))
 
-    def is_headroom_sufficient(self, held: int, used: int) -> bool:
+    def is_headroom_in_range(self, held: int, used: int) -> bool:
         """Tell whether what an instance holds beyond its use is about what it may hold so."""
-        return self._spare / 2 <= held - used <= 2 * self._spare
+        return self._headroom / 2 <= held - used <= 2 * self._headroom
 
-    def is_near(self, used_by_all: int) -> bool:
+    def is_near_limit(self, used_by_all: int) -> bool:
         """Tell whether what leaves the count must be told soon."""
-        return used_by_all > self._limit * NEAR_PART
+        return used_by_all > self._limit * NEAR_LIMIT_PART
 
-    def share_for(self, used: int, others: PeerShares) -> int:
+    def share_to_hold(self, used: int, others: PeerShares) -> int:
         """Give what to hold besides what is used, as far as there is room."""
         room = int(self._ceiling) - others.held - used
-        return used + max(0, min(self._spare, room))
+        return used + max(0, min(self._headroom, room))
 
-    def is_within(self, held: int, others: PeerShares) -> bool:
+    def is_within_ceiling(self, held: int, others: PeerShares) -> bool:
         """Tell whether all shares together are within the bound and what is tolerated."""
         return others.held + held <= int(self._ceiling)
 
-    def decide(
+    def check(
         self, used: int, tokens: int, others: PeerShares, tokens_per_s: float
     ) -> WithinBacklogLimit | BacklogFull:
         """Decide on a job that does not fit into this instance's share.
@@ -193,9 +193,9 @@
         excess = others.used + used + tokens - self._limit
         over_ceiling = others.held + used + tokens - int(self._ceiling)
         if excess <= 0 and over_ceiling <= 0:
-            return WithinBacklogLimit(self.share_for(used + tokens, others))
+            return WithinBacklogLimit(self.share_to_hold(used + tokens, others))
         excess = max(excess, over_ceiling)
         if tokens > self._limit:
             return BacklogFull(excess, None)
-        wait_ms = excess / tokens_per_s * 1e3 if tokens_per_s > 0 else UNKNOWN_RATE_MS
-        return BacklogFull(excess, min(LATEST_MS, max(SOONEST_MS, wait_ms)))
+        wait_ms = excess / tokens_per_s * 1e3 if tokens_per_s > 0 else UNKNOWN_RATE_RETRY_MS
+        return BacklogFull(excess, min(MAX_RETRY_MS, max(MIN_RETRY_MS, wait_ms)))
--- a/citrondyke/decisions/batch/batch_demand_table.py
+++ b/citrondyke/decisions/batch/batch_demand_table.py
@@ -17,16 +17,16 @@
 #: A need is told again so often while items wait, since datagrams get lost ...
 RENEW_MS = 250.0
 #: ... and lapses after two of them: an owner that is gone keeps places from the others so long.
-LAPSE_MS = 600.0
+EXPIRY_MS = 600.0
 #: Shortest time between two tellings of needs that change with each start.
-TELL_EVERY_MS = 100.0
+PUBLISH_EVERY_MS = 100.0
 #: Items that must start within this time of each other are equally urgent: places change hands
 #: every tens of ms, and items run for seconds.
-EQUAL_MS = 500.0
+EQUAL_URGENCY_MS = 500.0
 
 
-class _Heard(msgspec.Struct, frozen=True):
-    needs: dict[ServiceName, BatchDemand]
+class _PeerDemand(msgspec.Struct, frozen=True):
+    demands: dict[ServiceName, BatchDemand]
     until_ms: float
 
 
@@ -41,53 +41,57 @@
     def __init__(self, context: Context) -> None:
         """Start without a need."""
         self._context = context
-        self._heard: dict[InstanceId, _Heard] = {}
+        self._peers: dict[InstanceId, _PeerDemand] = {}
         self._own: dict[ServiceName, BatchDemand] = {}
         self._own_since_ms: dict[ServiceName, float] = {}
-        self._told: list[BatchDemand] = []
-        self._told_ms = float('-inf')
+        self._published: list[BatchDemand] = []
+        self._published_ms = float('-inf')
 
-    def record_own_demand(self, needs: list[BatchDemand]) -> None:
+    def record_own_demand(self, demands: list[BatchDemand]) -> None:
         """Take in what waits at this instance; services without waiting items are left out."""
         now_ms = self._context.now_ms()
-        self._own = {need.service: need for need in needs}
+        self._own = {demand.service: demand for demand in demands}
         self._own_since_ms = {
             service: self._own_since_ms.get(service, now_ms) for service in self._own
         }
 
-    def note_peer(self, peer: InstanceId, told: list[DemandNotice]) -> None:
+    def record_peer_demand(self, peer: InstanceId, notices: list[DemandNotice]) -> None:
         """Take in what waits at a peer."""
-        if not told:
-            self._heard.pop(peer, None)
+        if not notices:
+            self._peers.pop(peer, None)
             return
         now_ms = self._context.now_ms()
-        needs = {
-            need.service: BatchDemand(
-                need.service,
-                CompletionLikelihood(need.prospect),
-                need.waiting_count,
-                now_ms + need.start_in_ms,
+        demands = {
+            demand.service: BatchDemand(
+                demand.service,
+                CompletionLikelihood(demand.likelihood),
+                demand.waiting_count,
+                now_ms + demand.start_in_ms,
             )
-            for need in told
+            for demand in notices
         }
-        self._heard[peer] = _Heard(needs, now_ms + LAPSE_MS)
+        self._peers[peer] = _PeerDemand(demands, now_ms + EXPIRY_MS)
 
-    def to_tell(self) -> list[DemandNotice] | None:
+    def take_due_notices(self) -> list[DemandNotice] | None:
         """Give the needs that peers are to be told now; ``None`` for no message.
 
         An empty list says that nothing waits any more.
         """
         now_ms = self._context.now_ms()
-        own = sorted(self._own.values(), key=lambda need: need.service)
-        if now_ms - self._told_ms < TELL_EVERY_MS:
+        own = sorted(self._own.values(), key=lambda demand: demand.service)
+        if now_ms - self._published_ms < PUBLISH_EVERY_MS:
             return None
-        is_changed = [_rough(need) for need in own] != [_rough(need) for need in self._told]
-        if not is_changed and (not own or now_ms - self._told_ms < RENEW_MS):
+        is_changed = [_coarse(demand) for demand in own] != [
+            _coarse(demand) for demand in self._published
+        ]
+        if not is_changed and (not own or now_ms - self._published_ms < RENEW_MS):
             return None
-        self._told, self._told_ms = own, now_ms
+        self._published, self._published_ms = own, now_ms
         return [
-            DemandNotice(need.service, need.prospect, need.waiting_count, need.start_by_ms - now_ms)
-            for need in own
+            DemandNotice(
+                demand.service, demand.likelihood, demand.waiting_count, demand.start_by_ms - now_ms
+            )
+            for demand in own
         ]
 
     def has_peer_demand(self, service: ServiceName) -> bool:
@@ -95,12 +99,14 @@
         since_ms = self._own_since_ms.get(service)
         return since_ms is not None and self._context.now_ms() - since_ms >= RENEW_MS
 
-    def others(self, service: ServiceName) -> list[BatchDemand]:
+    def peer_demand(self, service: ServiceName) -> list[BatchDemand]:
         """List the needs of peers."""
         now_ms = self._context.now_ms()
-        for peer in [each for each, heard in self._heard.items() if heard.until_ms <= now_ms]:
-            del self._heard[peer]
-        return [heard.needs[service] for heard in self._heard.values() if service in heard.needs]
+        for peer in [each for each, entry in self._peers.items() if entry.until_ms <= now_ms]:
+            del self._peers[peer]
+        return [
+            entry.demands[service] for entry in self._peers.values() if service in entry.demands
+        ]
 
     def own_share_of_capacity(self, service: ServiceName, free_count: float) -> float:
         """Give this instance's part of some free places, as places.
@@ -112,22 +118,22 @@
         if own is None:
             return 0.0
         left = free_count
-        others = self.others(service)
-        before = sum(need.waiting_count for need in others if _order(need) < _order(own))
+        peer_demand = self.peer_demand(service)
+        before = sum(demand.waiting_count for demand in peer_demand if _order(demand) < _order(own))
         left -= before
         if left <= 0:
             return 0.0
-        equal = sum(need.waiting_count for need in others if _order(need) == _order(own))
+        equal = sum(demand.waiting_count for demand in peer_demand if _order(demand) == _order(own))
         part = left * own.waiting_count / max(1, equal + own.waiting_count)
         return min(float(own.waiting_count), part)
 
 
-def _order(need: BatchDemand) -> tuple[int, int]:
-    if need.prospect is not CompletionLikelihood.DOABLE:
-        return need.prospect, 0
-    return need.prospect, int(need.start_by_ms // EQUAL_MS)
+def _order(demand: BatchDemand) -> tuple[int, int]:
+    if demand.likelihood is not CompletionLikelihood.DOABLE:
+        return demand.likelihood, 0
+    return demand.likelihood, int(demand.start_by_ms // EQUAL_URGENCY_MS)
 
 
-def _rough(need: BatchDemand) -> tuple[ServiceName, CompletionLikelihood, int]:
+def _coarse(demand: BatchDemand) -> tuple[ServiceName, CompletionLikelihood, int]:
     """Leave out what changes nobody's part by much."""
-    return need.service, need.prospect, need.waiting_count.bit_length()
+    return demand.service, demand.likelihood, demand.waiting_count.bit_length()
--- a/citrondyke/decisions/batch/drain_rate.py
+++ b/citrondyke/decisions/batch/drain_rate.py
@@ -5,9 +5,9 @@
 __all__ = ('DrainRate',)
 
 #: Share of a new measurement in the rate.
-SHARE = 0.4
+SMOOTHING = 0.4
 #: Shortest time that is measured over: items end in lumps, and others tell of theirs every 300 ms.
-SHORTEST_MS = 300.0
+MIN_INTERVAL_MS = 300.0
 
 
 class DrainRate:
@@ -37,8 +37,8 @@
         all_left = left + self.left
         if self._all_left is not None:
             before_ms, before = self._all_left
-            if now_ms - before_ms < SHORTEST_MS:
+            if now_ms - before_ms < MIN_INTERVAL_MS:
                 return
             measured = max(0, all_left - before) / (now_ms - before_ms) * 1e3
-            self.tokens_per_s += SHARE * (measured - self.tokens_per_s)
+            self.tokens_per_s += SMOOTHING * (measured - self.tokens_per_s)
         self._all_left = (now_ms, all_left)
--- a/citrondyke/decisions/batch/item_priority.py
+++ b/citrondyke/decisions/batch/item_priority.py
@@ -10,18 +10,18 @@
 from citrondyke.decisions.batch.batch_demand import BatchDemand, CompletionLikelihood
 from citrondyke.ids import ServiceName
 
-__all__ = ('LATE_MS', 'ItemPriority', 'batch_demand_of', 'count_by_likelihood', 'outlook')
+__all__ = ('LATE_SLACK_MS', 'ItemPriority', 'batch_demand_of', 'count_by_likelihood', 'priority_of')
 
 #: Errors of the estimate of what is left: later than this an item is late whatever is done.
-LATE_MS = -300.0
+LATE_SLACK_MS = -300.0
 
 
 class ItemPriority(msgspec.Struct, frozen=True):
     """How an item stands that would start now."""
 
-    prospect: CompletionLikelihood
+    likelihood: CompletionLikelihood
     #: Time that is left when it ends, if it takes as long as usual.
-    spare_ms: float
+    slack_ms: float
     #: A run of it was cut.
     has_begun: bool = False
 
@@ -33,38 +33,38 @@
         is longer than usual starts the sooner the likelier it is in time: in the order of due
         times the places would go to items that become late one and all.
         """
-        is_doubtful = self.prospect is CompletionLikelihood.DOUBTFUL
-        spare_ms = -self.spare_ms if is_doubtful else self.spare_ms
-        return self.prospect, not self.has_begun, spare_ms
+        is_doubtful = self.likelihood is CompletionLikelihood.DOUBTFUL
+        slack_ms = -self.slack_ms if is_doubtful else self.slack_ms
+        return self.likelihood, not self.has_begun, slack_ms
 
 
-def outlook(spare_ms: float, margin_ms: float, *, has_begun: bool = False) -> ItemPriority:
+def priority_of(slack_ms: float, margin_ms: float, *, has_begun: bool = False) -> ItemPriority:
     """Judge an item.
 
-    :param spare_ms: time that is left if it starts now and takes as long as usual.
+    :param slack_ms: time that is left if it starts now and takes as long as usual.
     :param margin_ms: by which items are longer than usual, as the case may be.
     """
-    if spare_ms < LATE_MS:
-        return ItemPriority(CompletionLikelihood.LATE, spare_ms, has_begun)
-    prospect = (
-        CompletionLikelihood.DOABLE if spare_ms >= margin_ms else CompletionLikelihood.DOUBTFUL
+    if slack_ms < LATE_SLACK_MS:
+        return ItemPriority(CompletionLikelihood.LATE, slack_ms, has_begun)
+    likelihood = (
+        CompletionLikelihood.DOABLE if slack_ms >= margin_ms else CompletionLikelihood.DOUBTFUL
     )
-    return ItemPriority(prospect, spare_ms, has_begun)
+    return ItemPriority(likelihood, slack_ms, has_begun)
 
 
 def batch_demand_of(
-    service: ServiceName, outlooks: Iterable[ItemPriority], now_ms: float
+    service: ServiceName, priorities: Iterable[ItemPriority], now_ms: float
 ) -> BatchDemand:
     """Sum up the items of a service that stand best.
 
     :param outlooks: of all that wait; one at least.
     """
-    outlooks = list(outlooks)
-    best = min(each.prospect for each in outlooks)
-    spares_ms = [each.spare_ms for each in outlooks if each.prospect is best]
-    return BatchDemand(service, best, len(spares_ms), now_ms + min(spares_ms))
+    priorities = list(priorities)
+    best = min(each.likelihood for each in priorities)
+    slacks_ms = [each.slack_ms for each in priorities if each.likelihood is best]
+    return BatchDemand(service, best, len(slacks_ms), now_ms + min(slacks_ms))
 
 
-def count_by_likelihood(outlooks: Iterable[ItemPriority]) -> Counter[CompletionLikelihood]:
+def count_by_likelihood(priorities: Iterable[ItemPriority]) -> Counter[CompletionLikelihood]:
     """Count items by how they stand."""
-    return Counter(each.prospect for each in outlooks)
+    return Counter(each.likelihood for each in priorities)
--- a/citrondyke/decisions/batch/job.py
+++ b/citrondyke/decisions/batch/job.py
@@ -8,12 +8,12 @@
 
 from citrondyke.ids import InstanceId, JobId, RouteName, TenantId
 
-__all__ = ('ItemResult', 'ItemState', 'JobHead', 'JobItem', 'bound_name', 'take_page')
+__all__ = ('ItemResult', 'ItemState', 'JobHead', 'JobItem', 'backlog_name_of', 'take_page')
 
 #: Bytes of results in one answer; its limit is 1 MB.
 PAGE_BYTES = 900_000
 #: Around each result.
-FRAME_BYTES = 64
+RESULT_OVERHEAD_BYTES = 64
 
 
 class ItemState(Enum):
@@ -74,12 +74,12 @@
     account: TenantId = TenantId('')
 
     @property
-    def bound(self) -> RouteName:
+    def backlog_name(self) -> RouteName:
         """Name the bound on waiting tokens that it counts in."""
-        return bound_name(self.route, self.account)
+        return backlog_name_of(self.route, self.account)
 
 
-def bound_name(route: RouteName, account: TenantId) -> RouteName:
+def backlog_name_of(route: RouteName, account: TenantId) -> RouteName:
     """Name the bound on waiting tokens of a route, or of an account on it."""
     return RouteName(f'{route} {account}') if account else route
 
@@ -88,7 +88,7 @@
     """Take as many results as one answer holds; one at least."""
     size = 0
     for count, result in enumerate(results):
-        size += len(result.text) + len(result.id) + FRAME_BYTES
+        size += len(result.text) + len(result.id) + RESULT_OVERHEAD_BYTES
         if size > PAGE_BYTES and count:
             return results[:count]
     return results
--- a/citrondyke/decisions/batch/owned_job.py
+++ b/citrondyke/decisions/batch/owned_job.py
@@ -13,7 +13,7 @@
 
 #: Pause before an item is tried again after a run that failed, in ms; doubled each time.
 RETRY_MS = 100.0
-RETRY_LONGEST_MS = 2_000.0
+MAX_RETRY_PAUSE_MS = 2_000.0
 #: Pause before it is looked again whether an item that was stopped may be sent.
 STOPPED_PAUSE_MS = 1_000.0
 #: Clocks of instances may differ by some seconds: an item is abandoned this much later than its
@@ -33,11 +33,11 @@
     #: The server tried and failed.
     FAILED = 'failed'
     #: It broke off, was turned away or was cut to make room; it goes on behind its last event.
-    BROKEN = 'broken'
+    INTERRUPTED = 'broken'
     #: It was cut to make room for online requests.
-    GAVE_WAY = 'gave_way'
+    PREEMPTED = 'gave_way'
     #: Servers have ended under it; it was not sent.
-    STOPPED = 'stopped'
+    BLOCKED = 'stopped'
 
 
 class ItemProgress(msgspec.Struct):
@@ -47,7 +47,7 @@
     texts: list[str] = []
     last_event_id: int | None = None
     failures_count: int = 0
-    breaks_in_row: int = 0
+    consecutive_breaks: int = 0
     is_running: bool = False
     not_before_ms: float = 0.0
     #: When the run that is under way brought its first event; ``None`` before that.
@@ -91,12 +91,12 @@
         self.is_lost = False
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Tell whether nothing more is to be done for it."""
         return self.is_lost or self.head.is_ended or self.head.is_done
 
     @property
-    def waiting_tokens(self) -> int:
+    def backlog_tokens(self) -> int:
         """Add up the tokens of the items that no server has finished."""
         return sum(progress.item.tokens for progress in self.open.values())
 
@@ -106,7 +106,7 @@
 
     def waiting_items(self, now_ms: float) -> list[ItemProgress]:
         """List the items that may start, in the order handed in."""
-        if self.is_over:
+        if self.is_finished:
             return []
         return [
             progress
@@ -132,10 +132,10 @@
         if end is RunResult.IMPOSSIBLE:
             self._finish(progress, ItemState.ERRORED)
             return
-        if end is RunResult.GAVE_WAY:
+        if end is RunResult.PREEMPTED:
             progress.not_before_ms = now_ms
             return
-        if end is RunResult.STOPPED:
+        if end is RunResult.BLOCKED:
             # Its trial, its job's end or its time to be abandoned comes.
             progress.not_before_ms = now_ms + STOPPED_PAUSE_MS
             return
@@ -144,11 +144,11 @@
             if progress.failures_count >= self.head.attempts_limit:
                 self._finish(progress, ItemState.ERRORED)
                 return
-        progress.breaks_in_row += 1
+        progress.consecutive_breaks += 1
         if epoch_ms >= self.head.abandon_epoch_ms + ABANDON_MARGIN_MS:
             self._finish(progress, ItemState.ERRORED)
             return
-        pause_ms = min(RETRY_LONGEST_MS, RETRY_MS * 2.0 ** (progress.breaks_in_row - 1))
+        pause_ms = min(MAX_RETRY_PAUSE_MS, RETRY_MS * 2.0 ** (progress.consecutive_breaks - 1))
         progress.not_before_ms = now_ms + pause_ms
 
     def abandon_overdue(self, epoch_ms: float) -> None:
@@ -159,7 +159,7 @@
             if not progress.is_running:
                 self._finish(progress, ItemState.ERRORED)
 
-    def to_commit(self) -> list[ItemResult]:
+    def next_commit(self) -> list[ItemResult]:
         """Give the next finished results that go into one commit; the same ones until it is known.
 
         A commit in doubt is tried again as it was: another order in the same positions could
@@ -176,7 +176,7 @@
             chosen.append(result)
         return chosen
 
-    def committed(self, results: list[ItemResult], version: int | None) -> None:
+    def record_committed(self, results: list[ItemResult], version: int | None) -> None:
         """Take note that results are durable.
 
         :param version: of the head's row, where the commit wrote it.
@@ -198,7 +198,7 @@
             progress.last_event_id = last_event_id
             progress.failures_count = failures_count
 
-    def is_expected_done(self, results: list[ItemResult]) -> bool:
+    def completes_job(self, results: list[ItemResult]) -> bool:
         """Tell whether a commit of these results completes the job."""
         return len(self.results) + len(results) >= self.head.items_count
 
--- a/citrondyke/decisions/batch/read_budget.py
+++ b/citrondyke/decisions/batch/read_budget.py
@@ -13,9 +13,9 @@
 
 #: Part of the store's reads that this kind may take. After a loss of all power everything is read
 #: anew, and callers wait for the rest: the configuration, the servers, their results.
-SHARE = 0.5
+READS_SHARE = 0.5
 #: What is saved up while nothing is read, as time: a start reads so much at once.
-SAVED_MS = 1_000.0
+BURST_MS = 1_000.0
 
 
 class ReadBudget:
@@ -41,7 +41,7 @@
     def take(self) -> float:
         """Take one read; give how long to wait before it, in ms."""
         now_ms = self._context.now_ms()
-        gap_ms = self._instances_count() * 1e3 / (self._reads_per_s * SHARE)
+        gap_ms = self._instances_count() * 1e3 / (self._reads_per_s * READS_SHARE)
         # Reads are owed from the moment on at which the bucket would be full again.
-        self._full_ms = max(self._full_ms, now_ms - SAVED_MS) + gap_ms
+        self._full_ms = max(self._full_ms, now_ms - BURST_MS) + gap_ms
         return max(0.0, self._full_ms - now_ms)
--- a/citrondyke/decisions/batch/run_length.py
+++ b/citrondyke/decisions/batch/run_length.py
@@ -12,22 +12,22 @@
 __all__ = ('RunLengthEstimator',)
 
 #: Before anything was measured: an item of 160 events, one each 30 ms.
-FIRST_EVENTS = 160.0
-FIRST_EVENT_MS = 30.0
+INITIAL_EVENTS = 160.0
+INITIAL_EVENT_MS = 30.0
 #: ... and lengths that differ by a quarter.
-FIRST_DEVIATION = 40.0
+INITIAL_DEVIATION = 40.0
 #: Share of a new measurement in the means.
-SHARE = 0.1
+SMOOTHING = 0.1
 #: Bounds of the margin: counts and ways take some time, and a few odd items must not have the
 #: rest of their route put off.
-SMALLEST_MARGIN_MS = 300.0
-LARGEST_MARGIN_MS = 2_000.0
+MIN_MARGIN_MS = 300.0
+MAX_MARGIN_MS = 2_000.0
 
 
 class _Length(msgspec.Struct):
-    events: float = FIRST_EVENTS
-    deviation: float = FIRST_DEVIATION
-    event_ms: float = FIRST_EVENT_MS
+    events: float = INITIAL_EVENTS
+    deviation: float = INITIAL_DEVIATION
+    event_ms: float = INITIAL_EVENT_MS
 
 
 class RunLengthEstimator:
@@ -40,14 +40,14 @@
     def record_complete_run(self, route: RouteName, events_count: int) -> None:
         """Take in an item that was completed."""
         length = self._lengths.setdefault(route, _Length())
-        length.deviation += SHARE * (abs(events_count - length.events) - length.deviation)
-        length.events += SHARE * (events_count - length.events)
+        length.deviation += SMOOTHING * (abs(events_count - length.events) - length.deviation)
+        length.events += SMOOTHING * (events_count - length.events)
 
     def record_event_interval(self, route: RouteName, events_count: int, took_ms: float) -> None:
         """Take in a run of some events."""
         if events_count > 0:
             length = self._lengths.setdefault(route, _Length())
-            length.event_ms += SHARE * (took_ms / events_count - length.event_ms)
+            length.event_ms += SMOOTHING * (took_ms / events_count - length.event_ms)
 
     def remaining_ms(self, route: RouteName, events_count: int) -> float:
         """Give the time that an item still runs, behind some events."""
@@ -58,4 +58,4 @@
         """Give the time by which most items are at most longer than usual."""
         length = self._lengths.get(route) or _Length()
         margin_ms = length.deviation * length.event_ms
-        return min(LARGEST_MARGIN_MS, max(SMALLEST_MARGIN_MS, margin_ms))
+        return min(MAX_MARGIN_MS, max(MIN_MARGIN_MS, margin_ms))
--- a/citrondyke/decisions/batch/start_rate_limiter.py
+++ b/citrondyke/decisions/batch/start_rate_limiter.py
@@ -37,31 +37,31 @@
     it shares with all who may have.
     """
 
-    def __init__(self, context: Context, neighbours: PeerTopology) -> None:
+    def __init__(self, context: Context, topology: PeerTopology) -> None:
         """Start without a start taken."""
         self._context = context
-        self._neighbours = neighbours
+        self._topology = topology
         #: Who has items waiting.
-        self.needs = BatchDemandTable(context)
+        self.demand = BatchDemandTable(context)
         self._budgets: dict[tuple[ServiceName, bool], _Budget] = {}
 
     @property
     def gap_ms(self) -> float:
         """Give the time after which what was started is known to all neighbours."""
-        return max(SHORTEST_GAP_MS, self._neighbours.gap_ms + ONE_WAY_DELAY_MS)
+        return max(SHORTEST_GAP_MS, self._topology.gap_ms + ONE_WAY_DELAY_MS)
 
-    def take(self, service: ServiceName, free_count: int, *, is_far: bool = False) -> bool:
+    def try_start(self, service: ServiceName, free_count: int, *, is_remote: bool = False) -> bool:
         """Ask for one start.
 
         :param free_count: places that look free at the servers that come into question.
-        :param is_far: whether they are in other zones of a large fleet, shared with everybody.
+        :param is_remote: whether they are in other zones of a large fleet, shared with everybody.
         """
         now_ms = self._context.now_ms()
-        share = self._share(service, free_count, is_far=is_far)
+        share = self._share(service, free_count, is_remote=is_remote)
         # What looks free far away at first may only not have been told yet.
-        first = 0.0 if is_far else share
-        budget = self._budgets.setdefault((service, is_far), _Budget(first, now_ms))
-        gap_ms = TOTALS_EVERY_MS if is_far else self.gap_ms
+        first = 0.0 if is_remote else share
+        budget = self._budgets.setdefault((service, is_remote), _Budget(first, now_ms))
+        gap_ms = TOTALS_EVERY_MS if is_remote else self.gap_ms
         gaps = min(1.0, (now_ms - budget.at_ms) / gap_ms)
         budget.starts = min(max(1.0, share), budget.starts + gaps * share)
         budget.at_ms = now_ms
@@ -73,14 +73,14 @@
         chance, budget.starts = budget.starts, 0.0
         return self._context.random.random() < chance
 
-    def _share(self, service: ServiceName, free_count: int, *, is_far: bool) -> float:
+    def _share(self, service: ServiceName, free_count: int, *, is_remote: bool) -> float:
         """Give the part of the free places that is this instance's.
 
         Owners in other zones are not heard of one by one: each zone is taken to have as many.
         """
-        neighbours = self._neighbours
-        if not self.needs.has_peer_demand(service):
-            return free_count / (neighbours.instances_count if is_far else neighbours.near_count)
-        if is_far:
-            return self.needs.own_share_of_capacity(service, free_count / neighbours.zones_count)
-        return self.needs.own_share_of_capacity(service, free_count)
+        topology = self._topology
+        if not self.demand.has_peer_demand(service):
+            return free_count / (topology.instances_count if is_remote else topology.near_count)
+        if is_remote:
+            return self.demand.own_share_of_capacity(service, free_count / topology.zones_count)
+        return self.demand.own_share_of_capacity(service, free_count)
--- a/citrondyke/decisions/batch/takeover.py
+++ b/citrondyke/decisions/batch/takeover.py
@@ -16,12 +16,12 @@
 __all__ = ('InstanceLiveness', 'TakeoverSchedule')
 
 #: Silence after which an instance is taken for gone: three heartbeats, one of which may be late.
-SILENT_MS = 3_000.0
+HEARTBEAT_TIMEOUT_MS = 3_000.0
 #: Time that the instance whose turn it is has before the next one may claim too; it may be out
 #: of the store's reach without knowing it.
-TURN_MS = 600.0
+ROTATION_MS = 600.0
 #: Longer than an acceptance is tried for, so that it is not claimed in the middle of it.
-OWN_MS = 2_500.0
+OWN_CLAIM_DELAY_MS = 2_500.0
 #: From an instance's first look at the others until it claims anything: after a stop of all of
 #: them they start within 300 ms of each other and are seen by the next read, a second later.
 SETTLE_MS = 700.0
@@ -32,13 +32,13 @@
 #: second.
 POLL_GAP_MS = 2_000.0
 #: Lives that are remembered after their rows were taken away: all of a large fleet, twice.
-LEFT_LIMIT = 2_000
+REMOVED_LIMIT = 2_000
 
 
 class _Seen(msgspec.Struct):
     life: str
     version: int
-    changed_ms: float
+    renewed_ms: float
     #: When this life was first seen.
     since_ms: float
 
@@ -46,7 +46,7 @@
 class _SeenHead(msgspec.Struct):
     version: int
     since_ms: float
-    ownerless_ms: float | None = None
+    dead_since_ms: float | None = None
 
 
 class InstanceLiveness:
@@ -62,14 +62,14 @@
         self._context = context
         self._seen: dict[InstanceId, _Seen] = {}
         #: Since when lives are gone whose rows were taken away, in that order.
-        self._left: dict[str, float] = {}
-        self._beat_ms = float('-inf')
-        self._look_ms = float('-inf')
-        self._first_look_ms = 0.0
+        self._removed: dict[str, float] = {}
+        self._heartbeat_ms = float('-inf')
+        self._polled_ms = float('-inf')
+        self._first_poll_ms = 0.0
         #: By how much heartbeats and looks are rarer than in a small fleet; silences grow with it.
-        self.pace = 1.0
+        self.timeout_factor = 1.0
 
-    def note(self, instance_id: InstanceId, life: str, version: int) -> bool:
+    def record_row(self, instance_id: InstanceId, life: str, version: int) -> bool:
         """Take in a heartbeat's row; tell whether it is a new one."""
         seen = self._seen.get(instance_id)
         if seen is not None and version <= seen.version:
@@ -80,45 +80,47 @@
         self._seen[instance_id] = _Seen(life, version, now_ms, since_ms)
         return True
 
-    def note_gone(self, instance_id: InstanceId) -> None:
+    def record_removed(self, instance_id: InstanceId) -> None:
         """Take in that an instance's row was taken away, by itself or after a long silence."""
         seen = self._seen.pop(instance_id, None)
         if seen is None:
             return
         now_ms = self._context.now_ms()
-        self._left[seen.life] = min(now_ms, seen.changed_ms + SILENT_MS * self.pace)
-        while len(self._left) > LEFT_LIMIT:
-            del self._left[next(iter(self._left))]
+        self._removed[seen.life] = min(
+            now_ms, seen.renewed_ms + HEARTBEAT_TIMEOUT_MS * self.timeout_factor
+        )
+        while len(self._removed) > REMOVED_LIMIT:
+            del self._removed[next(iter(self._removed))]
 
-    def record_heartbeat(self) -> None:
+    def record_own_heartbeat(self) -> None:
         """Take note that an own heartbeat was written; after a gap all silences begin anew."""
         now_ms = self._context.now_ms()
-        if not self.has_heartbeat:
-            self._extend_grace(now_ms)
-        self._beat_ms = now_ms
+        if not self.is_own_heartbeat_fresh:
+            self._restart_timeouts(now_ms)
+        self._heartbeat_ms = now_ms
 
     def record_poll(self) -> None:
         """Take note that the others' heartbeats were read; a gap counts as one between own ones."""
         now_ms = self._context.now_ms()
-        if not self._is_looking:
-            self._first_look_ms = now_ms
-            self._extend_grace(now_ms)
-        self._look_ms = now_ms
+        if not self._is_polling:
+            self._first_poll_ms = now_ms
+            self._restart_timeouts(now_ms)
+        self._polled_ms = now_ms
 
     @property
-    def has_heartbeat(self) -> bool:
+    def is_own_heartbeat_fresh(self) -> bool:
         """Tell whether this instance's own heartbeats are written."""
-        return self._context.now_ms() - self._beat_ms <= HEARTBEAT_GAP_MS * self.pace
+        return self._context.now_ms() - self._heartbeat_ms <= HEARTBEAT_GAP_MS * self.timeout_factor
 
-    def is_gone(self, owner: InstanceId, life: str, row_version: int, since_ms: float) -> bool:
+    def is_dead(self, owner: InstanceId, life: str, row_version: int, since_ms: float) -> bool:
         """Tell whether the owner of a job is certainly gone, or silent for too long.
 
         :param row_version: of the row in which the owner is named.
         :param since_ms: when this instance first saw that version of it.
         """
-        return self.gone_for_ms(owner, life, row_version, since_ms) is not None
+        return self.dead_for_ms(owner, life, row_version, since_ms) is not None
 
-    def gone_for_ms(
+    def dead_for_ms(
         self, owner: InstanceId, life: str, row_version: int, since_ms: float
     ) -> float | None:
         """Give the time for which it is known that an owner is gone; ``None`` if it is not.
@@ -133,22 +135,22 @@
         if seen is not None and seen.life != life and seen.version > row_version:
             # Another life of it began after that row was written.
             return now_ms - seen.since_ms
-        if seen is None and life in self._left:
+        if seen is None and life in self._removed:
             # Not since its row in question was seen: it ran on, and what it sent last may come.
-            return now_ms - self._left[life]
+            return now_ms - self._removed[life]
         # A life that is not known here may have begun a moment ago and claimed the job before its
         # first heartbeat was read; if that counted as gone, all would claim from each other.
         # And a head that was written a moment ago shows that its owner was alive then.
         shown_ms = since_ms
         if seen is not None and seen.life == life:
-            shown_ms = max(since_ms, seen.changed_ms)
-        silent_ms = now_ms - shown_ms - SILENT_MS * self.pace
-        return silent_ms if silent_ms >= 0 else None
+            shown_ms = max(since_ms, seen.renewed_ms)
+        overdue_ms = now_ms - shown_ms - HEARTBEAT_TIMEOUT_MS * self.timeout_factor
+        return overdue_ms if overdue_ms >= 0 else None
 
     @property
-    def has_looked(self) -> bool:
+    def has_polled(self) -> bool:
         """Tell whether the others' heartbeats were ever read."""
-        return self._look_ms > float('-inf')
+        return self._polled_ms > float('-inf')
 
     @property
     def count(self) -> int:
@@ -158,11 +160,11 @@
     @property
     def is_settled(self) -> bool:
         """Tell whether all who run had the time to show it since this instance began to look."""
-        if not self.has_heartbeat or not self._is_looking:
+        if not self.is_own_heartbeat_fresh or not self._is_polling:
             return False
-        return self._context.now_ms() - self._first_look_ms >= SETTLE_MS
+        return self._context.now_ms() - self._first_poll_ms >= SETTLE_MS
 
-    def silent(self, longest_ms: float) -> list[InstanceId]:
+    def unresponsive(self, longest_ms: float) -> list[InstanceId]:
         """List the instances that were silent for longer, while that could be judged."""
         if not self.is_settled:
             return []
@@ -170,24 +172,24 @@
         return [
             instance_id
             for instance_id, seen in self._seen.items()
-            if now_ms - seen.changed_ms >= longest_ms and instance_id != self._context.instance_id
+            if now_ms - seen.renewed_ms >= longest_ms and instance_id != self._context.instance_id
         ]
 
     @property
-    def _is_looking(self) -> bool:
-        return self._context.now_ms() - self._look_ms <= POLL_GAP_MS * self.pace
+    def _is_polling(self) -> bool:
+        return self._context.now_ms() - self._polled_ms <= POLL_GAP_MS * self.timeout_factor
 
-    def _extend_grace(self, now_ms: float) -> None:
+    def _restart_timeouts(self, now_ms: float) -> None:
         for seen in self._seen.values():
-            seen.changed_ms = now_ms
+            seen.renewed_ms = now_ms
 
-    def names(self) -> list[InstanceId]:
+    def live_instances(self) -> list[InstanceId]:
         """List the instances that are alive, this one included."""
         now_ms = self._context.now_ms()
         found = {
             instance_id
             for instance_id, seen in self._seen.items()
-            if now_ms - seen.changed_ms < SILENT_MS * self.pace
+            if now_ms - seen.renewed_ms < HEARTBEAT_TIMEOUT_MS * self.timeout_factor
         }
         found.add(self._context.instance_id)
         return sorted(found)
@@ -207,9 +209,9 @@
         self._seen: dict[JobId, _SeenHead] = {}
 
     @property
-    def knows_instances(self) -> bool:
+    def has_polled_instances(self) -> bool:
         """Tell whether the others' heartbeats were ever read."""
-        return self._instances.has_looked
+        return self._instances.has_polled
 
     def is_due(self, head: JobHead, version: int) -> bool:
         """Tell whether this instance claims a job that it does not run.
@@ -225,24 +227,24 @@
             seen = self._seen[head.job_id] = _SeenHead(version, now_ms)
         if head.owner_life == self._life:
             # An acceptance whose reply never came: nobody else takes it while this instance lives.
-            return now_ms - seen.since_ms >= OWN_MS
+            return now_ms - seen.since_ms >= OWN_CLAIM_DELAY_MS
         if head.owner == self._context.instance_id:
             # An earlier life of this very instance: nobody knows better that it is over.
             return True
-        if not self._instances.is_settled or not self._instances.is_gone(
+        if not self._instances.is_settled or not self._instances.is_dead(
             head.owner, head.owner_life, version, seen.since_ms
         ):
-            seen.ownerless_ms = None
+            seen.dead_since_ms = None
             return False
-        if seen.ownerless_ms is None:
-            seen.ownerless_ms = now_ms
+        if seen.dead_since_ms is None:
+            seen.dead_since_ms = now_ms
         order = sorted(
-            self._instances.names(),
+            self._instances.live_instances(),
             key=lambda name: rendezvous_weight(name, head.job_id),
             reverse=True,
         )
         turn = order.index(self._context.instance_id)
-        return now_ms - seen.ownerless_ms >= turn * TURN_MS
+        return now_ms - seen.dead_since_ms >= turn * ROTATION_MS
 
     def forget(self, job_id: JobId) -> None:
         """Drop what is known of a job that is over."""
--- a/citrondyke/decisions/instance.py
+++ b/citrondyke/decisions/instance.py
@@ -196,7 +196,7 @@
         for peer in self.members.peers():
             ping = self.members.farewell()
             yield SendPeer(peer.id, ping)
-        yield from self.worker.leave(until_ms)
+        yield from self.worker.drain(until_ms)
 
     def finish(self, until_ms: float) -> Workflow[None]:
         """Seal the last records and give the lease back, once no call is under way.
@@ -220,12 +220,12 @@
         worker_limits = WorkerLimits(
             part_every_ms=limits.part_every_ms,
             held_limit=limits.held_segments_limit,
-            look_every_ms=limits.shortest_look_ms,
+            poll_every_ms=limits.shortest_look_ms,
         )
         return Worker(context, claimer, self.sweeper, self.steward, worker_limits)
 
     def _cut(self, request_ids: list[RequestId]) -> None:
-        self.worker.cut(request_ids)
+        self.worker.preempt(request_ids)
 
     def _wake(self, target: TargetName) -> None:
         self.worker.wake(target)
--- a/citrondyke/decisions/jobs/acceptance.py
+++ b/citrondyke/decisions/jobs/acceptance.py
@@ -14,7 +14,7 @@
 )
 from citrondyke.decisions.core.ops import read_rows
 from citrondyke.decisions.evidence.record import OutcomeRecord, RecordKind
-from citrondyke.decisions.jobs.job_facts import (
+from citrondyke.decisions.jobs.job_derivations import (
     ROWS_PER_TRANSACTION,
     job_digest,
     job_id_of,
@@ -23,8 +23,8 @@
 )
 from citrondyke.decisions.jobs.job_request import (
     AcceptedJob,
-    JobRefusal,
-    JobRefusalReason,
+    JobRejection,
+    JobRejectionReason,
     JobRequest,
     JobResult,
 )
@@ -55,7 +55,7 @@
 
 __all__ = ('JobAcceptance',)
 
-COMMIT_LIMIT_MS = 4000.0
+COMMIT_TIMEOUT_MS = 4000.0
 DAY_MS = 86_400_000.0
 MINUTE_MS = 60_000.0
 
@@ -79,7 +79,7 @@
 
     def record_file(
         self, tenant_id: TenantId, upload_id: str, filename: str, summary: JobFileSummary
-    ) -> Workflow[tuple[str, FileRow] | JobRefusal]:
+    ) -> Workflow[tuple[str, FileRow] | JobRejection]:
         """Make an uploaded file visible; the same content again is the same file."""
         file_id = 'file-' + digest_hex(tenant_id.encode(), summary.digest.encode())
         key = file_row_key(tenant_id, file_id)
@@ -97,21 +97,23 @@
             created_epoch_ms=self._context.epoch_ms(),
         )
         wanted = transaction(self._context, [(key, None)], [(key, row)])
-        result = yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS)
+        result = yield from commit(
+            self._context, wanted, self._context.now_ms() + COMMIT_TIMEOUT_MS
+        )
         if isinstance(result, CommitUncertain):
-            return _refusal_of(result)
+            return _rejection_of(result)
         if isinstance(result, Conflict):
             return file_id, msgspec.json.decode(result.rows[key].value, type=FileRow)
         return file_id, row
 
-    def find_file(self, tenant_id: TenantId, file_id: str) -> Workflow[FileRow | JobRefusal]:
+    def find_file(self, tenant_id: TenantId, file_id: str) -> Workflow[FileRow | JobRejection]:
         """Read a file's row."""
         key = file_row_key(tenant_id, file_id)
         found = yield from read_rows(key)
         if isinstance(found, PlatformFailure):
-            return JobRefusal(JobRefusalReason.PLATFORM_DOWN)
+            return JobRejection(JobRejectionReason.PLATFORM_DOWN)
         if key not in found:
-            return JobRefusal(JobRefusalReason.NO_FILE)
+            return JobRejection(JobRejectionReason.NO_FILE)
         return msgspec.json.decode(found[key].value, type=FileRow)
 
     def find_job(self, tenant_id: TenantId | None, job_id: JobId) -> Workflow[JobResult]:
@@ -122,36 +124,36 @@
         key = job_row_key(job_id)
         found = yield from read_rows(key)
         if isinstance(found, PlatformFailure):
-            return JobRefusal(JobRefusalReason.PLATFORM_DOWN)
+            return JobRejection(JobRejectionReason.PLATFORM_DOWN)
         if key not in found:
-            return JobRefusal(JobRefusalReason.NO_JOB)
+            return JobRejection(JobRejectionReason.NO_JOB)
         row = msgspec.json.decode(found[key].value, type=JobRow)
         if tenant_id is not None and row.tenant_id != tenant_id:
-            return JobRefusal(JobRefusalReason.NO_JOB)
+            return JobRejection(JobRejectionReason.NO_JOB)
         return AcceptedJob(job_id, row, found[key].version)
 
-    def accept(self, wish: JobRequest) -> Workflow[JobResult]:
+    def accept(self, request: JobRequest) -> Workflow[JobResult]:
         """Accept a job, or find the one that the same wish made before."""
-        file = yield from self.find_file(wish.tenant_id, wish.file_id)
-        if isinstance(file, JobRefusal):
+        file = yield from self.find_file(request.tenant_id, request.file_id)
+        if isinstance(file, JobRejection):
             return file
         configuration = self._configuration()
-        wanted_class = configuration.class_entry(wish.class_name)
-        if wish.endpoint != file.url and not _is_service(file.url, wish.endpoint):
-            return JobRefusal(JobRefusalReason.WRONG_ENDPOINT)
+        wanted_class = configuration.class_entry(request.class_name)
+        if request.endpoint != file.url and not _is_service(file.url, request.endpoint):
+            return JobRejection(JobRejectionReason.WRONG_ENDPOINT)
         if wanted_class is None:
-            return JobRefusal(JobRefusalReason.UNKNOWN_TARGET)
-        job_id = job_id_of(wish, file.digest)
-        job = self._new_job(wish, file, wanted_class)
+            return JobRejection(JobRejectionReason.UNKNOWN_TARGET)
+        job_id = job_id_of(request, file.digest)
+        job = self._new_job(request, file, wanted_class)
         result = yield from self._write(job_id, job)
         if isinstance(result, CommitUncertain):
-            return _refusal_of(result)
+            return _rejection_of(result)
         if isinstance(result, Committed):
             self._on_outcome(job_record(RecordKind.JOB_ACCEPTED, job_id, job))
             return AcceptedJob(job_id, job, result.version)
-        found = yield from self.find_job(wish.tenant_id, job_id)
+        found = yield from self.find_job(request.tenant_id, job_id)
         if isinstance(found, AcceptedJob) and found.row.digest != job.digest:
-            return JobRefusal(JobRefusalReason.KEY_CONFLICT)
+            return JobRejection(JobRejectionReason.KEY_CONFLICT)
         return found
 
     def cancel(self, tenant_id: TenantId | None, job_id: JobId) -> Workflow[JobResult]:
@@ -160,14 +162,14 @@
         Claims and commits check the job row's version, so once this is written no further
         outcome of work becomes visible, whoever still holds a segment.
         """
-        until_ms = self._context.now_ms() + COMMIT_LIMIT_MS
+        until_ms = self._context.now_ms() + COMMIT_TIMEOUT_MS
         while True:
             found = yield from self.find_job(tenant_id, job_id)
-            if isinstance(found, JobRefusal) or found.row.state is not JobState.RUNNING:
+            if isinstance(found, JobRejection) or found.row.state is not JobState.RUNNING:
                 return found
             stopped = yield from self.stop(found, JobState.CANCELLING, until_ms)
             if isinstance(stopped, CommitUncertain):
-                return _refusal_of(stopped)
+                return _rejection_of(stopped)
             if isinstance(stopped, AcceptedJob):
                 return stopped
 
@@ -214,27 +216,29 @@
             *rows,
         ]
         wanted = transaction(self._context, [(key, None)], writes)
-        return (yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS))
+        return (
+            yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_TIMEOUT_MS)
+        )
 
-    def _new_job(self, wish: JobRequest, file: FileRow, wanted_class: ClassEntry) -> JobRow:
+    def _new_job(self, request: JobRequest, file: FileRow, wanted_class: ClassEntry) -> JobRow:
         now_ms = self._context.epoch_ms()
         return JobRow(
-            tenant_id=wish.tenant_id,
-            class_name=wish.class_name,
+            tenant_id=request.tenant_id,
+            class_name=request.class_name,
             target=file.target,
-            endpoint=wish.endpoint,
-            file_id=wish.file_id,
+            endpoint=request.endpoint,
+            file_id=request.file_id,
             upload_id=file.upload_id,
             items_count=file.items_count,
             segments_count=file.segments_count,
             segment_items=file.segment_items,
-            digest=job_digest(wish, file.digest),
+            digest=job_digest(request, file.digest),
             state=JobState.RUNNING,
             created_epoch_ms=now_ms,
             deadline_epoch_ms=_deadline_epoch_ms(wanted_class, now_ms),
             expires_epoch_ms=now_ms + DAY_MS,
-            completion_window=wish.completion_window,
-            metadata=wish.metadata,
+            completion_window=request.completion_window,
+            metadata=request.metadata,
         )
 
 
@@ -256,7 +260,7 @@
     return url.startswith('/services/') and url.startswith(endpoint)
 
 
-def _refusal_of(doubt: CommitUncertain) -> JobRefusal:
+def _rejection_of(doubt: CommitUncertain) -> JobRejection:
     if doubt.reason is CommitUncertainReason.NOT_WRITTEN:
-        return JobRefusal(JobRefusalReason.PLATFORM_DOWN)
-    return JobRefusal(JobRefusalReason.IN_DOUBT)
+        return JobRejection(JobRejectionReason.PLATFORM_DOWN)
+    return JobRejection(JobRejectionReason.UNCERTAIN)
--- a/citrondyke/decisions/jobs/frames.py
+++ b/citrondyke/decisions/jobs/frames.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-__all__ = ('whole_answer',)
+__all__ = ('assemble_answer',)
 
 
 class _Delta(msgspec.Struct):
@@ -28,7 +28,7 @@
     usage: dict[str, Any] | None = None
 
 
-def whole_answer(frames: Sequence[bytes]) -> bytes | None:
+def assemble_answer(frames: Sequence[bytes]) -> bytes | None:
     """Make the plain answer of a stream's frames; ``None`` where they do not end properly.
 
     :param frames: the data of each event, without the closing ``[DONE]``.
--- a/citrondyke/decisions/jobs/held_segment.py
+++ b/citrondyke/decisions/jobs/held_segment.py
@@ -26,7 +26,7 @@
 #: Items at work at once of those that ran when a second holder died.
 SUSPECT_WINDOW = 1
 #: Deaths after which an item that was alone at work is held to be the cause.
-DEATHS_BEFORE_ISOLATION = 3
+DEATHS_BEFORE_FAILURE = 3
 
 
 class _Line(msgspec.Struct, frozen=True):
@@ -69,7 +69,7 @@
         self.is_releasing = False
         #: Fires when there is something for its tender to do.
         self.wake: Signal[None] = Signal()
-        self._offered = ItemSet()
+        self._queued = ItemSet()
 
     @property
     def key(self) -> RowKey:
@@ -87,9 +87,9 @@
         return self.remaining - ItemSet.of(self.outcomes)
 
     @property
-    def is_offered(self) -> bool:
+    def is_queued(self) -> bool:
         """Tell whether its first items were handed out."""
-        return bool(self._offered) or not self.unfinished
+        return bool(self._queued) or not self.unfinished
 
     @property
     def running_count(self) -> int:
@@ -97,7 +97,7 @@
         return sum(1 for item in self.items.values() if item.is_running)
 
     @property
-    def is_careful(self) -> bool:
+    def records_starts(self) -> bool:
         """Tell whether items are marked as started before they are dispatched."""
         return not self.is_repeatable or self.row.deaths > 0
 
@@ -130,24 +130,24 @@
 
         In a careful segment they must be marked as started first.
         """
-        waiting = self.unfinished - self._offered
-        if not self.is_careful:
-            self._offered = self._offered | waiting
+        waiting = self.unfinished - self._queued
+        if not self.records_starts:
+            self._queued = self._queued | waiting
             return [self.items[position] for position in waiting]
-        at_work = self._offered & self.unfinished
+        in_flight = self._queued & self.unfinished
         suspects = ItemSet.parse(self.row.suspects)
-        calm = waiting - suspects
-        if calm:
-            room = CAUTIOUS_WINDOW - len(at_work)
+        unsuspected = waiting - suspects
+        if unsuspected:
+            room = CAUTIOUS_WINDOW - len(in_flight)
             if room < CAUTIOUS_WINDOW // 2:
                 return []
-            chosen = list(calm)[:room]
+            chosen = list(unsuspected)[:room]
         else:
-            chosen = [] if at_work else list(waiting)[:SUSPECT_WINDOW]
-        self._offered = self._offered | ItemSet.of(chosen)
+            chosen = [] if in_flight else list(waiting)[:SUSPECT_WINDOW]
+        self._queued = self._queued | ItemSet.of(chosen)
         return [self.items[position] for position in chosen]
 
-    def started_beside(self, positions: ItemSet) -> ItemSet:
+    def started_after_commit(self, positions: ItemSet) -> ItemSet:
         """Give the items that a commit of some outcomes must leave marked as started.
 
         What may not be repeated stays marked until its outcome is durable: one that ends while
@@ -158,20 +158,20 @@
         :param positions: whose outcomes the commit makes durable.
         """
         if self.is_repeatable:
-            return self._offered & self.unfinished
-        return self._offered & (self.remaining - positions)
+            return self._queued & self.unfinished
+        return self._queued & (self.remaining - positions)
 
     @property
-    def is_given_back(self) -> bool:
+    def is_unowned(self) -> bool:
         """Tell whether its row names no holder any more."""
         return not self.row.owner
 
-    def record(self, position: int, outcome: ItemOutcome) -> None:
+    def record_outcome(self, position: int, outcome: ItemOutcome) -> None:
         """Take in an item's outcome; the first one stands."""
         if position not in self.remaining or position in self.outcomes:
             return
         self.outcomes[position] = outcome
-        if not self.unfinished or self.is_careful:
+        if not self.unfinished or self.records_starts:
             self.wake_up()
 
     def record_attempt(self, item: BatchItem) -> None:
@@ -179,7 +179,7 @@
         item.attempts += 1
         self.attempts[item.position] = item.attempts
 
-    def committed(self, row: TodoRow, row_version: int, positions: Iterable[int]) -> None:
+    def record_committed(self, row: TodoRow, row_version: int, positions: Iterable[int]) -> None:
         """Take in that outcomes became visible."""
         self.row = row
         self.row_version = row_version
@@ -187,7 +187,7 @@
             self.outcomes.pop(position, None)
             self.items.pop(position, None)
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Stop everything: the segment belongs to another instance, or its job is over."""
         self.is_lost = True
         self.cancel_all()
@@ -202,7 +202,7 @@
         """Let the tender look again."""
         self.wake.fire(None)
 
-    def rest(self) -> Signal[Any]:
+    def next_wake(self) -> Signal[Any]:
         """Give the signal to wait for."""
         if self.wake.is_fired:
             self.wake = Signal()
@@ -220,7 +220,7 @@
             return
         if not self.is_repeatable:
             self._close(lost, FailureCode.OUTCOME_UNKNOWN)
-        elif is_after_death and self.row.deaths >= DEATHS_BEFORE_ISOLATION and len(lost) == 1:
+        elif is_after_death and self.row.deaths >= DEATHS_BEFORE_FAILURE and len(lost) == 1:
             self._close(lost, FailureCode.KILLED_HOLDER)
 
     def _close(self, positions: ItemSet, code: FailureCode) -> None:
--- a/citrondyke/decisions/jobs/item_runner.py
+++ b/citrondyke/decisions/jobs/item_runner.py
@@ -7,7 +7,7 @@
 from citrondyke.decisions.core.ops import call_server, sleep_until
 from citrondyke.decisions.core.server_call import ReplyKind, ServerCall
 from citrondyke.decisions.core.signal import Signal
-from citrondyke.decisions.jobs.frames import whole_answer
+from citrondyke.decisions.jobs.frames import assemble_answer
 from citrondyke.decisions.jobs.outcome import (
     FailureCode,
     ItemOutcome,
@@ -21,7 +21,7 @@
     from citrondyke.decisions.core.server_call import ServerReply
     from citrondyke.decisions.jobs.batch_item import BatchItem
     from citrondyke.decisions.jobs.held_segment import HeldSegment
-    from citrondyke.decisions.jobs.pool import Pool
+    from citrondyke.decisions.jobs.pending_items import PendingItems
     from citrondyke.decisions.sharing.server_share import ServerShare
     from citrondyke.ids import RequestId, ServerId
 
@@ -30,11 +30,11 @@
 #: Attempts of one item that may fail, over all its holders.
 ATTEMPTS_LIMIT = 3
 #: How long one attempt of a batch item may take.
-ITEM_LIMIT_MS = 600_000.0
+ATTEMPT_TIMEOUT_MS = 600_000.0
 #: Statuses that say nothing of the request itself.
-PASSING_STATUSES = frozenset({408, 425, 429})
+TRANSIENT_STATUSES = frozenset({408, 425, 429})
 #: A server that took nothing is left alone by this item for so long.
-REFUSED_PAUSE_MS = 50.0
+REJECTED_PAUSE_MS = 50.0
 
 
 class ItemRunner:
@@ -45,17 +45,17 @@
         self._context = context
         self._items: dict[RequestId, BatchItem] = {}
         #: Servers that run one item alone.
-        self._alone: set[ServerId] = set()
+        self._isolating: set[ServerId] = set()
 
-    def cut(self, request_ids: list[RequestId]) -> None:
+    def preempt(self, request_ids: list[RequestId]) -> None:
         """Cut items that stand in the way of online requests; they go on later."""
         for request_id in request_ids:
             item = self._items.get(request_id)
             if item is not None:
                 item.cancel.fire(None)
 
-    def reserve_for_suspects(
-        self, pool: Pool, shares: list[tuple[ServerId, ServerShare]]
+    def reserve_isolation_server(
+        self, pending: PendingItems, shares: list[tuple[ServerId, ServerShare]]
     ) -> ServerId | None:
         """Keep one server for the items that must run alone, while there are any.
 
@@ -63,10 +63,10 @@
         deaths its neighbours would have used up their attempts too and be told "exhausted",
         though nothing is wrong with them; run alone, an item can only be cut by its own doing.
         """
-        running = [server_id for server_id, _ in shares if server_id in self._alone]
+        running = [server_id for server_id, _ in shares if server_id in self._isolating]
         if running:
             return running[0]
-        if not pool.has_suspects or not shares:
+        if not pending.has_suspects or not shares:
             return None
         return min(server_id for server_id, _ in shares)
 
@@ -76,16 +76,16 @@
         item: BatchItem,
         server_id: ServerId,
         share: ServerShare,
-        pool: Pool,
+        pending: PendingItems,
     ) -> Workflow[None]:
         """Count an item as running on a server; give the workflow that runs it."""
         item.cancel = Signal()
         item.is_running = True
         if must_run_isolated(item):
-            self._alone.add(server_id)
+            self._isolating.add(server_id)
         self._items[item.request_id] = item
         share.on_batch_start(item.request_id, self._context.now_ms())
-        return self._run_item(held, item, server_id, share, pool)
+        return self._run_item(held, item, server_id, share, pending)
 
     def _run_item(
         self,
@@ -93,25 +93,25 @@
         item: BatchItem,
         server_id: ServerId,
         share: ServerShare,
-        pool: Pool,
+        pending: PendingItems,
     ) -> Workflow[None]:
         began_ms = self._context.now_ms()
         call = self._call_of(item, server_id, share, began_ms)
         reply = yield from call_server(call)
         now_ms = self._context.now_ms()
         item.is_running = False
-        self._alone.discard(server_id)
+        self._isolating.discard(server_id)
         self._items.pop(item.request_id, None)
         share.on_batch_end(item.request_id, now_ms)
         if reply.kind is ReplyKind.COMPLETE:
             share.on_call_end(now_ms - began_ms)
         item.frames.extend(reply.frames)
-        pool.wake.fire(None)
+        pending.wake.fire(None)
         if held.is_lost:
             return
         if reply.was_not_run and not held.is_releasing:
-            yield from sleep_until(now_ms + REFUSED_PAUSE_MS)
-        self._judge(held, item, reply, pool)
+            yield from sleep_until(now_ms + REJECTED_PAUSE_MS)
+        self._apply_reply(held, item, reply, pending)
         if held.is_releasing:
             held.wake_up()
 
@@ -131,31 +131,33 @@
             is_streamed=item.is_model,
             refuses_by_status=item.is_model,
             resume_from_frame=len(item.frames),
-            deadline_ms=now_ms + ITEM_LIMIT_MS,
+            deadline_ms=now_ms + ATTEMPT_TIMEOUT_MS,
             cancel=item.cancel,
             on_frame=on_frame,
         )
 
-    def _judge(self, held: HeldSegment, item: BatchItem, reply: ServerReply, pool: Pool) -> None:
+    def _apply_reply(
+        self, held: HeldSegment, item: BatchItem, reply: ServerReply, pending: PendingItems
+    ) -> None:
         """Decide what an attempt means for its item."""
         if reply.was_not_run:
-            _put_back(held, item, pool)
+            _requeue(held, item, pending)
             return
         item.may_have_run = True
-        if reply.kind is ReplyKind.COMPLETE and self._judge_answer(held, item, reply):
+        if reply.kind is ReplyKind.COMPLETE and self._apply_answer(held, item, reply):
             return
         if not held.is_repeatable:
             outcome = failed_outcome(
                 item.request_id, item.custom_id, FailureCode.OUTCOME_UNKNOWN, 'unknown'
             )
-            held.record(item.position, outcome)
+            held.record_outcome(item.position, outcome)
             return
         if reply.kind is ReplyKind.CANCELLED:
-            _put_back(held, item, pool)
+            _requeue(held, item, pending)
             return
         held.record_attempt(item)
         if item.attempts < ATTEMPTS_LIMIT:
-            _put_back(held, item, pool)
+            _requeue(held, item, pending)
             return
         outcome = failed_outcome(
             item.request_id,
@@ -165,37 +167,37 @@
             status=reply.status,
             body=reply.body,
         )
-        held.record(item.position, outcome)
+        held.record_outcome(item.position, outcome)
 
-    def _judge_answer(self, held: HeldSegment, item: BatchItem, reply: ServerReply) -> bool:
+    def _apply_answer(self, held: HeldSegment, item: BatchItem, reply: ServerReply) -> bool:
         """Take a whole answer; tell whether it settles the item."""
-        if reply.status in PASSING_STATUSES or reply.status >= 500:  # noqa: PLR2004
+        if reply.status in TRANSIENT_STATUSES or reply.status >= 500:  # noqa: PLR2004
             if held.is_repeatable:
                 return False
-            held.record(item.position, _rejected(item, reply, 'unknown'))
+            held.record_outcome(item.position, _rejected(item, reply, 'unknown'))
             return True
         if reply.status >= 400:  # noqa: PLR2004
             run = 'not_run' if item.is_model else 'ran'
-            held.record(item.position, _rejected(item, reply, run))
+            held.record_outcome(item.position, _rejected(item, reply, run))
             return True
         body = reply.body
         if item.is_model:
-            whole = whole_answer(item.frames)
+            whole = assemble_answer(item.frames)
             if whole is None:
                 # A stream that ended cleanly and is no whole answer: begin it anew.
                 item.frames.clear()
                 return False
             body = whole
         outcome = success_outcome(item.request_id, item.custom_id, reply.status, body)
-        held.record(item.position, outcome)
+        held.record_outcome(item.position, outcome)
         return True
 
 
-def _put_back(held: HeldSegment, item: BatchItem, pool: Pool) -> None:
+def _requeue(held: HeldSegment, item: BatchItem, pending: PendingItems) -> None:
     if must_run_isolated(item):
-        pool.push_suspect(held, item)
+        pending.push_suspect(held, item)
     else:
-        pool.push_back(held, item)
+        pending.requeue(held, item)
 
 
 def must_run_isolated(item: BatchItem) -> bool:
--- a/citrondyke/decisions/jobs/job_facts.py
+++ b/citrondyke/decisions/jobs/job_derivations.py
@@ -20,20 +20,22 @@
 ROWS_PER_TRANSACTION = 64
 
 
-def job_id_of(wish: JobRequest, file_digest: str) -> JobId:
+def job_id_of(request: JobRequest, file_digest: str) -> JobId:
     """Name a job by tenant and key, or without a key by what is to be done.
 
     Every instance gives the same wish the same name, so a resend finds the first job wherever
     and whenever it arrives, also at the same moment.
     """
-    identity = wish.idempotency_key or job_digest(wish, file_digest)
-    kind = 'key' if wish.idempotency_key else 'content'
-    return JobId('batch_' + digest_hex(wish.tenant_id.encode(), kind.encode(), identity.encode()))
+    identity = request.idempotency_key or job_digest(request, file_digest)
+    kind = 'key' if request.idempotency_key else 'content'
+    return JobId(
+        'batch_' + digest_hex(request.tenant_id.encode(), kind.encode(), identity.encode())
+    )
 
 
-def job_digest(wish: JobRequest, file_digest: str) -> str:
+def job_digest(request: JobRequest, file_digest: str) -> str:
     """Digest what a job is to do."""
-    return digest_hex(file_digest.encode(), wish.endpoint.encode(), wish.class_name.encode())
+    return digest_hex(file_digest.encode(), request.endpoint.encode(), request.class_name.encode())
 
 
 def job_record(kind: RecordKind, job_id: JobId, row: JobRow) -> OutcomeRecord:
--- a/citrondyke/decisions/jobs/job_file_reader.py
+++ b/citrondyke/decisions/jobs/job_file_reader.py
@@ -6,18 +6,18 @@
 
 import msgspec
 
-from citrondyke.decisions.jobs.job_line import LineFault, read_line, target_of_line
+from citrondyke.decisions.jobs.job_line import LineError, parse_line, target_of_line
 from citrondyke.ids import TargetName
 
-__all__ = ('BadLine', 'JobFileReader', 'JobFileSummary')
+__all__ = ('InvalidLine', 'JobFileReader', 'JobFileSummary')
 
 
-class BadLine(msgspec.Struct, frozen=True):
+class InvalidLine(msgspec.Struct, frozen=True):
     """Stands in the place of segments: a line that cannot be accepted."""
 
     #: Counted from 1.
     line_number: int
-    why: str
+    reason: str
 
     def __bool__(self) -> bool:
         """Count as no segments."""
@@ -55,38 +55,38 @@
         self._line_number = 0
         self._items_count = 0
         self._segments_count = 0
-        self._rest = b''
+        self._partial_line = b''
         self._lines: list[bytes] = []
         self._custom_ids: set[bytes] = set()
         self._target: TargetName | None = None
         self._url = ''
 
-    def feed(self, data: bytes) -> list[bytes] | BadLine:
+    def feed(self, data: bytes) -> list[bytes] | InvalidLine:
         """Take the next bytes; give the segments that are full, each as its lines."""
         self._digest.update(data)
         self._size_bytes += len(data)
-        lines = (self._rest + data).split(b'\n')
-        self._rest = lines.pop()
-        if len(self._rest) > self._line_limit_bytes:
-            return BadLine(self._line_number + 1, f'longer than {self._line_limit_bytes} bytes')
+        lines = (self._partial_line + data).split(b'\n')
+        self._partial_line = lines.pop()
+        if len(self._partial_line) > self._line_limit_bytes:
+            return InvalidLine(self._line_number + 1, f'longer than {self._line_limit_bytes} bytes')
         segments: list[bytes] = []
         for line in lines:
-            fault = self._take(line)
-            if fault is not None:
-                return fault
+            error = self._add_line(line)
+            if error is not None:
+                return error
             if len(self._lines) == self._segment_items:
                 segments.append(self._close_segment())
         return segments
 
-    def finish(self) -> tuple[list[bytes], JobFileSummary] | BadLine:
+    def finish(self) -> tuple[list[bytes], JobFileSummary] | InvalidLine:
         """Close the file; give the last segment and the summary."""
-        if self._rest.strip():
-            fault = self._take(self._rest)
-            if fault is not None:
-                return fault
+        if self._partial_line.strip():
+            error = self._add_line(self._partial_line)
+            if error is not None:
+                return error
         segments = [self._close_segment()] if self._lines else []
         if self._target is None:
-            return BadLine(1, 'the file holds no requests')
+            return InvalidLine(1, 'the file holds no requests')
         summary = JobFileSummary(
             size_bytes=self._size_bytes,
             items_count=self._items_count,
@@ -98,14 +98,14 @@
         )
         return segments, summary
 
-    def _take(self, line: bytes) -> BadLine | None:
+    def _add_line(self, line: bytes) -> InvalidLine | None:
         self._line_number += 1
         text = line.strip()
         if not text:
             return None
-        why = self._check(text)
-        if why is not None:
-            return BadLine(self._line_number, why)
+        reason = self._check(text)
+        if reason is not None:
+            return InvalidLine(self._line_number, reason)
         self._lines.append(text)
         self._items_count += 1
         return None
@@ -115,12 +115,12 @@
             return f'longer than {self._line_limit_bytes} bytes'
         if self._items_count >= self._items_limit:
             return f'more than {self._items_limit} items'
-        line = read_line(text)
-        if isinstance(line, LineFault):
-            return line.why
+        line = parse_line(text)
+        if isinstance(line, LineError):
+            return line.reason
         target = target_of_line(line)
-        if isinstance(target, LineFault):
-            return target.why
+        if isinstance(target, LineError):
+            return target.reason
         if self._target is None:
             self._target, self._url = target, line.url
         if target != self._target:
--- a/citrondyke/decisions/jobs/job_line.py
+++ b/citrondyke/decisions/jobs/job_line.py
@@ -20,10 +20,10 @@
     method: str = 'POST'
 
 
-class LineFault(msgspec.Struct, frozen=True):
+class LineError(msgspec.Struct, frozen=True):
     """Stands in the place of a target: why the line cannot be accepted."""
 
-    why: str
+    reason: str
 
     def __bool__(self) -> bool:
         """Count as no target."""
@@ -34,31 +34,31 @@
     model: str
 
 
-def target_of_line(line: _RawLine) -> TargetName | LineFault:
+def target_of_line(line: _RawLine) -> TargetName | LineError:
     """Find which target a line is for."""
     if not line.custom_id:
-        return LineFault('custom_id is empty')
+        return LineError('custom_id is empty')
     if line.method not in METHODS:
-        return LineFault(f'method {line.method!r} is none of {", ".join(METHODS)}')
+        return LineError(f'method {line.method!r} is none of {", ".join(METHODS)}')
     if line.url.startswith(SERVICE_URL_PREFIX):
         service = line.url[len(SERVICE_URL_PREFIX) :].partition('/')[0]
         if not service:
-            return LineFault('url names no service')
+            return LineError('url names no service')
         return TargetName(f'service:{service}')
     if line.url not in MODEL_URLS:
-        return LineFault(f'url {line.url!r} is none of {", ".join(MODEL_URLS)}, /services/...')
+        return LineError(f'url {line.url!r} is none of {", ".join(MODEL_URLS)}, /services/...')
     try:
         body = msgspec.json.decode(line.body, type=_ModelBody)
     except msgspec.ValidationError:
-        return LineFault('body.model is missing')
+        return LineError('body.model is missing')
     return TargetName(body.model)
 
 
-def read_line(text: bytes) -> _RawLine | LineFault:
+def parse_line(text: bytes) -> _RawLine | LineError:
     """Read one line."""
     try:
         return msgspec.json.decode(text, type=_RawLine)
     except msgspec.ValidationError as error:
-        return LineFault(str(error))
+        return LineError(str(error))
     except (msgspec.DecodeError, UnicodeDecodeError):
-        return LineFault('not JSON')
+        return LineError('not JSON')
--- a/citrondyke/decisions/jobs/job_request.py
+++ b/citrondyke/decisions/jobs/job_request.py
@@ -10,7 +10,7 @@
 from citrondyke.decisions.jobs.rows import JobRow
 from citrondyke.ids import ClassName, JobId, TenantId
 
-__all__ = ('AcceptedJob', 'JobRefusal', 'JobRefusalReason', 'JobRequest', 'JobResult')
+__all__ = ('AcceptedJob', 'JobRejection', 'JobRejectionReason', 'JobRequest', 'JobResult')
 
 
 class JobRequest(msgspec.Struct, frozen=True, kw_only=True):
@@ -25,7 +25,7 @@
     metadata: dict[str, str] = msgspec.field(default_factory=dict)
 
 
-class JobRefusalReason(Enum):
+class JobRejectionReason(Enum):
     """Why a job is not accepted or not found."""
 
     NO_FILE = 'no_file'
@@ -36,13 +36,13 @@
     #: Nothing was accepted.
     PLATFORM_DOWN = 'platform_down'
     #: It may have been accepted; the same wish again gives the same job.
-    IN_DOUBT = 'in_doubt'
+    UNCERTAIN = 'in_doubt'
 
 
-class JobRefusal(msgspec.Struct, frozen=True):
+class JobRejection(msgspec.Struct, frozen=True):
     """Stands in the place of a job."""
 
-    reason: JobRefusalReason
+    reason: JobRejectionReason
 
     def __bool__(self) -> bool:
         """Count as no job."""
@@ -57,4 +57,4 @@
     version: int
 
 
-JobResult: TypeAlias = AcceptedJob | JobRefusal
+JobResult: TypeAlias = AcceptedJob | JobRejection
--- a/citrondyke/decisions/jobs/outcome_committer.py
+++ b/citrondyke/decisions/jobs/outcome_committer.py
@@ -23,8 +23,8 @@
 
 __all__ = ('OutcomeCommitter',)
 
-COMMIT_LIMIT_MS = 30_000.0
-PUT_PAUSE_MS = 500.0
+COMMIT_TIMEOUT_MS = 30_000.0
+PUT_RETRY_MS = 500.0
 
 
 class OutcomeCommitter:
@@ -59,22 +59,22 @@
                 writes.append((part_key, part))
             writes.append((held.key, row if row.remaining else None))
             wanted = transaction(self._context, checks, writes)
-            until_ms = self._context.now_ms() + COMMIT_LIMIT_MS
+            until_ms = self._context.now_ms() + COMMIT_TIMEOUT_MS
             result = yield from commit(self._context, wanted, until_ms)
             if isinstance(result, Committed):
-                held.committed(row, result.version, positions)
+                held.record_committed(row, result.version, positions)
                 return True
             if isinstance(result, Conflict):
                 self._on_lost(held)
                 return False
             if isinstance(result, CommitUncertain):
-                settled = yield from self._settle(held, wanted.write_id)
+                settled = yield from self._resolve_uncertain(held, wanted.write_id)
                 if settled is not None:
-                    held.committed(row, settled, positions)
+                    held.record_committed(row, settled, positions)
                     return True
         return False
 
-    def _settle(self, held: HeldSegment, write_id: str) -> Workflow[int | None]:
+    def _resolve_uncertain(self, held: HeldSegment, write_id: str) -> Workflow[int | None]:
         """After a long outage, learn whether the commit in doubt took effect."""
         found = yield from read_rows(held.key)
         if isinstance(found, PlatformFailure):
@@ -114,7 +114,7 @@
             failure = yield from put_object(ObjectKey(key), body)
             if failure is None:
                 return ObjectKey(key)
-            pause_ms = self._context.jittered_ms(PUT_PAUSE_MS)
+            pause_ms = self._context.jittered_ms(PUT_RETRY_MS)
             yield from sleep_until(self._context.now_ms() + pause_ms)
         return ''
 
@@ -125,7 +125,7 @@
         # its item would run again.
         is_whole = not (ItemSet.of(held.outcomes) - committed)
         is_released = held.is_releasing and not held.running_count and is_whole
-        started = held.started_beside(committed) if held.is_careful else ItemSet()
+        started = held.started_after_commit(committed) if held.records_starts else ItemSet()
         if is_released:
             started = ItemSet()
         attempts = {each: count for each, count in held.attempts.items() if each in remaining}
--- a/citrondyke/decisions/jobs/pool.py
+++ b/citrondyke/decisions/jobs/pending_items.py
@@ -15,13 +15,13 @@
     from citrondyke.decisions.jobs.held_segment import HeldSegment
     from citrondyke.ids import TenantId
 
-__all__ = ('Pool',)
+__all__ = ('PendingItems',)
 
 #: Deadlines closer together than this are equal; tenants take turns among them.
 DEADLINE_GRAIN_MS = 60_000.0
 
 
-class Pool:
+class PendingItems:
     """One target's items: earliest deadline first, tenants in turns among equals."""
 
     def __init__(self) -> None:
@@ -30,7 +30,7 @@
         self.wake: Signal[None] = Signal()
         self._heap: list[tuple[float, int, int, HeldSegment, BatchItem]] = []
         self._number = 0
-        self._turns: dict[TenantId, int] = {}
+        self._rounds: dict[TenantId, int] = {}
         self._suspects: deque[tuple[HeldSegment, BatchItem]] = deque()
 
     def __len__(self) -> int:
@@ -46,16 +46,16 @@
         """Add items."""
         tenant_id = held.job.tenant_id
         deadline = held.job.deadline_epoch_ms // DEADLINE_GRAIN_MS
-        floor = min(self._turns.values(), default=0) if self._heap else 0
-        turn = max(self._turns.get(tenant_id, 0), floor)
+        first_round = min(self._rounds.values(), default=0) if self._heap else 0
+        round_number = max(self._rounds.get(tenant_id, 0), first_round)
         for item in items:
-            turn += 1
+            round_number += 1
             self._number += 1
-            heapq.heappush(self._heap, (deadline, turn, self._number, held, item))
-        self._turns[tenant_id] = turn
+            heapq.heappush(self._heap, (deadline, round_number, self._number, held, item))
+        self._rounds[tenant_id] = round_number
         self.wake.fire(None)
 
-    def push_back(self, held: HeldSegment, item: BatchItem) -> None:
+    def requeue(self, held: HeldSegment, item: BatchItem) -> None:
         """Put a cut item back, ahead of those that were never begun."""
         deadline = held.job.deadline_epoch_ms // DEADLINE_GRAIN_MS
         self._number += 1
@@ -71,7 +71,7 @@
         """Take the next item that is to run alone and is still wanted."""
         while self._suspects:
             held, item = self._suspects.popleft()
-            if _is_wanted(held, item):
+            if _is_pending(held, item):
                 return held, item
         return None
 
@@ -80,19 +80,19 @@
         while self._heap:
             _, _, _, held, item = heapq.heappop(self._heap)
             if not self._heap:
-                self._turns.clear()
-            if _is_wanted(held, item):
+                self._rounds.clear()
+            if _is_pending(held, item):
                 return held, item
         return None
 
-    def rest(self) -> Signal[None]:
+    def next_wake(self) -> Signal[None]:
         """Give the signal to wait for."""
         if self.wake.is_fired:
             self.wake = Signal()
         return self.wake
 
 
-def _is_wanted(held: HeldSegment, item: BatchItem) -> bool:
+def _is_pending(held: HeldSegment, item: BatchItem) -> bool:
     if held.is_lost or held.is_releasing:
         return False
     return item.position in held.unfinished
--- a/citrondyke/decisions/jobs/segment_claimer.py
+++ b/citrondyke/decisions/jobs/segment_claimer.py
@@ -10,7 +10,7 @@
 from citrondyke.decisions.core.ops import get_object, read_rows, scan_rows
 from citrondyke.decisions.jobs.held_segment import HeldSegment
 from citrondyke.decisions.jobs.item_set import ItemSet
-from citrondyke.decisions.jobs.job_facts import ROWS_PER_TRANSACTION, todo_rows
+from citrondyke.decisions.jobs.job_derivations import ROWS_PER_TRANSACTION, todo_rows
 from citrondyke.decisions.jobs.job_request import AcceptedJob
 from citrondyke.decisions.jobs.rows import (
     JobRow,
@@ -49,7 +49,7 @@
 JOBS_PER_POLL = 16
 #: Segments of one job looked at in one round.
 SEGMENTS_PER_POLL = 16
-COMMIT_LIMIT_MS = 4000.0
+COMMIT_TIMEOUT_MS = 4000.0
 
 
 class SegmentClaimer:
@@ -119,9 +119,9 @@
         if job.row.state is not JobState.RUNNING:
             return None
         for row, todo in candidates:
-            if not self._is_free(row.key, todo, found):
+            if not self._is_claimable(row.key, todo, found):
                 continue
-            held = yield from self._take(job, row, todo)
+            held = yield from self._write_claim(job, row, todo)
             if held is not None:
                 return held
         if opened.materialized_count < opened.segments_count:
@@ -146,7 +146,7 @@
             rows = rows + [row for row in more if row.key not in known]
         return [(row, msgspec.json.decode(row.value, type=TodoRow)) for row in rows]
 
-    def _is_free(self, key: RowKey, todo: TodoRow, found: dict[RowKey, Row]) -> bool:
+    def _is_claimable(self, key: RowKey, todo: TodoRow, found: dict[RowKey, Row]) -> bool:
         if not todo.owner:
             return True
         owner = SessionId(todo.owner)
@@ -158,15 +158,19 @@
         session = None if row is None else msgspec.json.decode(row.value, type=SessionRow)
         return self._leases.is_gone(owner, session, self._context.now_ms())
 
-    def _take(self, job: AcceptedJob, row: Row, todo: TodoRow) -> Workflow[HeldSegment | None]:
+    def _write_claim(
+        self, job: AcceptedJob, row: Row, todo: TodoRow
+    ) -> Workflow[HeldSegment | None]:
         """Write the claim: it raises the fence, so that the holder before can commit no more."""
-        claimed = self._claimed(todo)
+        claimed = self._claimed_row(todo)
         wanted = transaction(
             self._context,
             [(row.key, row.version), (job_row_key(job.job_id), job.version)],
             [(row.key, claimed)],
         )
-        result = yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS)
+        result = yield from commit(
+            self._context, wanted, self._context.now_ms() + COMMIT_TIMEOUT_MS
+        )
         if isinstance(result, CommitUncertain) or not isinstance(result, Committed):
             return None
         held = HeldSegment(
@@ -180,12 +184,12 @@
         )
         body = yield from get_object(input_object_key(job.row.upload_id, held.segment))
         if isinstance(body, PlatformFailure):
-            yield from self._hand_back(held)
+            yield from self._release_claim(held)
             return None
         held.load(body, is_after_death=claimed.deaths > todo.deaths)
         return held
 
-    def _claimed(self, todo: TodoRow) -> TodoRow:
+    def _claimed_row(self, todo: TodoRow) -> TodoRow:
         owner = self._session.session
         if not todo.owner or todo.owner == owner:
             return msgspec.structs.replace(todo, owner=owner, fence=todo.fence + 1)
@@ -199,10 +203,10 @@
             suspects=suspects.text(),
         )
 
-    def _hand_back(self, held: HeldSegment) -> Workflow[None]:
+    def _release_claim(self, held: HeldSegment) -> Workflow[None]:
         freed = msgspec.structs.replace(held.row, owner='')
         wanted = transaction(self._context, [(held.key, held.row_version)], [(held.key, freed)])
-        yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS)
+        yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_TIMEOUT_MS)
 
     def _materialize_or_finish(
         self, job_id: JobId, open_row: Row, opened: OpenRow
@@ -227,4 +231,4 @@
             ],
             [(open_row.key, moved), *rows],
         )
-        yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS)
+        yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_TIMEOUT_MS)
--- a/citrondyke/decisions/jobs/sweeper.py
+++ b/citrondyke/decisions/jobs/sweeper.py
@@ -10,8 +10,8 @@
 from citrondyke.decisions.core.ops import read_rows, scan_rows
 from citrondyke.decisions.evidence.record import RecordKind
 from citrondyke.decisions.jobs.item_set import ItemSet
-from citrondyke.decisions.jobs.job_facts import job_record, todo_rows
-from citrondyke.decisions.jobs.job_request import AcceptedJob, JobRefusal
+from citrondyke.decisions.jobs.job_derivations import job_record, todo_rows
+from citrondyke.decisions.jobs.job_request import AcceptedJob, JobRejection
 from citrondyke.decisions.jobs.rows import (
     JobState,
     OpenRow,
@@ -42,7 +42,7 @@
 
 ROWS_PER_SWEEP = 40
 SCAN_LIMIT = 500
-COMMIT_LIMIT_MS = 4000.0
+COMMIT_TIMEOUT_MS = 4000.0
 FINAL_STATES = {
     JobState.RUNNING: JobState.COMPLETED,
     JobState.CANCELLING: JobState.CANCELLED,
@@ -85,7 +85,7 @@
     def sweep(self, job_id: JobId) -> Workflow[None]:
         """Close what is left of a job that was cancelled or whose window closed."""
         job = yield from self._acceptance.find_job(None, job_id)
-        if isinstance(job, JobRefusal):
+        if isinstance(job, JobRejection):
             return
         if job.row.state is JobState.RUNNING:
             if job.row.expires_epoch_ms > self._context.epoch_ms():
@@ -103,7 +103,7 @@
     def finish(self, job_id: JobId) -> Workflow[None]:
         """Close a job that has no segment left."""
         job = yield from self._acceptance.find_job(None, job_id)
-        if isinstance(job, JobRefusal):
+        if isinstance(job, JobRejection):
             return
         open_key = open_row_key(job.row.target, job.row.deadline_epoch_ms, job_id)
         found = yield from read_rows(open_key)
@@ -215,4 +215,4 @@
                 return False
 
     def _until_ms(self) -> float:
-        return self._context.now_ms() + COMMIT_LIMIT_MS
+        return self._context.now_ms() + COMMIT_TIMEOUT_MS
--- a/citrondyke/decisions/jobs/worker.py
+++ b/citrondyke/decisions/jobs/worker.py
@@ -15,7 +15,7 @@
 from citrondyke.decisions.core.signal import Signal
 from citrondyke.decisions.jobs.item_runner import ItemRunner, must_run_isolated
 from citrondyke.decisions.jobs.outcome_committer import OutcomeCommitter
-from citrondyke.decisions.jobs.pool import Pool
+from citrondyke.decisions.jobs.pending_items import PendingItems
 from citrondyke.decisions.jobs.rows import (
     JobRow,
     JobState,
@@ -37,11 +37,11 @@
 __all__ = ('Worker', 'WorkerLimits')
 
 #: Time for the parts that are still to be committed at a planned stop.
-COMMIT_LIMIT_MS = 30_000.0
+COMMIT_TIMEOUT_MS = 30_000.0
 #: Pause between two looks at servers for which no item waits; what changes wakes them earlier.
 IDLE_POLL_MS = 2000.0
 #: Looks that find nothing get rarer by this factor at the most.
-LONGEST_PAUSE_GROWTH = 8
+MAX_PAUSE_GROWTH = 8
 #: Pause between two looks at the jobs whose segments are held.
 JOB_POLL_MS = 1000.0
 
@@ -54,7 +54,7 @@
     #: Segments held at once for each target.
     held_limit: int
     #: Pause between two looks for work where there was none.
-    look_every_ms: float
+    poll_every_ms: float
 
 
 class Worker:
@@ -74,7 +74,7 @@
         self._sweeper = sweeper
         self._steward = steward
         self._limits = limits
-        self._pools: dict[TargetName, Pool] = {}
+        self._pending: dict[TargetName, PendingItems] = {}
         self._held: dict[RowKey, HeldSegment] = {}
         self._runner = ItemRunner(context)
         self._committer = OutcomeCommitter(context, self._drop_segment)
@@ -88,20 +88,20 @@
 
     def run_target(self, target: TargetName) -> Workflow[None]:
         """Work for one target while this instance looks after servers of it."""
-        pool = self._pools[target] = Pool()
-        yield Spawn(self._claim_for(target, pool))
+        pending = self._pending[target] = PendingItems()
+        yield Spawn(self._claim_for(target, pending))
         while not self._is_leaving and self._steward.serves(target):
             # Taken before the look: what happens after it fires this very signal.
-            changed = pool.rest()
-            for workflow in self._start_items(target, pool):
+            changed = pending.next_wake()
+            for workflow in self._start_items(target, pending):
                 yield Spawn(workflow)
             now_ms = self._context.now_ms()
             until_ms = now_ms + IDLE_POLL_MS
-            if len(pool):
-                until_ms = now_ms + self._limits.look_every_ms
+            if len(pending):
+                until_ms = now_ms + self._limits.poll_every_ms
                 until_ms = min(until_ms, self._steward.next_capacity_ms(target))
             yield from wait_for(changed, until_ms)
-        del self._pools[target]
+        del self._pending[target]
         for held in list(self._held.values()):
             if held.job.target == target:
                 self._release(held)
@@ -131,17 +131,17 @@
         """Tell whether a segment is held."""
         return key in self._held
 
-    def cut(self, request_ids: list[RequestId]) -> None:
+    def preempt(self, request_ids: list[RequestId]) -> None:
         """Cut items that stand in the way of online requests; they go on later."""
-        self._runner.cut(request_ids)
+        self._runner.preempt(request_ids)
 
     def wake(self, target: TargetName) -> None:
         """Look again whether an item can start."""
-        pool = self._pools.get(target)
-        if pool is not None:
-            pool.wake.fire(None)
+        pending = self._pending.get(target)
+        if pending is not None:
+            pending.wake.fire(None)
 
-    def leave(self, until_ms: float) -> Workflow[None]:
+    def drain(self, until_ms: float) -> Workflow[None]:
         """Hand every segment back: running items may finish, the rest goes back unrun."""
         self._is_leaving = True
         for held in list(self._held.values()):
@@ -151,18 +151,18 @@
         for held in list(self._held.values()):
             held.cancel_all()
         if self._held:
-            yield from wait_for(self._emptied, until_ms + COMMIT_LIMIT_MS)
+            yield from wait_for(self._emptied, until_ms + COMMIT_TIMEOUT_MS)
 
-    def _claim_for(self, target: TargetName, pool: Pool) -> Workflow[None]:
+    def _claim_for(self, target: TargetName, pending: PendingItems) -> Workflow[None]:
         """Keep enough items ready for the servers."""
         pause_growth = 1
-        while self._pools.get(target) is pool:
+        while self._pending.get(target) is pending:
             held = None
-            if self._wants_segment(target, pool):
+            if self._needs_segment(target, pending):
                 held = yield from self._claimer.claim(target)
             if held is None:
                 pause_ms = pause_growth * self._steward.poll_interval_ms(target)
-                pause_growth = min(pause_growth * 2, LONGEST_PAUSE_GROWTH)
+                pause_growth = min(pause_growth * 2, MAX_PAUSE_GROWTH)
                 yield from sleep_until(self._context.now_ms() + self._context.jittered_ms(pause_ms))
                 continue
             pause_growth = 1
@@ -170,51 +170,51 @@
             # The target can go to another instance, or this one begin to leave, while the claim is
             # on its way. Nothing would ever take the segment's items out of a pool that is closed,
             # and nobody else may claim it as its holder lives: the job would stand still for good.
-            held.is_releasing = self._is_leaving or self._pools.get(target) is not pool
-            yield Spawn(self._supervise_segment(held, pool))
+            held.is_releasing = self._is_leaving or self._pending.get(target) is not pending
+            yield Spawn(self._supervise_segment(held, pending))
 
-    def _wants_segment(self, target: TargetName, pool: Pool) -> bool:
+    def _needs_segment(self, target: TargetName, pending: PendingItems) -> bool:
         held = [each for each in self._held.values() if each.job.target == target]
-        if len(held) >= self._limits.held_limit or not all(each.is_offered for each in held):
+        if len(held) >= self._limits.held_limit or not all(each.is_queued for each in held):
             return False
-        return len(pool) < self._steward.room(target)
+        return len(pending) < self._steward.room(target)
 
-    def _start_items(self, target: TargetName, pool: Pool) -> list[Workflow[None]]:
+    def _start_items(self, target: TargetName, pending: PendingItems) -> list[Workflow[None]]:
         """Put items on every server that has room."""
         started: list[Workflow[None]] = []
         shares = self._steward.shares_of(target)
-        reserved = self._runner.reserve_for_suspects(pool, shares)
+        reserved = self._runner.reserve_isolation_server(pending, shares)
         for server_id, share in shares:
             if server_id == reserved:
-                if share.batch_count == 0 and (suspect := pool.pop_suspect()) is not None:
-                    started.append(self._runner.begin(*suspect, server_id, share, pool))
+                if share.batch_count == 0 and (suspect := pending.pop_suspect()) is not None:
+                    started.append(self._runner.begin(*suspect, server_id, share, pending))
                 continue
             room = share.room(self._context.now_ms())
             while room > 0:
-                taken = pool.pop()
+                taken = pending.pop()
                 if taken is None:
                     return started
                 room -= 1
-                started.append(self._runner.begin(*taken, server_id, share, pool))
+                started.append(self._runner.begin(*taken, server_id, share, pending))
         return started
 
-    def _supervise_segment(self, held: HeldSegment, pool: Pool) -> Workflow[None]:
+    def _supervise_segment(self, held: HeldSegment, pending: PendingItems) -> Workflow[None]:
         """Look after a held segment until it is done, lost or handed back."""
         while not held.is_lost:
             # Taken before the look: what happens after it fires this very signal.
-            changed = held.rest()
-            if held.is_careful and not held.is_releasing:
+            changed = held.next_wake()
+            if held.records_starts and not held.is_releasing:
                 window = held.next_window()
                 if window:
                     # The mark goes first: a holder that dies now leaves word of what it ran.
                     if not (yield from self._committer.commit_part(held)):
                         break
-                    _offer(held, window, pool)
+                    _queue_items(held, window, pending)
             elif not held.is_releasing and (window := held.next_window()):
-                _offer(held, window, pool)
+                _queue_items(held, window, pending)
             if not held.unfinished or (held.is_releasing and not held.running_count):
                 is_committed = yield from self._committer.commit_part(held)
-                if not is_committed or not held.remaining or held.is_given_back:
+                if not is_committed or not held.remaining or held.is_unowned:
                     break
                 continue
             until_ms = self._context.now_ms() + self._limits.part_every_ms
@@ -222,7 +222,7 @@
             if not fired and held.outcomes and not held.is_lost:
                 yield from self._committer.commit_part(held)
         self._forget(held)
-        pool.wake.fire(None)
+        pending.wake.fire(None)
         if not held.is_lost and not held.remaining:
             yield from self._sweeper.finish(held.job_id)
 
@@ -231,7 +231,7 @@
         held.wake_up()
 
     def _drop_segment(self, held: HeldSegment) -> None:
-        held.lose()
+        held.mark_lost()
         self._forget(held)
 
     def _forget(self, held: HeldSegment) -> None:
@@ -241,13 +241,13 @@
             self._emptied.fire(None)
 
 
-def _offer(held: HeldSegment, window: list[BatchItem], pool: Pool) -> None:
-    calm = [item for item in window if not must_run_isolated(item)]
-    if calm:
-        pool.push(held, calm)
+def _queue_items(held: HeldSegment, window: list[BatchItem], pending: PendingItems) -> None:
+    shareable = [item for item in window if not must_run_isolated(item)]
+    if shareable:
+        pending.push(held, shareable)
     for item in window:
         if must_run_isolated(item):
-            pool.push_suspect(held, item)
+            pending.push_suspect(held, item)
 
 
 def _job_state(value: msgspec.Raw) -> JobState:
--- a/citrondyke/driver/virtual/virtual_fleet.py
+++ b/citrondyke/driver/virtual/virtual_fleet.py
@@ -11,8 +11,8 @@
 from citrondyke.decisions.configuration.entries import ConfigEntry
 from citrondyke.decisions.core.commit import encode_row
 from citrondyke.decisions.instance_limits import InstanceLimits
-from citrondyke.decisions.jobs.job_file_reader import BadLine, JobFileReader, JobFileSummary
-from citrondyke.decisions.jobs.job_request import AcceptedJob, JobRefusal, JobRequest, JobResult
+from citrondyke.decisions.jobs.job_file_reader import InvalidLine, JobFileReader, JobFileSummary
+from citrondyke.decisions.jobs.job_request import AcceptedJob, JobRejection, JobRequest, JobResult
 from citrondyke.decisions.jobs.rows import input_object_key
 from citrondyke.driver.virtual.virtual_instance import VirtualInstance
 from citrondyke.driver.virtual.virtual_platform import VirtualPlatform
@@ -151,7 +151,7 @@
         upload_id = f'upload-{self._uploads_count}'
         reader = JobFileReader(self._limits.segment_items, 1_000_000, 1_000_000)
         first, last = reader.feed(lines), reader.finish()
-        if isinstance(first, BadLine) or isinstance(last, BadLine):
+        if isinstance(first, InvalidLine) or isinstance(last, InvalidLine):
             raise ValueError(first or last)
         for number, segment in enumerate([*first, *last[0]]):
             self.platform.objects[input_object_key(upload_id, number)] = segment
@@ -167,7 +167,7 @@
     ) -> Workflow[JobResult]:
         acceptance = host.instance.acceptance
         recorded = yield from acceptance.record_file(tenant_id, upload_id, 'job', summary)
-        if isinstance(recorded, JobRefusal):
+        if isinstance(recorded, JobRejection):
             return recorded
         file_id, row = recorded
         wish = JobRequest(
--- a/citrondyke/entry/jobs_endpoint.py
+++ b/citrondyke/entry/jobs_endpoint.py
@@ -12,8 +12,8 @@
 from citrondyke.decisions.core.ops import scan_rows
 from citrondyke.decisions.jobs.job_request import (
     AcceptedJob,
-    JobRefusal,
-    JobRefusalReason,
+    JobRejection,
+    JobRejectionReason,
     JobRequest,
 )
 from citrondyke.decisions.jobs.rows import FileRow, job_index_prefix
@@ -50,26 +50,26 @@
 LIST_LIMIT = 100
 
 
-def error_of_job(refusal: JobRefusal) -> CitrondykeError:
+def error_of_job(refusal: JobRejection) -> CitrondykeError:
     """Give the failure of a job or file that was refused or not found."""
     match refusal.reason:
-        case JobRefusalReason.NO_FILE:
+        case JobRejectionReason.NO_FILE:
             return NotFoundError('there is no such file')
-        case JobRefusalReason.NO_JOB:
+        case JobRejectionReason.NO_JOB:
             return NotFoundError('there is no such job')
-        case JobRefusalReason.WRONG_ENDPOINT:
+        case JobRejectionReason.WRONG_ENDPOINT:
             return InvalidFieldError('endpoint is not the url of the lines of the file')
-        case JobRefusalReason.UNKNOWN_TARGET:
+        case JobRejectionReason.UNKNOWN_TARGET:
             return UnknownClassError()
-        case JobRefusalReason.KEY_CONFLICT:
+        case JobRejectionReason.KEY_CONFLICT:
             return IdempotencyConflictError()
-        case JobRefusalReason.IN_DOUBT:
+        case JobRejectionReason.UNCERTAIN:
             return PlatformUnavailableError(
                 'it is not known whether the job was accepted; the same again gives the same job',
                 run=RunState.UNKNOWN,
                 retry_in_ms=PLATFORM_RETRY_MS,
             )
-        case JobRefusalReason.PLATFORM_DOWN:
+        case JobRejectionReason.PLATFORM_DOWN:
             return PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
 
 
@@ -95,7 +95,7 @@
                 tenant.id, upload.upload_id, upload.filename, summary
             )
         )
-        if isinstance(recorded, JobRefusal):
+        if isinstance(recorded, JobRejection):
             raise error_of_job(recorded)
         return json_answer(file_shape(*recorded))
 
@@ -202,7 +202,7 @@
         found = self._front.driver.run(
             self._front.instance.acceptance.find_file(tenant.id, file_id)
         )
-        if isinstance(found, JobRefusal):
+        if isinstance(found, JobRejection):
             raise error_of_job(found)
         return found
 
@@ -210,7 +210,7 @@
         found = self._front.driver.run(
             self._front.instance.acceptance.find_job(tenant.id, JobId(job_id))
         )
-        if isinstance(found, JobRefusal):
+        if isinstance(found, JobRejection):
             raise error_of_job(found)
         return found
 
@@ -223,7 +223,7 @@
         return counts
 
     def _answer(self, result: JobResult) -> bytes:
-        if isinstance(result, JobRefusal):
+        if isinstance(result, JobRejection):
             raise error_of_job(result)
         return json_answer(batch_shape(result, self._counts(result)))
 
--- a/citrondyke/entry/operator_endpoint.py
+++ b/citrondyke/entry/operator_endpoint.py
@@ -16,7 +16,7 @@
 from citrondyke.decisions.core.commit import CommitUncertain, CommitUncertainReason
 from citrondyke.decisions.core.ops import scan_rows
 from citrondyke.decisions.evidence.report import build_report, read_records
-from citrondyke.decisions.jobs.job_request import JobRefusal
+from citrondyke.decisions.jobs.job_request import JobRejection
 from citrondyke.decisions.jobs.rows import OpenRow, open_prefix
 from citrondyke.entry.answers import json_answer
 from citrondyke.entry.bodies import decode_body, read_body
@@ -174,7 +174,7 @@
         self._operator()
         instance = self._front.instance
         job = self._front.driver.run(instance.acceptance.find_job(None, JobId(job_id)))
-        if isinstance(job, JobRefusal):
+        if isinstance(job, JobRejection):
             raise error_of_job(job)
         counts = self._front.driver.run(instance.sweeper.count(job.job_id))
         if counts is None:
@@ -197,7 +197,7 @@
         """Answer ``POST /operator/v1/jobs/<id>/cancel``."""
         self._operator()
         result = self._front.driver.run(self._front.instance.cancel_job(None, JobId(job_id)))
-        if isinstance(result, JobRefusal):
+        if isinstance(result, JobRejection):
             raise error_of_job(result)
         return json_answer({'job_id': result.job_id, 'state': result.row.state.value})
 
--- a/citrondyke/entry/upload.py
+++ b/citrondyke/entry/upload.py
@@ -9,7 +9,7 @@
 from multipart import MultipartError, MultipartSegment, PushMultipartParser, parse_options_header
 
 from citrondyke.decisions.core.ops import put_object
-from citrondyke.decisions.jobs.job_file_reader import BadLine, JobFileReader
+from citrondyke.decisions.jobs.job_file_reader import InvalidLine, JobFileReader
 from citrondyke.decisions.jobs.rows import input_object_key
 from citrondyke.entry.bodies import body_chunks
 from citrondyke.errors import BadJobLineError, InvalidFieldError, PlatformUnavailableError
@@ -64,8 +64,8 @@
         if not self._has_file:
             raise InvalidFieldError('file is missing')
         finished = self._reader.finish()
-        if isinstance(finished, BadLine):
-            raise BadJobLineError(finished.line_number, finished.why)
+        if isinstance(finished, InvalidLine):
+            raise BadJobLineError(finished.line_number, finished.reason)
         segments, summary = finished
         self._store(segments)
         return summary
@@ -83,8 +83,8 @@
     def _take_data(self, data: bytes) -> None:
         if self._segment.name == 'file':
             segments = self._reader.feed(data)
-            if isinstance(segments, BadLine):
-                raise BadJobLineError(segments.line_number, segments.why)
+            if isinstance(segments, InvalidLine):
+                raise BadJobLineError(segments.line_number, segments.reason)
             self._store(segments)
         elif self._segment.name == 'purpose':
             self.purpose += data.decode(errors='replace')
--- a/citrondyke/gateway/instance.py
+++ b/citrondyke/gateway/instance.py
@@ -360,7 +360,7 @@
             self.book.neighbours.replace(
                 {instance_id: beat.zone for instance_id, beat in self.membership.peers.items()}
             )
-            self._live.pace = self._store_pace()
+            self._live.timeout_factor = self._store_pace()
             self.beliefs.settle('grace')
             self.peers.list_readers.look()
 
--- a/citrondyke/gateway/jobs/backlog_count.py
+++ b/citrondyke/gateway/jobs/backlog_count.py
@@ -75,16 +75,16 @@
         for job_id in [each for each, one in self._pending.items() if one.until_ms <= now_ms]:
             del self._pending[job_id]
         by_id = self._owned.by_id
-        owned = sum(job.waiting_tokens for job in self._jobs())
+        owned = sum(job.backlog_tokens for job in self._jobs())
         pending = sum(each.tokens for job_id, each in self._pending.items() if job_id not in by_id)
         return owned + pending + sum(head.tokens for head in self._unheard())
 
     def finished(self) -> int:
         """Count the tokens of the finished items of open jobs."""
-        return sum(job.head.tokens - job.waiting_tokens for job in self._jobs())
+        return sum(job.head.tokens - job.backlog_tokens for job in self._jobs())
 
     def _jobs(self) -> Iterable[OwnedJob]:
-        return [job for job in self._owned.by_id.values() if job.head.bound == self._route]
+        return [job for job in self._owned.by_id.values() if job.head.backlog_name == self._route]
 
     def _unheard(self) -> Iterable[JobHead]:
         """List the jobs that this instance accepted though it heard of it by the store only."""
@@ -92,6 +92,6 @@
             head
             for head in self._facts.heads()
             if head.owner_life == self._life
-            and head.bound == self._route
+            and head.backlog_name == self._route
             and not self.has(head.job_id)
         ]
--- a/citrondyke/gateway/jobs/backlog_tokens.py
+++ b/citrondyke/gateway/jobs/backlog_tokens.py
@@ -12,7 +12,7 @@
 from gevent.event import Event
 
 from citrondyke.decisions.accounts.account import ANYBODY
-from citrondyke.decisions.batch.job import bound_name
+from citrondyke.decisions.batch.job import backlog_name_of
 from citrondyke.gateway.jobs.route_backlog_tokens import (
     NEAR_LIMIT_POLL_MS,
     BacklogReservation,
@@ -120,8 +120,8 @@
 
     def _run(self, pace: Callable[[], float]) -> None:
         while True:
-            is_near = any(tokens.is_near for tokens in self._by_bound.values())
-            pause_ms = (NEAR_LIMIT_POLL_MS if is_near else LOOK_MS) * pace()
+            is_near_limit = any(tokens.is_near_limit for tokens in self._by_bound.values())
+            pause_ms = (NEAR_LIMIT_POLL_MS if is_near_limit else LOOK_MS) * pace()
             self._wanted.wait(self._context.jittered_ms(pause_ms) / 1e3)
             gevent.sleep(SHORTEST_POLL_MS / 1e3)
             self._wanted.clear()
@@ -161,4 +161,4 @@
 
 def _bounded(route: Route, account: TenantId) -> Route:
     """Give a route by the name of its bound."""
-    return msgspec.structs.replace(route, name=bound_name(route.name, account))
+    return msgspec.structs.replace(route, name=backlog_name_of(route.name, account))
--- a/citrondyke/gateway/jobs/batch_subsystem.py
+++ b/citrondyke/gateway/jobs/batch_subsystem.py
@@ -8,7 +8,7 @@
 import gevent
 import msgspec
 
-from citrondyke.decisions.batch.batch_preemption import BatchPreemption
+from citrondyke.decisions.batch.batch_scheduler import BatchScheduler
 from citrondyke.decisions.batch.read_budget import ReadBudget
 from citrondyke.decisions.batch.start_rate_limiter import StartRateLimiter
 from citrondyke.decisions.batch.takeover import InstanceLiveness, TakeoverSchedule
@@ -80,12 +80,12 @@
         self.owned = OwnedJobs()
         self.committer = JobCommitter(context, self.owned, self.store, tasks, self._reader.adopt)
         pace = StartRateLimiter(context, around.book.neighbours)
-        self._needs = pace.needs
+        self._needs = pace.demand
         self.runner = JobRunner(
             context,
             around.beliefs,
-            BatchPreemption(context, around.book, pace),
-            pace.needs,
+            BatchScheduler(context, around.book, pace),
+            pace.demand,
             around.sends,
             around.guard,
             outside.dialect,
@@ -167,7 +167,7 @@
 
     def take_needs(self, sender: InstanceId, text: BatchNeeds) -> None:
         """Take in what waits at a peer."""
-        self._needs.note_peer(sender, text.needs)
+        self._needs.record_peer_demand(sender, text.needs)
 
     def start(self) -> None:
         """Begin to follow the jobs and to run items."""
@@ -194,4 +194,4 @@
         # its jobs.
         if not self.keeper.is_listed:
             return None
-        return self._around.live.gone_for_ms(owner, life, version, since_ms)
+        return self._around.live.dead_for_ms(owner, life, version, since_ms)
--- a/citrondyke/gateway/jobs/item_sender.py
+++ b/citrondyke/gateway/jobs/item_sender.py
@@ -25,7 +25,7 @@
 __all__ = ('ItemSender',)
 
 #: A server whose queue is full holds an item back for up to some seconds before its first event.
-FIRST_EVENT_MS = 3_000.0
+INITIAL_EVENT_MS = 3_000.0
 EVENT_MS = 1_200.0
 ITEM_IMPOSSIBLE = 422
 ITEM_FAILED = 500
@@ -60,7 +60,7 @@
 
         :raises BrokenReplyError: when the run breaks off.
         """
-        until_ms = self._context.now_ms() + FIRST_EVENT_MS
+        until_ms = self._context.now_ms() + INITIAL_EVENT_MS
         connection = self._sends.connect(state, only_new=False, until_ms=until_ms)
         try:
             return self._exchange(connection, progress, head, state)
@@ -85,7 +85,7 @@
         )
         headers.append((b'content-length', str(len(item.body)).encode()))
         connection.send(b'POST', item.path.encode('latin-1'), headers, item.body)
-        until_ms = self._context.now_ms() + FIRST_EVENT_MS
+        until_ms = self._context.now_ms() + INITIAL_EVENT_MS
         reply = self._sends.read_reply(state, connection, RequestId(item.id), until_ms)
         status = reply.head.status
         if reply.facts.was_not_run:
@@ -107,7 +107,7 @@
                 progress.first_event_ms = progress.first_event_ms or until_ms - EVENT_MS
                 progress.texts.append(event.data.decode('utf-8', 'replace'))
                 progress.last_event_id = event.id
-                progress.breaks_in_row = 0
+                progress.consecutive_breaks = 0
             if self._reads_rarely():
                 # Nobody waits for these events: read some at a time.
                 gevent.sleep(READ_PAUSE_S)
@@ -118,4 +118,4 @@
 def _end_of_failure(status: int) -> RunResult:
     if status == ITEM_IMPOSSIBLE:
         return RunResult.IMPOSSIBLE
-    return RunResult.FAILED if status == ITEM_FAILED else RunResult.BROKEN
+    return RunResult.FAILED if status == ITEM_FAILED else RunResult.INTERRUPTED
--- a/citrondyke/gateway/jobs/job_acceptor.py
+++ b/citrondyke/gateway/jobs/job_acceptor.py
@@ -8,7 +8,7 @@
 import logbook
 import msgspec
 
-from citrondyke.decisions.batch.acceptance_deadline import begin_wait
+from citrondyke.decisions.batch.acceptance_deadline import begin_acceptance
 from citrondyke.decisions.batch.backlog_limit import BacklogFull
 from citrondyke.decisions.batch.job import JobHead
 from citrondyke.decisions.batch.owned_job import OwnedJob
@@ -144,7 +144,9 @@
         within_ms = min(route.timeout_ms, facts.within_ms or 0.0)
         has_room = self._waiting_bytes <= self._items_limit_bytes * HOLDING_SHARE
         may_hold = facts.within_ms is not None and has_room
-        return begin_wait(self._context.now_ms(), request.arrived_ms + within_ms, may_hold=may_hold)
+        return begin_acceptance(
+            self._context.now_ms(), request.arrived_ms + within_ms, may_hold=may_hold
+        )
 
     def _make_durable(
         self,
@@ -164,7 +166,7 @@
         if isinstance(accepted, StoredHead) and not is_foreign:
             self._take(accepted, items, request)
         is_in_doubt = accepted is CommitVerdict.IN_DOUBT
-        self._waiting.settle(head.bound, head.job_id, in_doubt=is_in_doubt)
+        self._waiting.settle(head.backlog_name, head.job_id, in_doubt=is_in_doubt)
         if is_foreign:
             return FOREIGN
         if isinstance(accepted, StoredHead):
@@ -190,7 +192,7 @@
     ) -> BacklogReservation | BacklogFull | PlatformFailure:
         while True:
             reserved = self._waiting.reserve(
-                route, head.job_id, head.tokens, wait.last_at_ms, head.account
+                route, head.job_id, head.tokens, wait.latest_answer_ms, head.account
             )
             if not isinstance(reserved, PlatformFailure):
                 return reserved
@@ -204,7 +206,7 @@
         while True:
             # A try that is cut off here may still take effect, so that it counts as in doubt.
             answer: StoredHead | CommitVerdict = CommitVerdict.IN_DOUBT
-            with gevent.Timeout(max(0.0, wait.until_ms - self._context.now_ms()) / 1e3, False):
+            with gevent.Timeout(max(0.0, wait.answer_at_ms - self._context.now_ms()) / 1e3, False):
                 answer = self._store.accept(head, items)
             if isinstance(answer, StoredHead):
                 return answer
@@ -218,11 +220,11 @@
 
         An instance that stops holds nobody.
         """
-        if not wait.is_store_away and wait.last_at_ms > wait.elsewhere_at_ms:
-            until_ms = wait.last_at_ms - self._context.now_ms()
+        if not wait.is_store_unreachable and wait.latest_answer_ms > wait.redirect_at_ms:
+            until_ms = wait.latest_answer_ms - self._context.now_ms()
             log.info('job.held', extra={'job_id': head.job_id, 'longest_ms': round(until_ms)})
         wait.record_failed()
-        is_time_left = self._context.now_ms() + PAUSE_MS + SHORTEST_TRY_MS <= wait.until_ms
+        is_time_left = self._context.now_ms() + PAUSE_MS + SHORTEST_TRY_MS <= wait.answer_at_ms
         if not is_time_left or self._owned.is_stopping:
             return False
         gevent.sleep(self._context.jittered_ms(PAUSE_MS) / 1e3)
--- a/citrondyke/gateway/jobs/job_claimer.py
+++ b/citrondyke/gateway/jobs/job_claimer.py
@@ -167,7 +167,7 @@
     def _run_list(self) -> None:
         # How many share the reads is not known before; nothing else depends on it.
         with gevent.Timeout(FIRST_POLL_DELAY_MS / 1e3, False):
-            while not self._takeover.knows_instances:
+            while not self._takeover.has_polled_instances:
                 gevent.sleep(FIRST_PAUSE_S)
         while True:
             self.list_once()
--- a/citrondyke/gateway/jobs/job_committer.py
+++ b/citrondyke/gateway/jobs/job_committer.py
@@ -83,7 +83,7 @@
         job, and whoever changes a head tells the owner besides.
         """
         for job in list(self._owned.by_id.values()):
-            if not job.is_over:
+            if not job.is_finished:
                 self._take_head(job, self._store.read_head(job.head.job_id))
 
     def save_pause_ms(self) -> float:
@@ -115,11 +115,11 @@
                 gevent.sleep(COMMIT_POLL_S)
                 continue
             verdict = CommitVerdict.DONE
-            if job.to_commit():
+            if job.next_commit():
                 verdict = self._commit_once(job)
             if verdict is CommitVerdict.DONE and not job.finished:
                 verdict = self._store.release(job, list(job.open.values()))
-                if verdict is CommitVerdict.DONE or job.is_over:
+                if verdict is CommitVerdict.DONE or job.is_finished:
                     log.info('job.handed_over', extra={'job_id': job.head.job_id})
                     self._owned.drop(job.head.job_id)
                     return
@@ -139,7 +139,7 @@
         job_id = job.head.job_id
         self._committing.add(job_id)
         try:
-            results = job.to_commit()
+            results = job.next_commit()
             verdict = self._store.commit(job, results)
         finally:
             self._committing.discard(job_id)
@@ -174,7 +174,7 @@
                     for progress in job.open.values()
                     if progress.events_count - (progress.saved_event_id or 0) >= SAVE_EVENTS
                 ]
-                if ahead and not job.is_over and not self._owned.is_stopping:
+                if ahead and not job.is_finished and not self._owned.is_stopping:
                     self.save(job, ahead[:SAVE_ITEMS])
 
     def _run_head_polls(self) -> None:
@@ -186,7 +186,7 @@
         self._take_head(job, self._store.head(job.head.job_id))
 
     def _take_head(self, job: OwnedJob, stored: StoredHead | NoJob) -> None:
-        if isinstance(stored, NoJob) or job.is_over or job.head.job_id in self._committing:
+        if isinstance(stored, NoJob) or job.is_finished or job.head.job_id in self._committing:
             return
         if stored.version > job.version and not stored.head.is_done:
             self._owned.lose(job.head.job_id, 'head changed')
--- a/citrondyke/gateway/jobs/job_runner.py
+++ b/citrondyke/gateway/jobs/job_runner.py
@@ -10,12 +10,12 @@
 import msgspec
 
 from citrondyke.decisions.batch.batch_demand import CompletionLikelihood
-from citrondyke.decisions.batch.batch_preemption import RunningItem, Urgency, urgency
+from citrondyke.decisions.batch.batch_scheduler import RunningItem, Urgency, urgency
 from citrondyke.decisions.batch.item_priority import (
     ItemPriority,
     batch_demand_of,
     count_by_likelihood,
-    outlook,
+    priority_of,
 )
 from citrondyke.decisions.batch.owned_job import RunResult
 from citrondyke.decisions.batch.run_length import RunLengthEstimator
@@ -31,7 +31,7 @@
 
     from citrondyke.decisions.batch.batch_demand import DemandNotice
     from citrondyke.decisions.batch.batch_demand_table import BatchDemandTable
-    from citrondyke.decisions.batch.batch_preemption import BatchPreemption
+    from citrondyke.decisions.batch.batch_scheduler import BatchScheduler
     from citrondyke.decisions.batch.owned_job import ItemProgress, OwnedJob
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.forwarding.server_state import ServerState
@@ -85,7 +85,7 @@
         self,
         context: Context,
         beliefs: ReplicatedState,
-        give_way: BatchPreemption,
+        give_way: BatchScheduler,
         needs: BatchDemandTable,
         sends: ServerSends,
         guard: PoisonRequestGuard,
@@ -111,7 +111,7 @@
         self._committer = committer
         self._metrics = metrics
         self._tasks = tasks
-        self._sender = ItemSender(context, sends, dialect, lambda: give_way.is_in_large_fleet)
+        self._sender = ItemSender(context, sends, dialect, lambda: give_way.is_fleet_large)
         self._lengths = RunLengthEstimator()
         self._runs: dict[int, _Run] = {}
         self._runs_count = 0
@@ -143,8 +143,10 @@
 
     def preempt_items(self) -> None:
         """Cut the items that stand in the way of online requests."""
-        crowded = self._give_way.crowded({run.state.life for run in self._runs.values()})
-        if not crowded:
+        overloaded_servers = self._give_way.overloaded_servers(
+            {run.state.life for run in self._runs.values()}
+        )
+        if not overloaded_servers:
             return
         epoch_ms = self._context.epoch_ms()
         targets_ms = self._beliefs.config.current.shortest_targets_ms
@@ -158,9 +160,9 @@
                 targets_ms.get(run.state.listed.service, 0.0),
             )
             for number, run in self._runs.items()
-            if run.state.life in crowded
+            if run.state.life in overloaded_servers
         ]
-        for item in self._give_way.to_cut(running):
+        for item in self._give_way.items_to_preempt(running):
             run = self._runs[item.number]
             self._metrics.counters['items_cut'] += 1
             self._metrics.counters[f'items_cut_{item.urgency.value}'] += 1
@@ -221,7 +223,7 @@
                 urgency_now = self._urgency(job, progress, epoch_ms)
                 if service is None or (service, urgency_now) in full:
                     break
-                state = self._give_way.choose(service, urgency_now)
+                state = self._give_way.choose_server(service, urgency_now)
                 if state is None:
                     full.add((service, urgency_now))
                     break
@@ -243,7 +245,7 @@
                 found = [self._outlook(job, each, epoch_ms) for each in items]
                 outlooks.setdefault(service, []).extend(found)
         for service in services:
-            self._give_way.watch(service)
+            self._give_way.observe_online_load(service)
         if not is_due:
             return
         self._counted_ms = now_ms
@@ -251,7 +253,7 @@
         self._needs.record_own_demand(
             [batch_demand_of(service, found, now_ms) for service, found in outlooks.items()]
         )
-        told = self._needs.to_tell()
+        told = self._needs.take_due_notices()
         if told is not None:
             self._tell(told)
         if outlooks and now_ms - self._logged_ms >= LOG_EVERY_MS:
@@ -262,7 +264,7 @@
                     **{each.name.lower(): self._waiting[each] for each in CompletionLikelihood},
                     'running': len(self._runs),
                     'kept_places': self.kept_places_count(),
-                    'other_owners': sum(len(self._needs.others(each)) for each in outlooks),
+                    'other_owners': sum(len(self._needs.peer_demand(each)) for each in outlooks),
                 },
             )
 
@@ -272,12 +274,12 @@
 
     def kept_places_count(self) -> int:
         """Count the places that are kept free for online requests."""
-        return sum(self._give_way.kept.counts.values()) if self._owned.by_id else 0
+        return sum(self._give_way.headroom.by_service.values()) if self._owned.by_id else 0
 
     def _outlook(self, job: OwnedJob, progress: ItemProgress, epoch_ms: float) -> ItemPriority:
-        spare_ms = job.head.due_epoch_ms - epoch_ms - self._remaining_ms(job, progress)
+        slack_ms = job.head.due_epoch_ms - epoch_ms - self._remaining_ms(job, progress)
         margin_ms = self._lengths.margin_ms(job.head.route)
-        return outlook(spare_ms, margin_ms, has_begun=progress.last_event_id is not None)
+        return priority_of(slack_ms, margin_ms, has_begun=progress.last_event_id is not None)
 
     def _remaining_ms(self, job: OwnedJob, progress: ItemProgress) -> float:
         return self._lengths.remaining_ms(job.head.route, progress.events_count)
@@ -319,7 +321,7 @@
     def _run_item(self, number: int, run: _Run) -> None:
         job, progress, state = run.job, run.progress, run.state
         run.has_begun = True
-        end = RunResult.BROKEN
+        end = RunResult.INTERRUPTED
         detail = ''
         started_ms = self._context.now_ms()
         events_before = progress.events_count
@@ -331,9 +333,9 @@
                 if end in (RunResult.COMPLETED, RunResult.IMPOSSIBLE):
                     self._guard.record_survived(run.work)
             else:
-                end = RunResult.STOPPED
+                end = RunResult.BLOCKED
         except GaveWayError:
-            end = RunResult.GAVE_WAY
+            end = RunResult.PREEMPTED
         except BrokenReplyError as error:
             detail = error.message
             if error.break_kind is BreakKind.NO_CONNECTION:
@@ -368,7 +370,7 @@
                 'detail': detail,
                 'last_event_id': progress.last_event_id,
                 'took_ms': round(took_ms, 1),
-                'content': run.work.content.digest if end is RunResult.BROKEN else None,
+                'content': run.work.content.digest if end is RunResult.INTERRUPTED else None,
             },
         )
         self._end(job, progress, end)
--- a/citrondyke/gateway/jobs/job_store.py
+++ b/citrondyke/gateway/jobs/job_store.py
@@ -141,7 +141,7 @@
         """
         head = job.head
         first = len(job.results)
-        is_last = job.is_expected_done(list(results))
+        is_last = job.completes_job(list(results))
         conditions = [RowCondition(HEADS_TABLE, HEAD_KEY, job.version)]
         puts = []
         for position, result in enumerate(results, first):
@@ -159,7 +159,7 @@
             PartTransaction(head.job_id, tuple(conditions), tuple(puts), tuple(removals))
         )
         if isinstance(answer, PartCommitted):
-            job.committed(list(results), answer.version if is_last else None)
+            job.record_committed(list(results), answer.version if is_last else None)
             return CommitVerdict.DONE
         if isinstance(answer, PlatformFailure):
             return verdict_of(answer)
@@ -227,7 +227,7 @@
         found = stored_head(conflict.row(HEADS_TABLE, HEAD_KEY))
         if not isinstance(found, StoredHead) or found.head != head:
             return CommitVerdict.FENCED
-        job.committed(list(results), found.version if head.is_done else None)
+        job.record_committed(list(results), found.version if head.is_done else None)
         return CommitVerdict.DONE
 
     def _result_value(
--- a/citrondyke/gateway/jobs/job_sweeper.py
+++ b/citrondyke/gateway/jobs/job_sweeper.py
@@ -89,7 +89,7 @@
         return deleted
 
     def _is_own(self, job_id: JobId) -> bool:
-        names = self._live.names()
+        names = self._live.live_instances()
         chosen = max(names, key=lambda name: rendezvous_weight(name, job_id))
         return chosen == self._context.instance_id
 
--- a/citrondyke/gateway/jobs/observed_shares.py
+++ b/citrondyke/gateway/jobs/observed_shares.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.decisions.batch.backlog_limit import PeerShares, ShareValidity, count_others
+from citrondyke.decisions.batch.backlog_limit import PeerShares, ShareValidity, sum_peer_shares
 from citrondyke.gateway.jobs.backlog_count import UNCERTAIN_MS
 
 if TYPE_CHECKING:
@@ -55,23 +55,23 @@
 
     def others(self, read: SharesRead, route: RouteName) -> PeerShares:
         """Add up what others have by a read that was noted."""
-        return count_others(read.shares, self._life, self._standing, self._facts.heads(), route)
+        return sum_peer_shares(read.shares, self._life, self._standing, self._facts.heads(), route)
 
     def gone(self, read: SharesRead) -> Iterable[tuple[str, int]]:
         """List the lives, with their shares' versions, that count no more."""
         return [
             (life, self._seen[life].version)
             for life, share in read.shares.items()
-            if life != self._life and self._standing(life, share) is ShareValidity.GONE
+            if life != self._life and self._standing(life, share) is ShareValidity.DEAD
         ]
 
     def _standing(self, life: str, share: TokenShare) -> ShareValidity:
         seen = self._seen[life]
-        gone_ms = self._facts.gone_for_ms(share.instance, life, seen.version, seen.since_ms)
+        gone_ms = self._facts.dead_for_ms(share.instance, life, seen.version, seen.since_ms)
         if share.has_left:
             # From then on it counts as gone, though its heartbeats go on until its jobs are given
             # back; what it had sent before may have been seen late.
             gone_ms = max(gone_ms or 0.0, self._context.now_ms() - seen.since_ms)
         if gone_ms is None:
             return ShareValidity.ALIVE
-        return ShareValidity.DOUBTFUL if gone_ms < UNCERTAIN_MS else ShareValidity.GONE
+        return ShareValidity.UNCERTAIN if gone_ms < UNCERTAIN_MS else ShareValidity.DEAD
--- a/citrondyke/gateway/jobs/route_backlog_tokens.py
+++ b/citrondyke/gateway/jobs/route_backlog_tokens.py
@@ -86,7 +86,7 @@
         self._seen = ObservedShares(context, life, facts)
         self._rate = DrainRate()
         #: Whether the bound is near, so that what is finished must be told soon.
-        self.is_near = False
+        self.is_near_limit = False
 
     def reserve(
         self,
@@ -157,11 +157,13 @@
             self._rate.record_used(used)
             others = self._seen.others(read, route.name)
             bound = self._bound(route)
-            self.is_near = bound.is_near(others.used + used)
+            self.is_near_limit = bound.is_near_limit(others.used + used)
             self._rate.record_peer_usage(others.left, self._context.now_ms())
-            held = bound.share_for(used, others)
-            is_within = bound.is_within(held, others)
-            share = self._share(held, used, config_version if is_within else NO_CONFIGURATION)
+            held = bound.share_to_hold(used, others)
+            is_within_ceiling = bound.is_within_ceiling(held, others)
+            share = self._share(
+                held, used, config_version if is_within_ceiling else NO_CONFIGURATION
+            )
             if self._is_to_be_written(bound, share):
                 self._own.write(read, share)
             for life, version in self._seen.gone(read):
@@ -186,8 +188,8 @@
                 return read
             used = self._count.used()
             others = self._seen.others(read, route.name)
-            self.is_near = bound.is_near(others.used + used)
-            decided = bound.decide(used, tokens, others, self._rate.tokens_per_s)
+            self.is_near_limit = bound.is_near_limit(others.used + used)
+            decided = bound.check(used, tokens, others, self._rate.tokens_per_s)
             if isinstance(decided, BacklogFull):
                 self._log_no_room(route, job_id, tokens, used, others, decided)
                 return decided
@@ -217,7 +219,7 @@
         share = self._own.share
         if share is None or not self._own.is_certain_at_version(config_version):
             return False
-        return self._bound(route).is_headroom_sufficient(share.held, 0)
+        return self._bound(route).is_headroom_in_range(share.held, 0)
 
     def _add(self, job_id: JobId, tokens: int) -> None:
         self._count.add(job_id, tokens)
@@ -257,9 +259,9 @@
         own = self._own.share
         if own is None or not self._own.is_certain_at_version(share.config_version):
             return True
-        is_right = bound.is_headroom_sufficient(own.held, share.used) or own.held == share.held
+        is_right = bound.is_headroom_in_range(own.held, share.used) or own.held == share.held
         off = max(abs(own.used - share.used), abs(own.finished - share.finished))
-        return not is_right or off > (0 if self.is_near else share.held - share.used)
+        return not is_right or off > (0 if self.is_near_limit else share.held - share.used)
 
     @staticmethod
     def _log_no_room(
--- a/citrondyke/gateway/peers/membership.py
+++ b/citrondyke/gateway/peers/membership.py
@@ -114,7 +114,7 @@
             except UnreadableBytesError as error:
                 self._unreadable.note(row.key, row.version, error.message)
                 continue
-            is_news = self._live.note(instance_id, beat.life, row.version)
+            is_news = self._live.record_row(instance_id, beat.life, row.version)
             if is_news and instance_id != self._context.instance_id:
                 self._learn(instance_id, beat)
 
@@ -131,16 +131,16 @@
         A machine that was removed for good leaves its row behind. Calls that go by way of a peer
         would try it each time and wait for a connection that never comes.
         """
-        for instance_id in self._live.silent(DEAD_AFTER_MS):
+        for instance_id in self._live.unresponsive(DEAD_AFTER_MS):
             if self.peers.pop(instance_id, None) is not None:
                 log.info('peer.gone', extra={'peer': instance_id, 'silent_ms': DEAD_AFTER_MS})
-        names = self._live.names()
+        names = self._live.live_instances()
         if names[0] != self._context.instance_id:
             return
-        for instance_id in self._live.silent(ROW_EXPIRY_MS):
+        for instance_id in self._live.unresponsive(ROW_EXPIRY_MS):
             version = versions.get(instance_id)
             if version is None:
-                self._live.note_gone(instance_id)
+                self._live.record_removed(instance_id)
                 continue
             condition = RowCondition(INSTANCES_TABLE, instance_id, version)
             removal = RowRemoval(INSTANCES_TABLE, instance_id)
@@ -191,7 +191,7 @@
             log.info('peer.known', extra={'peer': instance_id, 'life': beat.life, 'ip': beat.ip})
 
     def _forget(self, instance_id: InstanceId) -> None:
-        self._live.note_gone(instance_id)
+        self._live.record_removed(instance_id)
         if self.peers.pop(instance_id, None) is not None:
             log.info('peer.left', extra={'peer': instance_id})
 
@@ -202,7 +202,9 @@
             put = RowPut(INSTANCES_TABLE, self._context.instance_id, value)
             answer = self._table.transact(PartTransaction('', puts=(put,)))
             if isinstance(answer, PartCommitted):
-                self._live.record_heartbeat()
+                self._live.record_own_heartbeat()
             elif isinstance(answer, PlatformFailure):
                 log.info('heartbeat.failed', extra={'reason': answer.reason.value})
-            gevent.sleep(self._context.jittered_ms(HEARTBEAT_EVERY_MS * self._live.pace) / 1e3)
+            gevent.sleep(
+                self._context.jittered_ms(HEARTBEAT_EVERY_MS * self._live.timeout_factor) / 1e3
+            )
--- a/citrondyke/gateway/peers/server_list_publisher.py
+++ b/citrondyke/gateway/peers/server_list_publisher.py
@@ -128,14 +128,14 @@
         key = (since, number, 0 if has_config else self._beliefs.config.current.version)
         kept = self._kept.get(key)
         if kept is None:
-            kept = encode_offer(self._offer(since, with_config=not has_config))
+            kept = encode_offer(self._queue_items(since, with_config=not has_config))
             self._kept[key] = kept
             while len(self._kept) > KEPT_ANSWERS:
                 self._kept.popitem(last=False)
         self._metrics.counters['list_answers'] += 1
         return ListOffered(kept, self.position())
 
-    def _offer(self, since: int, *, with_config: bool) -> ServerListDelta:
+    def _queue_items(self, since: int, *, with_config: bool) -> ServerListDelta:
         config = self._beliefs.config
         changes = None if since < 0 else self._beliefs.servers_since(since)
         listing_version = None
@@ -171,7 +171,7 @@
         audience = self._audience()
         number = self._beliefs.list_revision
         if 0 < self._told < number and audience:
-            offered = encode_offer(self._offer(self._told, with_config=False))
+            offered = encode_offer(self._queue_items(self._told, with_config=False))
             if len(offered) <= DATAGRAM_BYTES:
                 self._told = number
                 self._send(ListOffered(offered, self.position()), audience)
--- a/citrondyke/gateway/peers/server_list_readers.py
+++ b/citrondyke/gateway/peers/server_list_readers.py
@@ -198,7 +198,7 @@
             return []
         if not self._rule.pays(self._list_bytes(), self._membership.count):
             return []
-        gone = set(self._live.silent(SILENT_MS * self._live.pace))
+        gone = set(self._live.unresponsive(SILENT_MS * self._live.timeout_factor))
         members = [each for each in self._audience() if each not in gone]
         return self._rule.readers([*members, self._context.instance_id])
 
--- a/citrondyke/gateway/replication/fleet_queries.py
+++ b/citrondyke/gateway/replication/fleet_queries.py
@@ -19,6 +19,6 @@
     heads: Callable[[], Iterable[JobHead]]
     #: For how long a life of an instance has been gone, by the version of a row that it wrote and
     #: the time at which that was first seen; ``None`` if it is not.
-    gone_for_ms: Callable[[InstanceId, str, int, float], float | None]
+    dead_for_ms: Callable[[InstanceId, str, int, float], float | None]
     #: Lives of the other instances.
     lives: Callable[[], Iterable[str]]
--- a/tests/test_batch/test_batch_acceptance_wait.py
+++ b/tests/test_batch/test_batch_acceptance_wait.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from citrondyke.decisions.batch.acceptance_deadline import begin_wait
+from citrondyke.decisions.batch.acceptance_deadline import begin_acceptance
 
 DEADLINE_MS = 5_100.0
 TRY_MS = 150.0
@@ -13,9 +13,9 @@
 
 def tries(now_ms: float, deadline_ms: float, *, may_hold: bool) -> list[float]:
     """Give when one instance asks the store for one caller, and the answer at the end."""
-    wait = begin_wait(now_ms, deadline_ms, may_hold=may_hold)
+    wait = begin_acceptance(now_ms, deadline_ms, may_hold=may_hold)
     asked = []
-    while now_ms + TRY_MS <= wait.until_ms:
+    while now_ms + TRY_MS <= wait.answer_at_ms:
         asked.append(now_ms)
         wait.record_failed()
         now_ms += TRY_MS
@@ -47,13 +47,13 @@
 
 
 def test_nobody_is_held_while_one_instance_alone_is_slow() -> None:
-    wait = begin_wait(0.0, DEADLINE_MS, may_hold=True)
-    assert wait.until_ms == pytest.approx(1_500.0)
+    wait = begin_acceptance(0.0, DEADLINE_MS, may_hold=True)
+    assert wait.answer_at_ms == pytest.approx(1_500.0)
     wait.record_failed()
-    assert wait.until_ms < DEADLINE_MS
+    assert wait.answer_at_ms < DEADLINE_MS
 
 
 def test_caller_without_time_is_not_held_beyond_it() -> None:
-    wait = begin_wait(0.0, 1_000.0, may_hold=True)
+    wait = begin_acceptance(0.0, 1_000.0, may_hold=True)
     wait.record_failed()
-    assert wait.until_ms <= 1_500.0
+    assert wait.answer_at_ms <= 1_500.0
--- a/tests/test_batch/test_batch_give_way.py
+++ b/tests/test_batch/test_batch_give_way.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from citrondyke.decisions.batch.batch_preemption import (
-    AT_RISK_MS,
-    SOON_WAIT_SHARE,
-    WAIT_SHARE,
-    BatchPreemption,
+from citrondyke.decisions.batch.batch_scheduler import (
+    AT_RISK_SLACK_MS,
+    DUE_SOON_WAIT_SHARE,
+    ONLINE_WAIT_SHARE,
+    BatchScheduler,
     RunningItem,
     Urgency,
     urgency,
@@ -35,7 +35,7 @@
         self.book = ServerRegistry(context)
         self.book.replace([listed_server(A, SERVICE, SLOTS)])
         self.pace = StartRateLimiter(context, self.book.neighbours)
-        self.give_way = BatchPreemption(context, self.book, self.pace)
+        self.give_way = BatchScheduler(context, self.book, self.pace)
 
     @property
     def state(self) -> ServerState:
@@ -50,15 +50,15 @@
         ]
         self.state.own.batch = len(items)
         self.clock.ms += self.pace.gap_ms
-        return [item.urgency for item in self.give_way.to_cut(items)]
+        return [item.urgency for item in self.give_way.items_to_preempt(items)]
 
 
 def test_items_leave_a_place_free() -> None:
     floor = Floor()
     for _ in range(SLOTS - 1):
-        assert floor.give_way.choose(SERVICE, Urgency.PATIENT) is not None
+        assert floor.give_way.choose_server(SERVICE, Urgency.PATIENT) is not None
         floor.state.own.batch += 1
-    assert floor.give_way.choose(SERVICE, Urgency.PATIENT) is None
+    assert floor.give_way.choose_server(SERVICE, Urgency.PATIENT) is None
 
 
 def test_as_many_items_stop_as_online_requests_need_places() -> None:
@@ -108,10 +108,10 @@
 def test_item_at_risk_takes_a_held_place_though_none_is_free() -> None:
     floor = Floor()
     floor.state.own.online = SLOTS
-    assert floor.give_way.choose(SERVICE, Urgency.PATIENT) is None
-    assert floor.give_way.choose(SERVICE, Urgency.AT_RISK) is not None
+    assert floor.give_way.choose_server(SERVICE, Urgency.PATIENT) is None
+    assert floor.give_way.choose_server(SERVICE, Urgency.AT_RISK) is not None
     floor.state.own.batch = SLOTS // 4
-    assert floor.give_way.choose(SERVICE, Urgency.AT_RISK) is None
+    assert floor.give_way.choose_server(SERVICE, Urgency.AT_RISK) is None
 
 
 def test_item_is_at_risk_when_it_must_run_from_now_on() -> None:
@@ -123,7 +123,7 @@
     left_ms = lengths.remaining_ms(route, 50)
     assert 1_900.0 < left_ms < 2_100.0
     assert urgency(10_000.0, 0.0, left_ms) is Urgency.PATIENT
-    assert urgency(left_ms + AT_RISK_MS, 0.0, left_ms) is Urgency.AT_RISK
+    assert urgency(left_ms + AT_RISK_SLACK_MS, 0.0, left_ms) is Urgency.AT_RISK
     assert urgency(left_ms - 1_000.0, 0.0, left_ms) is Urgency.LATE
 
 
@@ -137,7 +137,7 @@
         floor.state.own.online = SLOTS - 5
         for _ in range(3):
             floor.clock.ms += 20.0 + seed % 5
-            started += floor.give_way.choose(SERVICE, Urgency.PATIENT) is not None
+            started += floor.give_way.choose_server(SERVICE, Urgency.PATIENT) is not None
     assert started <= 12
 
 
@@ -146,7 +146,7 @@
     floor.book.neighbours.replace(other_instances(1))
     started = 0
     for _ in range(4):
-        started += floor.give_way.choose(SERVICE, Urgency.PATIENT) is not None
+        started += floor.give_way.choose_server(SERVICE, Urgency.PATIENT) is not None
     assert started >= 3
 
 
@@ -156,10 +156,10 @@
     floor.state.own.online = 3
     items = [RunningItem(number, floor.state.life, 0.0, Urgency.PATIENT) for number in range(8)]
     floor.state.own.batch = 8
-    assert len(floor.give_way.to_cut(items)) == 3
-    assert floor.give_way.to_cut(items) == []
+    assert len(floor.give_way.items_to_preempt(items)) == 3
+    assert floor.give_way.items_to_preempt(items) == []
     floor.clock.ms += floor.pace.gap_ms
-    assert len(floor.give_way.to_cut(items)) == 3
+    assert len(floor.give_way.items_to_preempt(items)) == 3
 
 
 def large_floor() -> Floor:
@@ -183,11 +183,11 @@
     floor.state.own.batch = 6
     for _ in range(20):
         floor.state.own.online = 3
-        assert floor.give_way.to_cut(items) == []
-        floor.clock.ms += WAIT_SHARE * target_ms / 2
+        assert floor.give_way.items_to_preempt(items) == []
+        floor.clock.ms += ONLINE_WAIT_SHARE * target_ms / 2
         floor.state.own.online = 2
-        assert floor.give_way.crowded([floor.state.life]) == set()
-        floor.clock.ms += WAIT_SHARE * target_ms / 2
+        assert floor.give_way.overloaded_servers([floor.state.life]) == set()
+        floor.clock.ms += ONLINE_WAIT_SHARE * target_ms / 2
 
 
 def test_run_is_cut_for_a_request_that_would_wait() -> None:
@@ -195,18 +195,18 @@
     target_ms = 300.0
     items = running(floor, target_ms, *[1_000.0, 5_000.0, 2_000.0] * 2)
     floor.state.own.batch, floor.state.own.online = 6, 3
-    assert floor.give_way.to_cut(items) == []
-    floor.clock.ms += WAIT_SHARE * target_ms
-    assert [item.remaining_ms for item in floor.give_way.to_cut(items)] == [5_000.0]
+    assert floor.give_way.items_to_preempt(items) == []
+    floor.clock.ms += ONLINE_WAIT_SHARE * target_ms
+    assert [item.remaining_ms for item in floor.give_way.items_to_preempt(items)] == [5_000.0]
 
 
 def test_run_that_ends_at_once_makes_room_by_itself() -> None:
     floor = large_floor()
     items = running(floor, 300.0, *[5_000.0] * 5, 10.0)
     floor.state.own.batch, floor.state.own.online = 6, 3
-    floor.give_way.to_cut(items)
-    floor.clock.ms += WAIT_SHARE * 300.0
-    assert floor.give_way.to_cut(items) == []
+    floor.give_way.items_to_preempt(items)
+    floor.clock.ms += ONLINE_WAIT_SHARE * 300.0
+    assert floor.give_way.items_to_preempt(items) == []
 
 
 def test_items_take_no_slow_server_while_a_usual_one_is_as_free(
@@ -217,7 +217,7 @@
     monkeypatch.setattr(
         ServerState, 'slowness', lambda state, _: 4.0 if state.listed.id == A else 1.0
     )
-    chosen = [floor.give_way.choose(SERVICE, Urgency.PATIENT) for _ in range(200)]
+    chosen = [floor.give_way.choose_server(SERVICE, Urgency.PATIENT) for _ in range(200)]
     on_slow = sum(state is not None and state.listed.id == A for state in chosen)
     assert on_slow < 0.3 * len(chosen)
 
@@ -228,8 +228,8 @@
     target_ms = 300.0
     items = running(floor, target_ms, 5_000.0, 5_000.0)
     floor.state.own.batch, floor.state.own.online = 2, 7
-    floor.give_way.to_cut(items)
-    floor.clock.ms += 2 * WAIT_SHARE * target_ms
-    assert floor.give_way.to_cut(items) == []
-    floor.clock.ms += SOON_WAIT_SHARE * target_ms
-    assert len(floor.give_way.to_cut(items)) == 1
+    floor.give_way.items_to_preempt(items)
+    floor.clock.ms += 2 * ONLINE_WAIT_SHARE * target_ms
+    assert floor.give_way.items_to_preempt(items) == []
+    floor.clock.ms += DUE_SOON_WAIT_SHARE * target_ms
+    assert len(floor.give_way.items_to_preempt(items)) == 1
--- a/tests/test_batch/test_batch_machine.py
+++ b/tests/test_batch/test_batch_machine.py
@@ -91,7 +91,8 @@
 
     @precondition(lambda self: self.jobs)
     @rule(
-        owner=OWNERS, end=st.sampled_from([RunResult.COMPLETED, RunResult.FAILED, RunResult.BROKEN])
+        owner=OWNERS,
+        end=st.sampled_from([RunResult.COMPLETED, RunResult.FAILED, RunResult.INTERRUPTED]),
     )
     def run_item(self, owner: int, end: RunResult) -> None:
         job = self.jobs.get(owner)
@@ -106,10 +107,10 @@
     @rule(owner=OWNERS, trouble=TROUBLES)
     def commit(self, owner: int, trouble: Trouble) -> None:
         job = self.jobs.get(owner)
-        if job is None or not job.to_commit():
+        if job is None or not job.next_commit():
             return
         self.table.trouble = trouble
-        if self.store.commit(job, job.to_commit()) is CommitVerdict.FENCED:
+        if self.store.commit(job, job.next_commit()) is CommitVerdict.FENCED:
             del self.jobs[owner]
 
     @rule(owner=OWNERS)
@@ -164,8 +165,8 @@
         while (progress := job.next_item(1e15)) is not None:
             progress.texts = ['last']
             job.end_run(progress, RunResult.COMPLETED, 0.0, 0.0)
-        while job.to_commit():
-            assert self.store.commit(job, job.to_commit()) is CommitVerdict.DONE
+        while job.next_commit():
+            assert self.store.commit(job, job.next_commit()) is CommitVerdict.DONE
         results = self.store.results(JOB, 0)
         assert isinstance(results, list)
         assert sorted(result.id for result in results) == sorted(item.id for item in ITEMS)
--- a/tests/test_batch/test_batch_needs.py
+++ b/tests/test_batch/test_batch_needs.py
@@ -9,13 +9,13 @@
 
 from citrondyke.decisions.batch.batch_demand import BatchDemand, CompletionLikelihood, DemandNotice
 from citrondyke.decisions.batch.batch_demand_table import (
-    LAPSE_MS,
+    EXPIRY_MS,
+    PUBLISH_EVERY_MS,
     RENEW_MS,
-    TELL_EVERY_MS,
     BatchDemandTable,
 )
-from citrondyke.decisions.batch.item_priority import LATE_MS, batch_demand_of, outlook
-from citrondyke.decisions.batch.kept_places import RISE_PART, WATCHED_MS, KeptPlaces
+from citrondyke.decisions.batch.item_priority import LATE_SLACK_MS, batch_demand_of, priority_of
+from citrondyke.decisions.batch.online_headroom import WARMUP_MS, WARMUP_RISE_PART, OnlineHeadroom
 from citrondyke.gateway.peers.need_codec import pack_needs, unpack_needs
 from citrondyke.gateway.peers.peer_codec import (
     BatchNeeds,
@@ -43,19 +43,19 @@
         self.book = BatchDemandTable(manual_context(self.clock))
 
     def wait_for(
-        self, count: int, prospect: CompletionLikelihood = DOABLE, start_in_ms: float = 9e3
+        self, count: int, likelihood: CompletionLikelihood = DOABLE, start_in_ms: float = 9e3
     ) -> None:
-        need = BatchDemand(SERVICE, prospect, count, self.clock.ms + start_in_ms)
+        need = BatchDemand(SERVICE, likelihood, count, self.clock.ms + start_in_ms)
         self.book.record_own_demand([need])
 
     def hear(
         self,
         count: int,
-        prospect: CompletionLikelihood = DOABLE,
+        likelihood: CompletionLikelihood = DOABLE,
         start_in_ms: float = 9e3,
         peer: InstanceId = PEER,
     ) -> None:
-        self.book.note_peer(peer, [DemandNotice(SERVICE, prospect, count, start_in_ms)])
+        self.book.record_peer_demand(peer, [DemandNotice(SERVICE, likelihood, count, start_in_ms)])
 
     def part(self, free_count: int) -> float:
         return self.book.own_share_of_capacity(SERVICE, free_count)
@@ -80,10 +80,10 @@
 
 @pytest.mark.parametrize('prospect', [DOUBTFUL, LATE])
 def test_items_that_may_be_late_leave_the_places_to_those_in_time(
-    prospect: CompletionLikelihood,
+    likelihood: CompletionLikelihood,
 ) -> None:
     owner = Owner()
-    owner.wait_for(30, prospect, start_in_ms=-100.0)
+    owner.wait_for(30, likelihood, start_in_ms=-100.0)
     owner.hear(6, start_in_ms=60_000.0)
     assert owner.part(6) == 0.0
     assert owner.part(7) == 1.0
@@ -94,25 +94,25 @@
     owner.wait_for(30)
     owner.hear(99, start_in_ms=1_000.0)
     assert owner.part(10) == 0.0
-    owner.clock.ms += LAPSE_MS
+    owner.clock.ms += EXPIRY_MS
     assert owner.part(10) == 10.0
 
 
 def test_need_that_is_over_is_told_at_once_and_one_that_lasts_again() -> None:
     owner = Owner()
-    assert owner.book.to_tell() is None
+    assert owner.book.take_due_notices() is None
     owner.wait_for(30)
-    told = owner.book.to_tell()
+    told = owner.book.take_due_notices()
     assert told == [DemandNotice(SERVICE, DOABLE, 30, 9_000.0)]
-    owner.clock.ms += TELL_EVERY_MS
-    assert owner.book.to_tell() is None
+    owner.clock.ms += PUBLISH_EVERY_MS
+    assert owner.book.take_due_notices() is None
     owner.clock.ms += RENEW_MS
-    assert owner.book.to_tell() is not None
+    assert owner.book.take_due_notices() is not None
     owner.book.record_own_demand([])
-    owner.clock.ms += TELL_EVERY_MS
-    assert owner.book.to_tell() == []
+    owner.clock.ms += PUBLISH_EVERY_MS
+    assert owner.book.take_due_notices() == []
     owner.clock.ms += RENEW_MS
-    assert owner.book.to_tell() is None
+    assert owner.book.take_due_notices() is None
 
 
 def test_owner_shares_with_all_until_others_had_the_time_to_tell() -> None:
@@ -125,32 +125,40 @@
 
 def test_items_start_by_due_time_and_doubtful_ones_by_their_chance() -> None:
     margin_ms = 1_000.0
-    spares_ms = [5_000.0, 900.0, 1_500.0, 100.0, LATE_MS - 1.0]
-    outlooks = sorted((outlook(each, margin_ms) for each in spares_ms), key=lambda each: each.order)
-    assert [each.spare_ms for each in outlooks] == [1_500.0, 5_000.0, 900.0, 100.0, LATE_MS - 1.0]
-    assert batch_demand_of(SERVICE, outlooks, 0.0) == BatchDemand(SERVICE, DOABLE, 2, 1_500.0)
-    cut = outlook(5_000.0, margin_ms, has_begun=True)
-    assert cut.order < outlooks[0].order
+    slacks_ms = [5_000.0, 900.0, 1_500.0, 100.0, LATE_SLACK_MS - 1.0]
+    priorities = sorted(
+        (priority_of(each, margin_ms) for each in slacks_ms), key=lambda each: each.order
+    )
+    assert [each.slack_ms for each in priorities] == [
+        1_500.0,
+        5_000.0,
+        900.0,
+        100.0,
+        LATE_SLACK_MS - 1.0,
+    ]
+    assert batch_demand_of(SERVICE, priorities, 0.0) == BatchDemand(SERVICE, DOABLE, 2, 1_500.0)
+    cut = priority_of(5_000.0, margin_ms, has_begun=True)
+    assert cut.order < priorities[0].order
 
 
 def test_places_kept_follow_the_rises_of_online_requests() -> None:
     clock = ManualClock()
-    kept = KeptPlaces(manual_context(clock))
-    assert kept.count(SERVICE, 12) == 12
-    kept.note(SERVICE, 32)
-    assert kept.count(SERVICE, 12) == 32 * RISE_PART
-    for _ in range(int(WATCHED_MS / 25.0) + 80):
+    headroom = OnlineHeadroom(manual_context(clock))
+    assert headroom.headroom_for(SERVICE, 12) == 12
+    headroom.observe(SERVICE, 32)
+    assert headroom.headroom_for(SERVICE, 12) == 32 * WARMUP_RISE_PART
+    for _ in range(int(WARMUP_MS / 25.0) + 80):
         clock.ms += 25.0
-        kept.note(SERVICE, 32)
-    assert kept.count(SERVICE, 12) == 1
+        headroom.observe(SERVICE, 32)
+    assert headroom.headroom_for(SERVICE, 12) == 1
     for step in range(80):
         clock.ms += 25.0
-        kept.note(SERVICE, 32 + 3 * step)
-    assert 5 <= kept.count(SERVICE, 12) <= 7
+        headroom.observe(SERVICE, 32 + 3 * step)
+    assert 5 <= headroom.headroom_for(SERVICE, 12) <= 7
     for step in range(80):
         clock.ms += 25.0
-        kept.note(SERVICE, 400 + 50 * step)
-    assert kept.count(SERVICE, 12) == 12
+        headroom.observe(SERVICE, 400 + 50 * step)
+    assert headroom.headroom_for(SERVICE, 12) == 12
 
 
 def test_needs_pass_between_instances() -> None:
--- a/tests/test_batch/test_batch_owned_job.py
+++ b/tests/test_batch/test_batch_owned_job.py
@@ -34,7 +34,7 @@
     for _ in range(20):
         progress = job.next_item(1e9)
         assert progress is not None
-        job.end_run(progress, RunResult.BROKEN, 0.0, 0.0)
+        job.end_run(progress, RunResult.INTERRUPTED, 0.0, 0.0)
     assert not job.finished
     late = job.head.abandon_epoch_ms + ABANDON_MARGIN_MS
     job.abandon_overdue(late - 1.0)
@@ -54,8 +54,8 @@
     assert second is not None
     second.is_running = True
     second.last_event_id = 4
-    job.end_run(second, RunResult.GAVE_WAY, 0.0, 0.0)
-    job.end_run(first, RunResult.GAVE_WAY, 0.0, 0.0)
+    job.end_run(second, RunResult.PREEMPTED, 0.0, 0.0)
+    job.end_run(first, RunResult.PREEMPTED, 0.0, 0.0)
     assert job.next_item(0.0) is second
 
 
@@ -67,10 +67,10 @@
         progress = job.open[item_id]
         job.end_run(progress, RunResult.COMPLETED, 0.0, 0.0)
         if item_id == 'i0':
-            first = list(job.to_commit())
-    assert list(job.to_commit()) == first
-    job.committed(first, None)
-    assert [each.id for each in job.to_commit()] == ['i1']
+            first = list(job.next_commit())
+    assert list(job.next_commit()) == first
+    job.record_committed(first, None)
+    assert [each.id for each in job.next_commit()] == ['i1']
 
 
 def test_failures_of_an_item_pass_to_the_next_owner() -> None:
--- a/tests/test_batch/test_batch_read_budget.py
+++ b/tests/test_batch/test_batch_read_budget.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from citrondyke.decisions.batch.read_budget import SHARE, ReadBudget
+from citrondyke.decisions.batch.read_budget import READS_SHARE, ReadBudget
 from tests.support.manual_clock import ManualClock, manual_context
 
 READS_PER_S = 16_000.0
@@ -25,7 +25,7 @@
     for second in range(10):
         upto = sum(at_ms < (second + 1) * 1e3 for at_ms in reads_ms)
         # What was saved up comes on top, once.
-        assert upto * INSTANCES <= READS_PER_S * SHARE * (second + 2) + INSTANCES
+        assert upto * INSTANCES <= READS_PER_S * READS_SHARE * (second + 2) + INSTANCES
 
 
 @pytest.mark.parametrize('instances', [1, 9, 13])
--- a/tests/test_batch/test_batch_takeover.py
+++ b/tests/test_batch/test_batch_takeover.py
@@ -6,10 +6,10 @@
 
 from citrondyke.decisions.batch.job import JobHead
 from citrondyke.decisions.batch.takeover import (
-    OWN_MS,
+    HEARTBEAT_TIMEOUT_MS,
+    OWN_CLAIM_DELAY_MS,
+    ROTATION_MS,
     SETTLE_MS,
-    SILENT_MS,
-    TURN_MS,
     InstanceLiveness,
     TakeoverSchedule,
 )
@@ -30,9 +30,9 @@
     def look(self, **lives: tuple[str, int]) -> None:
         """Read the table of heartbeats: life and row version by instance."""
         for name, (life, version) in lives.items():
-            self.live.note(InstanceId(name.replace('_', '-')), life, version)
+            self.live.record_row(InstanceId(name.replace('_', '-')), life, version)
         self.live.record_poll()
-        self.live.record_heartbeat()
+        self.live.record_own_heartbeat()
 
     def settle(self, **lives: tuple[str, int]) -> None:
         self.look(**lives)
@@ -50,7 +50,7 @@
     watcher.settle(instance_0=('a', 5))
     assert not watcher.takeover.is_due(head, 4)
     for _ in range(3):
-        watcher.clock.ms += SILENT_MS / 3
+        watcher.clock.ms += HEARTBEAT_TIMEOUT_MS / 3
         watcher.look(instance_0=('a', 5))
     assert watcher.takeover.is_due(head, 4)
 
@@ -63,7 +63,7 @@
     watcher.settle(instance_0=('a', 5))
     for _ in range(10):
         watcher.clock.ms += 500.0
-        watcher.live.note(InstanceId('instance-0'), 'a', 5)
+        watcher.live.record_row(InstanceId('instance-0'), 'a', 5)
         watcher.live.record_poll()
         assert not watcher.takeover.is_due(head, 4)
     watcher.look(instance_0=('a', 5))
@@ -144,7 +144,7 @@
         for watcher in watchers:
             watcher.look(**{name: ('x', int(clock.ms)) for name in lives})
         claimed.append(sum(watcher.takeover.is_due(head, 4) for watcher in watchers))
-        clock.ms += TURN_MS
+        clock.ms += ROTATION_MS
     assert claimed == [1, 2, 3, 4]
 
 
@@ -155,7 +155,7 @@
     head = owned_by('instance-1', 'life of instance-1')
     watcher.settle()
     assert not watcher.takeover.is_due(head, 4)
-    watcher.clock.ms += OWN_MS
+    watcher.clock.ms += OWN_CLAIM_DELAY_MS
     assert watcher.takeover.is_due(head, 4)
 
 
@@ -164,19 +164,19 @@
     # an owner that lives must not be taken over for that; one that is gone loses it later.
     clock = ManualClock()
     live = InstanceLiveness(manual_context(clock))
-    live.pace = 2.0
+    live.timeout_factor = 2.0
     owner = InstanceId('instance-0')
     since_ms = clock.ms
     for version in range(1, 6):
-        live.record_heartbeat()
-        live.note(owner, 'life', version)
+        live.record_own_heartbeat()
+        live.record_row(owner, 'life', version)
         live.record_poll()
         clock.ms += 3_300.0
-        assert live.has_heartbeat
+        assert live.is_own_heartbeat_fresh
         assert live.is_settled
-        assert not live.is_gone(owner, 'life', 0, since_ms)
+        assert not live.is_dead(owner, 'life', 0, since_ms)
     clock.ms += 2_700.0
-    assert live.is_gone(owner, 'life', 0, since_ms)
+    assert live.is_dead(owner, 'life', 0, since_ms)
 
 
 def test_instance_that_left_is_gone_since_it_left() -> None:
@@ -188,9 +188,9 @@
     for beat in range(20):
         watcher.clock.ms += 900.0
         watcher.look(instance_0=('a', 6 + beat))
-    watcher.live.note_gone(InstanceId('instance-0'))
+    watcher.live.record_removed(InstanceId('instance-0'))
     watcher.clock.ms += 100.0
-    assert watcher.live.gone_for_ms(InstanceId('instance-0'), 'a', 4, row_seen_ms) == 100.0
+    assert watcher.live.dead_for_ms(InstanceId('instance-0'), 'a', 4, row_seen_ms) == 100.0
 
 
 def test_instance_whose_row_is_taken_away_was_gone_since_its_silence() -> None:
@@ -200,6 +200,6 @@
     for _ in range(20):
         watcher.clock.ms += 900.0
         watcher.look(instance_0=('a', 5))
-    before = watcher.live.gone_for_ms(InstanceId('instance-0'), 'a', 4, row_seen_ms)
-    watcher.live.note_gone(InstanceId('instance-0'))
-    assert watcher.live.gone_for_ms(InstanceId('instance-0'), 'a', 4, row_seen_ms) == before
+    before = watcher.live.dead_for_ms(InstanceId('instance-0'), 'a', 4, row_seen_ms)
+    watcher.live.record_removed(InstanceId('instance-0'))
+    assert watcher.live.dead_for_ms(InstanceId('instance-0'), 'a', 4, row_seen_ms) == before
--- a/tests/test_batch/test_batch_waiting_bound.py
+++ b/tests/test_batch/test_batch_waiting_bound.py
@@ -16,7 +16,7 @@
     ShareValidity,
     TokenShare,
     WithinBacklogLimit,
-    count_others,
+    sum_peer_shares,
 )
 from citrondyke.decisions.batch.job import JobHead, JobItem
 from citrondyke.decisions.batch.owned_job import OwnedJob, RunResult
@@ -104,7 +104,7 @@
             self.owned,
             FleetQueries(
                 lambda: [each.head for each in fleet.open_jobs()],
-                lambda _instance, other, _version, _since: fleet.gone_for_ms(other),
+                lambda _instance, other, _version, _since: fleet.dead_for_ms(other),
                 lambda: [node.life for node in fleet.nodes if node is not self],
             ),
             lambda: fleet.config,
@@ -201,7 +201,7 @@
         self.table.trouble = Trouble.NONE
         self.kill(node)
 
-    def gone_for_ms(self, life: str) -> float | None:
+    def dead_for_ms(self, life: str) -> float | None:
         return self.clock.ms - self.gone[life] if life in self.gone else None
 
     def new_node(self, number: int) -> Node:
@@ -468,23 +468,23 @@
 def test_too_large_a_job_is_told_no_time_to_come_back() -> None:
     bound = BacklogLimit(1_000, OVERSHOOT, 3)
     nobody = PeerShares(0, 0, 0)
-    assert bound.decide(0, 1_001, nobody, 0.0) == BacklogFull(1, None)
-    assert isinstance(bound.decide(0, 1_000, nobody, 0.0), WithinBacklogLimit)
+    assert bound.check(0, 1_001, nobody, 0.0) == BacklogFull(1, None)
+    assert isinstance(bound.check(0, 1_000, nobody, 0.0), WithinBacklogLimit)
 
 
 def test_caller_without_room_is_asked_back_when_there_is_some() -> None:
     bound = BacklogLimit(1_000, OVERSHOOT, 3)
     others = PeerShares(900, 900, 0)
-    assert bound.decide(0, 200, others, 100.0) == BacklogFull(100, 1_000.0)
-    assert bound.decide(0, 200, others, 1e6) == BacklogFull(100, 300.0)
-    assert bound.decide(0, 200, others, 0.1) == BacklogFull(100, 5_000.0)
+    assert bound.check(0, 200, others, 100.0) == BacklogFull(100, 1_000.0)
+    assert bound.check(0, 200, others, 1e6) == BacklogFull(100, 300.0)
+    assert bound.check(0, 200, others, 0.1) == BacklogFull(100, 5_000.0)
 
 
 def test_share_of_a_life_that_is_gone_is_not_counted_beside_its_claimed_jobs() -> None:
     shares = {'a': TokenShare(InstanceId('i'), 500, 400)}
-    counted = count_others(shares, 'b', lambda _life, _share: ShareValidity.GONE, [], ROUTE)
+    counted = sum_peer_shares(shares, 'b', lambda _life, _share: ShareValidity.DEAD, [], ROUTE)
     assert counted == PeerShares(0, 0, 0)
-    counted = count_others(shares, 'b', lambda _life, _share: ShareValidity.DOUBTFUL, [], ROUTE)
+    counted = sum_peer_shares(shares, 'b', lambda _life, _share: ShareValidity.UNCERTAIN, [], ROUTE)
     assert counted.held == 500
 
 
@@ -546,5 +546,7 @@
     # counts as a whole then; taken off the share, it would leave nothing for the other.
     shares = {'a': TokenShare(InstanceId('i'), 1_100, 1_100, finished=900)}
     head = msgspec.structs.replace(new_head(0), route=ROUTE, owner_life='a', tokens=1_000)
-    counted = count_others(shares, 'b', lambda _life, _share: ShareValidity.DOUBTFUL, [head], ROUTE)
+    counted = sum_peer_shares(
+        shares, 'b', lambda _life, _share: ShareValidity.UNCERTAIN, [head], ROUTE
+    )
     assert counted.held == 2_000
--- a/tests/test_batch/wave_world.py
+++ b/tests/test_batch/wave_world.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from citrondyke.decisions.batch.batch_demand import DemandNotice
-from citrondyke.decisions.batch.batch_preemption import BatchPreemption, RunningItem, urgency
-from citrondyke.decisions.batch.item_priority import ItemPriority, batch_demand_of, outlook
+from citrondyke.decisions.batch.batch_scheduler import BatchScheduler, RunningItem, urgency
+from citrondyke.decisions.batch.item_priority import ItemPriority, batch_demand_of, priority_of
 from citrondyke.decisions.batch.start_rate_limiter import StartRateLimiter
 from citrondyke.decisions.forwarding.load_notices import TOTALS_EVERY_MS, LoadNotices, ServerLoad
 from citrondyke.decisions.forwarding.server_registry import ServerRegistry
@@ -29,7 +29,7 @@
 LOOK_MS = 25.0
 COUNT_MS = 100.0
 #: A request stays on a server for so long; a run that goes on elsewhere reads its prompt again.
-STAY_MS = 700.0
+SERVICE_TIME_MS = 700.0
 AGAIN_MS = 30.0
 LONGEST_MS = 120_000.0
 
@@ -66,7 +66,7 @@
         self.book = ServerRegistry(context)
         self.book.on_choose(self.look)
         self.pace = StartRateLimiter(context, self.book.neighbours)
-        self.way = BatchPreemption(context, self.book, self.pace)
+        self.way = BatchScheduler(context, self.book, self.pace)
         self.notices = LoadNotices(context, self.book)
         self.inbox: list[tuple[InstanceId, Told]] = []
         self.waiting: list[Item] = []
@@ -81,7 +81,7 @@
             elif told and isinstance(told[0], ServerLoad):
                 self.notices.note(sender, told)
             else:
-                self.pace.needs.note_peer(sender, told)  # type: ignore[arg-type]
+                self.pace.demand.record_peer_demand(sender, told)  # type: ignore[arg-type]
         self.inbox.clear()
 
 
@@ -158,7 +158,7 @@
             instance = self.random.choice(self.instances)
             state = instance.book.choose(SERVICE, (), '')
             if state is not None and not instance.is_dead:
-                request = Item(self.random.expovariate(1 / STAY_MS))
+                request = Item(self.random.expovariate(1 / SERVICE_TIME_MS))
                 self._enter(instance, state.listed.id, request)
             self.after(self.random.expovariate(per_s(self.clock.ms) / 1e3), arrive)
 
@@ -195,31 +195,31 @@
         self._cut(each)
         now_ms = self.clock.ms
         if each.waiting:
-            each.way.watch(SERVICE)
+            each.way.observe_online_load(SERVICE)
         if int(now_ms / COUNT_MS) != int((now_ms - LOOK_MS) / COUNT_MS):
-            outlooks = [self._outlook(item) for item in each.waiting]
-            own = [batch_demand_of(SERVICE, outlooks, now_ms)] if outlooks else []
-            each.pace.needs.record_own_demand(own)
-            told = each.pace.needs.to_tell()
+            priorities = [self._priority(item) for item in each.waiting]
+            own = [batch_demand_of(SERVICE, priorities, now_ms)] if priorities else []
+            each.pace.demand.record_own_demand(own)
+            told = each.pace.demand.take_due_notices()
             if told is not None:
                 self._send(each, told, each.book.neighbours.near())
         self._start(each)
 
-    def _outlook(self, item: Item) -> ItemPriority:
-        spare_ms = item.due_ms - self.clock.ms - self._expected_ms(item)
+    def _priority(self, item: Item) -> ItemPriority:
+        slack_ms = item.due_ms - self.clock.ms - self._expected_ms(item)
         has_begun = item.cuts_count > 0
-        return outlook(spare_ms, self.item_ms * self.spread, has_begun=has_begun)
+        return priority_of(slack_ms, self.item_ms * self.spread, has_begun=has_begun)
 
     def _expected_ms(self, item: Item) -> float:
         """Expect what an item still takes: how long it is nobody knows before its end."""
         return max(1.0, self.item_ms - item.done_ms)
 
     def _start(self, each: Instance) -> None:
-        each.waiting.sort(key=lambda item: self._outlook(item).order)
+        each.waiting.sort(key=lambda item: self._priority(item).order)
         while each.waiting:
             item = each.waiting[0]
             urgency_now = urgency(item.due_ms, self.clock.ms, self._expected_ms(item))
-            state = each.way.choose(SERVICE, urgency_now)
+            state = each.way.choose_server(SERVICE, urgency_now)
             if state is None:
                 return
             each.waiting.pop(0)
@@ -232,11 +232,11 @@
             for item in each.running
             if item.server and (state := each.book.state(item.server)) is not None
         }
-        crowded = each.way.crowded(lives)
+        overloaded_servers = each.way.overloaded_servers(lives)
         items = [
             (item, life)
             for item in each.running
-            for life in sorted(crowded)
+            for life in sorted(overloaded_servers)
             if lives[life].listed.id == item.server
         ]
         running = []
@@ -245,7 +245,7 @@
             left_ms = self._expected_ms(item) - ran_ms
             stands = urgency(item.due_ms, self.clock.ms, left_ms)
             running.append(RunningItem(number, life, item.entered_ms, stands, left_ms, TARGET_MS))
-        for chosen in each.way.to_cut(running):
+        for chosen in each.way.items_to_preempt(running):
             item = items[chosen.number][0]
             item.cuts_count += 1
             self._stop(each, item)
--- a/tests/test_forwarding/test_forwarding_dark_server.py
+++ b/tests/test_forwarding/test_forwarding_dark_server.py
@@ -19,7 +19,7 @@
 
 SERVICE = ServiceName('s')
 DARK = ServerId('s-0')
-FIRST_EVENT_MS = 14.0
+INITIAL_EVENT_MS = 14.0
 INSTANCES = 13
 SERVERS = 6
 
@@ -34,18 +34,18 @@
         self.book.replace(listed_server(f's-{number}', SERVICE, 8) for number in range(SERVERS))
         self.patience = FailoverTimeouts()
         for state in self.book.states():
-            state.record_latency(FIRST_EVENT_MS)
+            state.record_latency(INITIAL_EVENT_MS)
 
     def serve(self, served_by: Route) -> float:
         """Serve one request; give the time until its first event."""
         course = SendHistory(served_by)
-        self.patience.note(served_by, FIRST_EVENT_MS)
+        self.patience.note(served_by, INITIAL_EVENT_MS)
         started_ms = self._clock.now_ms()
         while course.may_send:
             state = self.book.choose(SERVICE, course.avoid, '')
             assert state is not None
             if state.listed.id != DARK:
-                self._clock.ms += FIRST_EVENT_MS
+                self._clock.ms += INITIAL_EVENT_MS
                 state.note_success()
                 return self._clock.now_ms() - started_ms
             course.note(state.life, self._try_dark(served_by, state))
@@ -74,7 +74,7 @@
     for number in range(115):
         clock.ms = 1_000.0 + number * 43.0
         waits.append(random.choice(instances).serve(stream))
-    met_count = sum(wait > FIRST_EVENT_MS for wait in waits)
+    met_count = sum(wait > INITIAL_EVENT_MS for wait in waits)
     assert met_count > 0
     assert [wait for wait in waits if wait > stream.target_ms] == []
     if not keeps_connections:
--- a/tests/test_gateway/test_jobs/test_jobs_job_intake.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_intake.py
@@ -40,4 +40,4 @@
     for within_ms, is_held in ((None, False), (5_000.0, True)):
         facts = CallFacts(request_id=RequestId('job-1'), within_ms=within_ms)
         wait = instance.batch.intake._begin_wait(request, facts, route)
-        assert (wait.last_at_ms > wait.elsewhere_at_ms) is is_held
+        assert (wait.latest_answer_ms > wait.redirect_at_ms) is is_held
--- a/tests/test_gateway/test_peers/test_peers_membership.py
+++ b/tests/test_gateway/test_peers/test_peers_membership.py
@@ -38,7 +38,7 @@
         self.table.transact(PartTransaction('', puts=(put,)))
 
     def look(self) -> None:
-        self.live.record_heartbeat()
+        self.live.record_own_heartbeat()
         page = self.table.read(INSTANCES_TABLE, '')
         assert isinstance(page, Listing)
         self.membership.on_listing(list(page.rows), page.version)
--- a/tests/test_jobs/test_jobs_part_committer.py
+++ b/tests/test_jobs/test_jobs_part_committer.py
@@ -72,7 +72,7 @@
 
 
 def outcome(held: HeldSegment, position: int) -> None:
-    held.record(position, ItemOutcome(is_success=True, line=b'{}'))
+    held.record_outcome(position, ItemOutcome(is_success=True, line=b'{}'))
 
 
 def test_order_that_ended_during_a_commit_is_not_sent_by_the_next_holder() -> None:
@@ -104,17 +104,17 @@
     row = written_row(op)
     assert row.owner == 'owner'
     assert list(ItemSet.parse(row.started)) == [1]
-    assert not held.is_given_back
+    assert not held.is_unowned
     with pytest.raises(StopIteration) as end:
         steps.send(Committed(2))
     assert end.value.value is True
     # The next commit has all outcomes, and gives the segment back.
-    assert not held.is_given_back
+    assert not held.is_unowned
     again = OutcomeCommitter(manual_context(), lambda _: None).commit_part(held)
     op = until_transaction(again, next(again))
     with pytest.raises(StopIteration):
         again.send(Committed(3))
-    assert held.is_given_back
+    assert held.is_unowned
 
 
 def test_repeatable_item_that_ended_is_not_blamed_for_its_holders_death() -> None:
--- a/tests/test_soak/witness.py
+++ b/tests/test_soak/witness.py
@@ -98,7 +98,7 @@
         for body in self.deadly_bodies:
             self._judge_deadly(body, servers)
         for asked in self.asked:
-            self._judge_answer(asked, runs.get(asked.request_id, []))
+            self._apply_answer(asked, runs.get(asked.request_id, []))
         for job in self.jobs.values():
             self._judge_job(job, runs)
         return self.wrong
@@ -145,7 +145,7 @@
         if len(late) > SENDS_BEYOND:
             self.complain(f'{body!r} was sent {len(late)} times more; it ran {len(began_s)} times')
 
-    def _judge_answer(self, asked: Asked, runs: list[ServerRun]) -> None:
+    def _apply_answer(self, asked: Asked, runs: list[ServerRun]) -> None:
         reply, name = asked.reply, f'{asked.kind} {asked.request_id}'
         if asked.kind in ('order', 'stream-once') and len(runs) > 1:
             self.complain(f'{name} ran {len(runs)} times')
