--- a/benchmarks/admission_ways.py
+++ b/benchmarks/admission_ways.py
@@ -21,7 +21,7 @@
 )
 from benchmarks.kept_admission import KeptAdmission, KeptHalf
 from citrondyke.decisions.core.context import Context
-from citrondyke.decisions.forwarding.admission_rule import LONGEST_RETRY_MS, Rejected
+from citrondyke.decisions.forwarding.admission_rule import MAX_RETRY_MS, Rejected
 from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.ids import ServerId
 
@@ -59,7 +59,7 @@
         slots = sum(each.listed.slots_count for each in self.book.usable(SERVICE))
         gap_ms = STAY_MS / slots * self.book.neighbours.instances_count
         self._due_ms = max(self._due_ms, now_ms + answer.expected_wait_ms) + gap_ms
-        self._due_ms = min(self._due_ms, now_ms + LONGEST_RETRY_MS)
+        self._due_ms = min(self._due_ms, now_ms + MAX_RETRY_MS)
         return self._due_ms - now_ms
 
 
--- a/benchmarks/counted_limits.py
+++ b/benchmarks/counted_limits.py
@@ -8,7 +8,7 @@
 from citrondyke.decisions.accounts.fleet_rate_limiter import (
     FleetRateLimiter,
     LimitVerdict,
-    RequiredLookup,
+    QuotaQuery,
     VerdictKind,
 )
 from citrondyke.decisions.accounts.limit_messages import (
@@ -23,7 +23,7 @@
     from collections.abc import Callable
 
     from citrondyke.decisions.accounts.account import Account
-    from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
+    from citrondyke.decisions.accounts.overshoot_budget import OvershootBudget
     from citrondyke.decisions.core.context import Context
     from citrondyke.ids import InstanceId
 
@@ -47,7 +47,7 @@
         context: Context,
         members: Callable[[], tuple[InstanceId, ...]],
         find: Callable[[TenantId], Account | None],
-        tolerance: LimitOvershootBudget,
+        tolerance: OvershootBudget,
     ) -> None:
         """Start with empty buckets."""
         self._context = context
@@ -60,7 +60,7 @@
 
     def next_step(
         self, account: Account, need: UseNeed, tried: set[InstanceId]
-    ) -> LimitVerdict | RequiredLookup:
+    ) -> LimitVerdict | QuotaQuery:
         """Decide about one request."""
         del need, tried
         if not account.has_limit:
--- a/benchmarks/kept_admission.py
+++ b/benchmarks/kept_admission.py
@@ -6,7 +6,7 @@
 
 from benchmarks.gateway_policies import AIM_MS, SERVICE, STAY_MS, Ours
 from citrondyke.decisions.forwarding.admission_rule import (
-    LONGEST_RETRY_MS,
+    MAX_RETRY_MS,
     WAIT_SHARE,
     Rejected,
 )
@@ -55,7 +55,7 @@
         else:
             wait_ms = answer.expected_wait_ms - WAIT_SHARE * AIM_MS
         due_ms = self._places.next_due_ms(now_ms + wait_ms + kept_ms, gap_ms)
-        if due_ms <= now_ms + LONGEST_RETRY_MS:
+        if due_ms <= now_ms + MAX_RETRY_MS:
             self._places.keep(key, due_ms)
         return due_ms - now_ms
 
--- a/citrondyke/decisions/accounts/account.py
+++ b/citrondyke/decisions/accounts/account.py
@@ -8,7 +8,7 @@
 
 from citrondyke.ids import TenantId
 
-__all__ = ('ANYBODY', 'Account', 'NoAccount', 'NoAccountReason')
+__all__ = ('ANONYMOUS_ACCOUNT', 'Account', 'NoAccount', 'NoAccountReason')
 
 
 class Account(msgspec.Struct, frozen=True, kw_only=True):
@@ -39,7 +39,7 @@
 
 
 #: Stands for all callers where the configuration has no accounts, and on public routes.
-ANYBODY = Account(id=TenantId(''))
+ANONYMOUS_ACCOUNT = Account(id=TenantId(''))
 
 
 class NoAccountReason(Enum):
--- a/citrondyke/decisions/accounts/prepaid_accounts.py
+++ b/citrondyke/decisions/accounts/advance_grant_records.py
@@ -6,7 +6,7 @@
 
 from citrondyke.ids import TenantId
 
-__all__ = ('PrepaidAccountRow', 'PrepaidAccounts', 'PrepaidStoreCall')
+__all__ = ('AdvanceGrantRecords', 'AdvanceGrantRow', 'AdvanceGrantStoreCall')
 
 #: A call that brought nothing is repeated after this: the store is out of reach for seconds.
 RETRY_MS = 200.0
@@ -14,7 +14,7 @@
 STAY_MS = 5_000.0
 
 
-class PrepaidAccountRow(msgspec.Struct, frozen=True):
+class AdvanceGrantRow(msgspec.Struct, frozen=True):
     """A slot's row as it stands."""
 
     accounts: frozenset[TenantId]
@@ -23,7 +23,7 @@
     is_written: bool = False
 
 
-class PrepaidStoreCall(msgspec.Struct, frozen=True):
+class AdvanceGrantStoreCall(msgspec.Struct, frozen=True):
     """What the store is to be asked."""
 
     slot: int
@@ -34,7 +34,7 @@
     version: int = 0
 
 
-class PrepaidAccounts:
+class AdvanceGrantRecords:
     """The marks of one slot in one lease.
 
     After a loss of all instances nothing is known of what was let through ahead of time but the
@@ -45,7 +45,7 @@
         """Know nothing yet."""
         self._slot = slot
         self._era = era
-        self._row: PrepaidAccountRow | None = None
+        self._row: AdvanceGrantRow | None = None
         #: Accounts that ask for a mark, and until when each keeps it.
         self._wanted_until_ms: dict[TenantId, float] = {}
         self._retry_at_ms = float('-inf')
@@ -68,13 +68,13 @@
         """Ask for a mark, or keep it for longer."""
         self._wanted_until_ms[account] = now_ms + STAY_MS
 
-    def next_call(self, now_ms: float) -> PrepaidStoreCall | None:
+    def next_call(self, now_ms: float) -> AdvanceGrantStoreCall | None:
         """Give what the store is to be asked now; one call at a time."""
         if self._is_calling or now_ms < self._retry_at_ms:
             return None
         if self._row is None:
             self._is_calling = True
-            return PrepaidStoreCall(self._slot, self._era)
+            return AdvanceGrantStoreCall(self._slot, self._era)
         ended = [each for each, at in self._wanted_until_ms.items() if at < now_ms]
         for account in ended:
             # From here on the account can't have anything ahead of time, whatever the store does.
@@ -83,13 +83,13 @@
         if wanted == self._row.accounts and (self._row.is_written or not wanted):
             return None
         self._is_calling = True
-        return PrepaidStoreCall(self._slot, self._era, wanted, self._row.version)
+        return AdvanceGrantStoreCall(self._slot, self._era, wanted, self._row.version)
 
-    def is_call_of(self, call: PrepaidStoreCall) -> bool:
+    def is_call_of(self, call: AdvanceGrantStoreCall) -> bool:
         """Tell whether a call was made in this lease."""
         return call.era == self._era
 
-    def note_row(self, row: PrepaidAccountRow | None, now_ms: float) -> None:
+    def note_row(self, row: AdvanceGrantRow | None, now_ms: float) -> None:
         """Take in the row as it stands; ``None`` where the store did not say."""
         self._is_calling = False
         if row is None:
--- a/citrondyke/decisions/accounts/fair_share_rejection.py
+++ b/citrondyke/decisions/accounts/fair_share_policy.py
@@ -20,7 +20,7 @@
 #: An account that asks for more than this many times the mean of all steps back.
 HEAVY_USER_FACTOR = 2.0
 #: Fewer requests than these make nobody heavy: they are chance.
-HEAVY_USER_MINIMUM = 4
+HEAVY_USER_MIN_REQUESTS = 4
 #: After a more urgent request was turned away, less urgent ones step back for so long.
 SHORT_MS = 1_000.0
 #: Part of those that are to step back and do not, so that nobody is turned away for good.
@@ -36,7 +36,7 @@
     asked: deque[_Asked]
     counts: Counter[TenantId]
     #: When a request of each priority was last turned away.
-    turned_away_ms: dict[int, float]
+    rejected_ms: dict[int, float]
 
 
 class Turns:
@@ -66,7 +66,7 @@
 
     def record_rejected(self, service: ServiceName, priority: int) -> None:
         """Take in that a request of a priority got no place."""
-        self._of(service).turned_away_ms[priority] = self._context.now_ms()
+        self._of(service).rejected_ms[priority] = self._context.now_ms()
 
     def must_yield(self, service: ServiceName, account: TenantId, priority: int) -> bool:
         """Tell whether a request leaves the places that are left to others."""
@@ -78,7 +78,7 @@
     @staticmethod
     def _is_heavy(recent: _Recent, account: TenantId) -> bool:
         own = recent.counts[account]
-        if not account or own < HEAVY_USER_MINIMUM or len(recent.counts) < 2:  # noqa: PLR2004
+        if not account or own < HEAVY_USER_MIN_REQUESTS or len(recent.counts) < 2:  # noqa: PLR2004
             return False
         others_mean = (len(recent.asked) - own) / (len(recent.counts) - 1)
         return own > HEAVY_USER_FACTOR * others_mean
@@ -86,7 +86,7 @@
     def _is_less_urgent(self, recent: _Recent, priority: int) -> bool:
         from_ms = self._context.now_ms() - SHORT_MS
         return any(
-            urgent < priority and at_ms > from_ms for urgent, at_ms in recent.turned_away_ms.items()
+            urgent < priority and at_ms > from_ms for urgent, at_ms in recent.rejected_ms.items()
         )
 
     def _of(self, service: ServiceName) -> _Recent:
--- a/citrondyke/decisions/accounts/fallback_allowance.py
+++ b/citrondyke/decisions/accounts/fallback_allowance.py
@@ -8,7 +8,7 @@
 
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
-    from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
+    from citrondyke.decisions.accounts.overshoot_budget import OvershootBudget
     from citrondyke.ids import TenantId
 
 __all__ = ('FallbackAllowance',)
@@ -17,7 +17,7 @@
 class FallbackAllowance:
     """A small part of what may pass a limit, for the time in which a slot has no steward."""
 
-    def __init__(self, tolerance: LimitOvershootBudget, began_ms: float) -> None:
+    def __init__(self, tolerance: OvershootBudget, began_ms: float) -> None:
         """Begin with a life."""
         self._tolerance = tolerance
         self._began_ms = began_ms
--- a/citrondyke/decisions/accounts/fleet_rate_limiter.py
+++ b/citrondyke/decisions/accounts/fleet_rate_limiter.py
@@ -12,15 +12,18 @@
 
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
+    from citrondyke.decisions.accounts.advance_grant_records import (
+        AdvanceGrantRow,
+        AdvanceGrantStoreCall,
+    )
     from citrondyke.decisions.accounts.limit_messages import (
         Addressed,
         LimitMessage,
         UseAnswered,
         UseNeed,
     )
-    from citrondyke.decisions.accounts.prepaid_accounts import PrepaidAccountRow, PrepaidStoreCall
 
-__all__ = ('FleetRateLimiter', 'LimitVerdict', 'RequiredLookup', 'VerdictKind')
+__all__ = ('FleetRateLimiter', 'LimitVerdict', 'QuotaQuery', 'VerdictKind')
 
 
 class VerdictKind(Enum):
@@ -46,7 +49,7 @@
     is_kept: bool = False
 
 
-class RequiredLookup(msgspec.Struct, frozen=True):
+class QuotaQuery(msgspec.Struct, frozen=True):
     """What has to be asked first."""
 
     receiver: InstanceId
@@ -65,7 +68,7 @@
     @abstractmethod
     def next_step(
         self, account: Account, need: UseNeed, tried: set[InstanceId]
-    ) -> LimitVerdict | RequiredLookup:
+    ) -> LimitVerdict | QuotaQuery:
         """Decide about one request, or tell who must be asked.
 
         :param need: what the request needs of the limit.
@@ -94,12 +97,12 @@
         """Give what is to be sent after a step beside the question."""
         return []
 
-    def prepaid_calls(self) -> list[PrepaidStoreCall]:
+    def advance_grant_calls(self) -> list[AdvanceGrantStoreCall]:
         """Give what the store is to be asked now."""
         return []
 
-    def record_prepaid(
-        self, call: PrepaidStoreCall, row: PrepaidAccountRow | None
+    def apply_advance_grant_row(
+        self, call: AdvanceGrantStoreCall, row: AdvanceGrantRow | None
     ) -> list[Addressed]:
         """Take in what the store answered, ``None`` where it did not, and give what to send."""
         del call, row
--- a/citrondyke/decisions/accounts/local_rejection_cache.py
+++ b/citrondyke/decisions/accounts/local_rejection_cache.py
@@ -16,13 +16,13 @@
 __all__ = ('Refusals',)
 
 #: Longest time for which an instance refuses an account's requests without asking.
-LONGEST_PAUSE_MS = 500.0
+MAX_PAUSE_MS = 500.0
 #: Questions a second for each use that becomes free: fewer would leave uses unasked for.
 REQUESTS_PER_GRANT = 2.0
 #: Instances that were refused within this time are expected to ask again.
 REQUEST_WINDOW_MS = 1_000.0
 #: Work told with the next question; a pause is short.
-LOCAL_REJECTIONS_LIMIT = 50
+REPORTED_REJECTIONS_LIMIT = 50
 
 
 class _Pause(msgspec.Struct, frozen=True):
@@ -41,7 +41,7 @@
     def __init__(self, context: Context) -> None:
         """Start without a refusal."""
         self._context = context
-        self._askers: dict[TenantId, dict[InstanceId, float]] = {}
+        self._rejected_instances_ms: dict[TenantId, dict[InstanceId, float]] = {}
         self._pauses: dict[TenantId, _Pause] = {}
         #: Work refused without asking since the steward was last asked.
         self._alone: dict[TenantId, deque[int]] = {}
@@ -52,12 +52,12 @@
         :param uses_per_s: how many uses become free in a second.
         """
         now_ms = self._context.now_ms()
-        askers = self._askers.get(account.id, {})
+        askers = self._rejected_instances_ms.get(account.id, {})
         askers = {each: at for each, at in askers.items() if at > now_ms - REQUEST_WINDOW_MS}
         askers[asker] = now_ms
-        self._askers[account.id] = askers
+        self._rejected_instances_ms[account.id] = askers
         pause_ms = len(askers) / (REQUESTS_PER_GRANT * uses_per_s) * 1e3
-        return min(LONGEST_PAUSE_MS, pause_ms)
+        return min(MAX_PAUSE_MS, pause_ms)
 
     def pause(self, account: TenantId, answer: UseAnswered) -> None:
         """Refuse an account's requests without asking for a while."""
@@ -77,10 +77,10 @@
             return None
         if work in pause.expected:
             return None
-        self._alone.setdefault(account, deque(maxlen=LOCAL_REJECTIONS_LIMIT)).append(work)
+        self._alone.setdefault(account, deque(maxlen=REPORTED_REJECTIONS_LIMIT)).append(work)
         left_ms = max(pause.retry_until_ms, pause.until_ms) - now_ms
         return self._context.jittered_ms(left_ms, 0.25)
 
-    def take_rejected_locally(self, account: TenantId) -> tuple[int, ...]:
+    def pop_locally_rejected(self, account: TenantId) -> tuple[int, ...]:
         """Give what was refused without asking, to be told with the next question."""
         return tuple(self._alone.pop(account, ()))
--- a/citrondyke/decisions/accounts/level_floors.py
+++ b/citrondyke/decisions/accounts/quota_floors.py
@@ -10,7 +10,7 @@
     from citrondyke.decisions.accounts.account import Account
     from citrondyke.ids import InstanceId, TenantId
 
-__all__ = ('FLOOR_SHARE', 'LevelFloors', 'default_floor')
+__all__ = ('FLOOR_SHARE', 'QuotaFloors', 'default_floor')
 
 #: Part of its depth below which an account is told of by name: one within its limit stays above.
 FLOOR_SHARE = 0.5
@@ -28,7 +28,7 @@
     return min(spare, account.rate_per_s * filled_ms / 1e3 - spare)
 
 
-class LevelFloors:
+class QuotaFloors:
     """The floors of one lease, on the side of its holder.
 
     A floor is lowered as soon as one keeper has acknowledged it, and raised as soon as that is
@@ -115,7 +115,7 @@
             self._era, self._number, self._keepers, self.filled_ms(now_ms), dict(self._told)
         )
 
-    def note_acknowledged(self, keeper: InstanceId, era: int, number: int) -> None:
+    def record_acknowledged(self, keeper: InstanceId, era: int, number: int) -> None:
         """Take in that a keeper knows floors up to a number."""
         if era != self._era:
             return
--- a/citrondyke/decisions/accounts/slot_lease.py
+++ b/citrondyke/decisions/accounts/slot_lease.py
@@ -72,10 +72,10 @@
         self._context = context
         self._slots = slots
         self._slot = slot
-        self._promised_to = InstanceId('')
-        self._promised_until_ms = began_ms + VOTE_HOLD_MS
+        self._voted_for = InstanceId('')
+        self._vote_until_ms = began_ms + VOTE_HOLD_MS
         #: Since when nobody else has had this keeper's word.
-        self._free_since_ms = began_ms
+        self._no_other_vote_since_ms = began_ms
         self._began_ms = began_ms
         #: When each keeper last asked for the lease, and when it last said anything.
         self._asked_ms: dict[InstanceId, float] = {}
@@ -89,8 +89,8 @@
         #: lease is taken over it is another one.
         self.held_since_ms = float('-inf')
         #: What is certainly known of the lease before this one.
-        self.copy_before: SlotCopy | None = None
-        self._heard_copy: _ReceivedCopy | None = None
+        self.previous_copy: SlotCopy | None = None
+        self._received_copy: _ReceivedCopy | None = None
 
     @property
     def is_held(self) -> bool:
@@ -102,42 +102,42 @@
         """Give when the lease ends if it is not renewed."""
         return self._held_until_ms
 
-    def other_keepers(self) -> list[InstanceId]:
+    def other_replicas(self) -> list[InstanceId]:
         """List who keeps the slot beside this instance."""
-        return [each for each in self._evaluate_keepers() if each != self._context.instance_id]
+        return [each for each in self._current_replicas() if each != self._context.instance_id]
 
-    def keepers_name(self) -> int:
+    def replica_set_id(self) -> int:
         """Name the set of keepers; all of one set give it the same name."""
-        return content_bucket('\n'.join(sorted(self._evaluate_keepers())).encode()) & 0xFFFF_FFFF
+        return content_bucket('\n'.join(sorted(self._current_replicas())).encode()) & 0xFFFF_FFFF
 
-    def note_own_copy(self, copy: SlotCopy) -> None:
+    def record_own_copy(self, copy: SlotCopy) -> None:
         """Take in what this instance, as the holder, knows of its lease."""
         now_ms = self._now_ms()
-        self._heard_copy = _ReceivedCopy(copy, self._context.instance_id, now_ms, now_ms)
+        self._received_copy = _ReceivedCopy(copy, self._context.instance_id, now_ms, now_ms)
 
-    def take_copy(self, sender: InstanceId, copy: SlotCopy) -> bool:
+    def merge_copy(self, sender: InstanceId, copy: SlotCopy) -> bool:
         """Take in a holder's floors; tell whether this keeper will hand them on."""
-        if self._promised_to != sender or self.is_held:
+        if self._voted_for != sender or self.is_held:
             return False
-        known = self._heard_copy
+        known = self._received_copy
         now_ms = self._now_ms()
         if known is None or known.copy.era != copy.era or known.copy.number <= copy.number:
-            self._heard_copy = _ReceivedCopy(copy, sender, now_ms, now_ms)
+            self._received_copy = _ReceivedCopy(copy, sender, now_ms, now_ms)
         return True
 
     def tick(self) -> list[Addressed]:
         """Ask for the lease where it is this instance's turn."""
-        keepers = self._evaluate_keepers()
+        keepers = self._current_replicas()
         own_id = self._context.instance_id
-        if own_id not in keepers or not self._is_candidate_turn(keepers.index(own_id), keepers):
+        if own_id not in keepers or not self._may_request(keepers.index(own_id), keepers):
             return []
         now_ms = self._now_ms()
         if not self._vote(own_id):
             # The life before may have given its word. Others that know who is about to ask do not
             # ask themselves meanwhile, which would split the words of the keepers.
-            is_new = not self._promised_to
+            is_new = not self._voted_for
             early = LeaseAsked(self._slot, 0, is_early=True)
-            return [Addressed(each, early) for each in self.other_keepers() if is_new]
+            return [Addressed(each, early) for each in self.other_replicas() if is_new]
         if len(keepers) == 1:
             self._hold(_Ask(now_ms), keepers)
             return []
@@ -148,29 +148,29 @@
         asked = LeaseAsked(self._slot, self._next_number, self.is_held)
         return [Addressed(keeper, asked) for keeper in keepers if keeper != own_id]
 
-    def take_asked(self, sender: InstanceId, asked: LeaseAsked) -> list[Addressed]:
+    def on_lease_request(self, sender: InstanceId, asked: LeaseAsked) -> list[Addressed]:
         """Answer as a witness."""
-        keepers = self._evaluate_keepers()
+        keepers = self._current_replicas()
         if asked.is_early:
             self._heard_ms[sender] = self._now_ms()
             if not self.is_held:
                 self._asked_ms[sender] = self._now_ms()
             return []
         self._asked_ms[sender] = self._heard_ms[sender] = self._now_ms()
-        if self._heard_copy is not None and self._heard_copy.holder == sender:
-            self._heard_copy.heard_ms = self._now_ms()
+        if self._received_copy is not None and self._received_copy.holder == sender:
+            self._received_copy.heard_ms = self._now_ms()
         is_known = sender in keepers and self._context.instance_id in keepers
         is_granted = is_known and not self.is_held and self._vote(sender)
-        free_ms = self._now_ms() - self._free_since_ms
-        copy = self._copy_now() if is_granted and not asked.is_renewal else None
+        free_ms = self._now_ms() - self._no_other_vote_since_ms
+        copy = self._current_copy() if is_granted and not asked.is_renewal else None
         answer = LeaseAnswered(self._slot, asked.number, is_granted, free_ms, copy)
         return [Addressed(sender, answer)]
 
-    def take_answered(self, sender: InstanceId, answered: LeaseAnswered) -> None:
+    def on_lease_reply(self, sender: InstanceId, answered: LeaseAnswered) -> None:
         """Take a witness's word in."""
         self._heard_ms[sender] = self._now_ms()
         ask = self._asks.get(answered.number)
-        keepers = self._evaluate_keepers()
+        keepers = self._current_replicas()
         if ask is None or sender not in keepers:
             return
         if answered.is_granted:
@@ -193,14 +193,14 @@
             now_ms > self._heard_ms.get(keeper, self._began_ms) + VOTE_HOLD_MS for keeper in missing
         )
 
-    def _evaluate_keepers(self) -> list[InstanceId]:
+    def _current_replicas(self) -> list[InstanceId]:
         keepers = self._slots.keepers(self._slot)
         if keepers is not self._keepers and keepers != self._keepers:
             self._keepers_since_ms = self._now_ms()
         self._keepers = keepers
         return keepers
 
-    def _is_candidate_turn(self, rank: int, keepers: list[InstanceId]) -> bool:
+    def _may_request(self, rank: int, keepers: list[InstanceId]) -> bool:
         """Tell whether all keepers before this one are silent; the holder gives way to them."""
         now_ms = self._now_ms()
         return all(
@@ -210,27 +210,29 @@
 
     def _vote(self, candidate: InstanceId) -> bool:
         now_ms = self._now_ms()
-        if self._promised_to != candidate and now_ms < self._promised_until_ms:
+        if self._voted_for != candidate and now_ms < self._vote_until_ms:
             return False
-        if self._promised_to != candidate:
-            if self._promised_to:
-                self._free_since_ms = max(self._free_since_ms, self._promised_until_ms)
-            if self._heard_copy is not None and self._heard_copy.holder != self._promised_to:
+        if self._voted_for != candidate:
+            if self._voted_for:
+                self._no_other_vote_since_ms = max(
+                    self._no_other_vote_since_ms, self._vote_until_ms
+                )
+            if self._received_copy is not None and self._received_copy.holder != self._voted_for:
                 # Whoever had the word since may have had the lease too.
-                self._heard_copy = None
-        self._promised_to = candidate
-        self._promised_until_ms = now_ms + VOTE_HOLD_MS
+                self._received_copy = None
+        self._voted_for = candidate
+        self._vote_until_ms = now_ms + VOTE_HOLD_MS
         return True
 
     def _hold(self, ask: _Ask, keepers: list[InstanceId]) -> None:
         if not self.is_held:
-            self.held_since_ms = self._no_holder_since_ms(ask, keepers)
-            self.copy_before = self._agreed_copy(ask)
+            self.held_since_ms = self._unheld_since_ms(ask, keepers)
+            self.previous_copy = self._agreed_copy(ask)
         self._held_until_ms = max(self._held_until_ms, ask.asked_ms + LEASE_MS)
 
-    def _copy_now(self) -> SlotCopy | None:
+    def _current_copy(self) -> SlotCopy | None:
         """Give what this keeper knows of the last lease; ``None`` where it may not be the last."""
-        known = self._heard_copy
+        known = self._received_copy
         now_ms = self._now_ms()
         if known is None:
             return None
@@ -248,14 +250,14 @@
         One that knows another lease, or none, may have missed the last one or be the only one
         that has not.
         """
-        copies = [self._copy_now(), *ask.copies.values()]
-        name = self.keepers_name()
+        copies = [self._current_copy(), *ask.copies.values()]
+        name = self.replica_set_id()
         known = [each for each in copies if each is not None and each.keepers == name]
         if len(known) < len(copies) or len({each.era for each in known}) != 1:
             return None
         return max(known, key=lambda each: each.number)
 
-    def _no_holder_since_ms(self, ask: _Ask, keepers: list[InstanceId]) -> float:
+    def _unheld_since_ms(self, ask: _Ask, keepers: list[InstanceId]) -> float:
         """Give since when nobody has held the lease, by the words of all keepers.
 
         After a loss of all instances that is since the last of them began: what an account may
@@ -265,7 +267,8 @@
         if self._missing(ask, keepers):
             return now_ms
         return min(
-            now_ms, max(self._free_since_ms, self._held_until_ms, *ask.granted.values(), 0.0)
+            now_ms,
+            max(self._no_other_vote_since_ms, self._held_until_ms, *ask.granted.values(), 0.0),
         )
 
     def _missing(self, ask: _Ask, keepers: list[InstanceId]) -> set[InstanceId]:
--- a/citrondyke/decisions/accounts/slot_steward.py
+++ b/citrondyke/decisions/accounts/slot_steward.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from citrondyke.decisions.accounts.account_quota_grants import ADVANCE_RATE, AccountQuotaGrants
+from citrondyke.decisions.accounts.account_quota import ADVANCE_RATE_FACTOR, AccountQuota
+from citrondyke.decisions.accounts.advance_grant_records import AdvanceGrantRecords
 from citrondyke.decisions.accounts.bucket import TokenBucket
-from citrondyke.decisions.accounts.level_floors import FLOOR_SHARE, LevelFloors, default_floor
 from citrondyke.decisions.accounts.limit_messages import (
     Addressed,
     FloorsTold,
@@ -16,20 +16,23 @@
     UseNeed,
     UseOutcome,
 )
-from citrondyke.decisions.accounts.limit_overshoot_budget import AHEAD_GRANT_MS
-from citrondyke.decisions.accounts.prepaid_accounts import PrepaidAccounts
-from citrondyke.decisions.accounts.window_count import StewardCount
+from citrondyke.decisions.accounts.overshoot_budget import ADVANCE_GRANT_MS
+from citrondyke.decisions.accounts.quota_floors import FLOOR_SHARE, QuotaFloors, default_floor
+from citrondyke.decisions.accounts.steward_count import StewardCount
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from citrondyke.decisions.accounts.account import Account
-    from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
+    from citrondyke.decisions.accounts.advance_grant_records import (
+        AdvanceGrantRow,
+        AdvanceGrantStoreCall,
+    )
     from citrondyke.decisions.accounts.local_rejection_cache import Refusals
-    from citrondyke.decisions.accounts.prepaid_accounts import PrepaidAccountRow, PrepaidStoreCall
+    from citrondyke.decisions.accounts.overshoot_budget import OvershootBudget
     from citrondyke.decisions.accounts.slot_lease import SlotLease
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.reservations.kept_places import PlaceCounts
+    from citrondyke.decisions.reservations.kept_places import ReservationCounts
     from citrondyke.ids import InstanceId, TenantId
 
 __all__ = ('SlotSteward',)
@@ -44,15 +47,15 @@
 #: Places are told with so much of that to spare: the way to the caller and back.
 ROUND_TRIP_SLACK_MS = 50.0
 #: What callers are told at the most; beyond seconds it is no use to them.
-LONGEST_RETRY_MS = 5_000.0
+MAX_RETRY_MS = 5_000.0
 #: Until the store has said which accounts had uses ahead of time; later it is taken for silent.
-PREPAID_READ_TIMEOUT_MS = 80.0
+ADVANCE_GRANT_READ_TIMEOUT_MS = 80.0
 #: Until keepers have acknowledged that an account may fall further.
 FLOOR_ACK_TIMEOUT_MS = 50.0
 #: Below this part of its depth an account is expected to use all of it up.
 DEMAND_SHARE = 0.25
 #: Places told to an instance with a refusal, so that it lets their callers ask.
-EXPECTED_LIMIT = 100
+EXPECTED_WORKS_LIMIT = 100
 
 
 class _Free(msgspec.Struct, frozen=True):
@@ -72,7 +75,7 @@
     def __init__(
         self,
         context: Context,
-        tolerance: LimitOvershootBudget,
+        tolerance: OvershootBudget,
         lease: SlotLease,
         slot: int,
         refusals: Refusals,
@@ -90,28 +93,28 @@
         self._refusals = refusals
         #: Since when nobody else has counted, which names the lease here.
         self.since_ms = lease.held_since_ms
-        self._before = lease.copy_before
+        self._before = lease.previous_copy
         #: Whether the marks of the lease before are known, and who had one.
-        self._is_unmarked = False
+        self._are_prior_grants_known = False
         self._marked: frozenset[TenantId] = frozenset()
-        self._uses: dict[TenantId, AccountQuotaGrants] = {}
+        self._uses: dict[TenantId, AccountQuota] = {}
         era = context.random.getrandbits(32)
-        filled_ms = -AHEAD_GRANT_MS
+        filled_ms = -ADVANCE_GRANT_MS
         if self._before is not None:
             # The copy is as of now; the lease may have begun to count before.
             # From here on keepers are told of floors below the levels that it gives.
             self.since_ms, filled_ms = self._now_ms(), min(0.0, self._before.filled_ms)
         self.held_since_ms = lease.held_since_ms
         self._began_ms = self._now_ms()
-        self._floors = LevelFloors(era, lease.keepers_name(), filled_ms, self.since_ms)
-        self._marks = PrepaidAccounts(slot, era)
+        self._floors = QuotaFloors(era, lease.replica_set_id(), filled_ms, self.since_ms)
+        self._marks = AdvanceGrantRecords(slot, era)
         self._told_number = -1
         if self._before is not None:
             for account_id, floor in self._before.floors.items():
                 account = find(account_id)
                 spare = 0.0 if account is None else FLOOR_SHARE * self._depth(account)
                 self._floors.begin_at(account_id, floor - spare)
-        lease.note_own_copy(self._floors.copy(self._now_ms()))
+        lease.record_own_copy(self._floors.copy(self._now_ms()))
 
     def answer(
         self,
@@ -130,7 +133,7 @@
         uses.places.lapse(now_ms)
         uses.turned_away.note(refused, now_ms)
         place_ms = uses.places.find(need.work)
-        if place_ms is None and uses.turned_away.is_rejected_again(need.work, now_ms):
+        if place_ms is None and uses.turned_away.should_reject_retry(need.work, now_ms):
             uses.record_refused(now_ms)
             return self._refuse(asker, number, account, need, now_ms)
         free = self._free(account, uses, now_ms, is_place=place_ms is not None)
@@ -149,10 +152,12 @@
         uses.record_refused(now_ms)
         if (
             self._before is None
-            and not self._is_unmarked
-            and now_ms < self._began_ms + PREPAID_READ_TIMEOUT_MS
+            and not self._are_prior_grants_known
+            and now_ms < self._began_ms + ADVANCE_GRANT_READ_TIMEOUT_MS
         ):
-            return self._refused(number, now_ms + PREPAID_READ_TIMEOUT_MS, now_ms, is_kept=False)
+            return self._refused(
+                number, now_ms + ADVANCE_GRANT_READ_TIMEOUT_MS, now_ms, is_kept=False
+            )
         if place_ms is not None:
             return self._refused(number, max(start_ms, place_ms), now_ms, is_kept=True)
         return self._grant_reservation(asker, number, account, need, start_ms)
@@ -166,14 +171,14 @@
         uses.places.lapse(now_ms)
         counts = uses.places.counts
         return StewardCount(
-            uses.uses_count(now_ms),
+            uses.window_uses_count(now_ms),
             uses.refused_count(now_ms),
             len(uses.places),
             counts.taken,
             counts.lapsed,
         )
 
-    def place_counts(self) -> list[PlaceCounts]:
+    def reservation_counts(self) -> list[ReservationCounts]:
         """Give what became of places, by account."""
         now_ms = self._now_ms()
         for uses in self._uses.values():
@@ -190,18 +195,18 @@
         """Tell the floors to each keeper that has not acknowledged them."""
         self._told_number = self._floors.number
         copy = self._floors.copy(self._now_ms())
-        self._lease.note_own_copy(copy)
+        self._lease.record_own_copy(copy)
         return [
             Addressed(keeper, FloorsTold(self._slot, copy))
-            for keeper in self._lease.other_keepers()
+            for keeper in self._lease.other_replicas()
             if not self._floors.is_told(keeper)
         ]
 
-    def note_acknowledged(self, keeper: InstanceId, era: int, number: int) -> None:
+    def record_acknowledged(self, keeper: InstanceId, era: int, number: int) -> None:
         """Take in that a keeper knows the floors."""
-        self._floors.note_acknowledged(keeper, era, number)
+        self._floors.record_acknowledged(keeper, era, number)
 
-    def next_call(self) -> PrepaidStoreCall | None:
+    def next_call(self) -> AdvanceGrantStoreCall | None:
         """Give what the store is to be asked."""
         now_ms = self._now_ms()
         for account_id in self._marks.accounts:
@@ -210,17 +215,17 @@
                 self._marks.want(account_id, now_ms)
         return self._marks.next_call(now_ms)
 
-    def note_row(self, call: PrepaidStoreCall, row: PrepaidAccountRow | None) -> None:
+    def note_row(self, call: AdvanceGrantStoreCall, row: AdvanceGrantRow | None) -> None:
         """Take in what the store answered."""
         if not self._marks.is_call_of(call):
             return
-        is_first = row is not None and not self._is_unmarked and self._before is None
+        is_first = row is not None and not self._are_prior_grants_known and self._before is None
         self._marks.note_row(row, self._now_ms())
         if not is_first or row is None:
             return
         # Read after everybody else's lease had ended: who has no mark had nothing ahead of time.
-        self._is_unmarked = True
-        self._floors.add_filled_ms(AHEAD_GRANT_MS)
+        self._are_prior_grants_known = True
+        self._floors.add_filled_ms(ADVANCE_GRANT_MS)
         self._marked = row.accounts
         for account, uses in self._uses.items():
             if account not in row.accounts:
@@ -232,20 +237,20 @@
                 self._floors.lower(account, -_advance(found))
 
     def _free(
-        self, account: Account, uses: AccountQuotaGrants, now_ms: float, *, is_place: bool
+        self, account: Account, uses: AccountQuota, now_ms: float, *, is_place: bool
     ) -> _Free:
         may_advance = self._marks.has(account.id)
         at_ms = uses.free_at_ms(account, now_ms, may_advance=may_advance, is_place=is_place)
-        lowest = self._floors.lowest(account, uses.highest_depth, now_ms)
+        lowest = self._floors.lowest(account, uses.max_depth, now_ms)
         if uses.level(account, now_ms) - 1.0 < lowest:
             return _Free(max(at_ms, now_ms + FLOOR_ACK_TIMEOUT_MS), False)
         return _Free(at_ms, True)
 
-    def _adjust_floor(self, account: Account, uses: AccountQuotaGrants, now_ms: float) -> None:
+    def _adjust_floor(self, account: Account, uses: AccountQuota, now_ms: float) -> None:
         level = uses.level(account, now_ms)
-        if level < DEMAND_SHARE * uses.highest_depth and uses.has_full_window(now_ms):
+        if level < DEMAND_SHARE * uses.max_depth and uses.has_counted_full_window(now_ms):
             self._marks.want(account.id, now_ms)
-        self._floors.look(account, uses.highest_depth, level, now_ms)
+        self._floors.look(account, uses.max_depth, level, now_ms)
 
     def _grant_reservation(
         self, asker: InstanceId, number: int, account: Account, need: UseNeed, start_ms: float
@@ -253,7 +258,7 @@
         now_ms = self._now_ms()
         uses = self._of(account)
         places = uses.places
-        earliest_ms = max(start_ms, uses.paused_until_ms)
+        earliest_ms = max(start_ms, uses.local_rejection_until_ms)
         due_ms = places.next_due_ms(earliest_ms, 1e3 / (RESERVED_SHARE * account.rate_per_s))
         is_reached = due_ms - now_ms <= need.left_ms * MAX_WAIT_SHARE - ROUND_TRIP_SLACK_MS
         if need.work and is_reached and places.keep(need.work, due_ms):
@@ -268,12 +273,14 @@
         """Refuse a request for which nothing is kept, and spare the asker the next questions."""
         now_ms = self._now_ms()
         uses = self._of(account)
-        uses_per_s = account.rate_per_s * (ADVANCE_RATE if self._marks.has(account.id) else 1.0)
+        uses_per_s = account.rate_per_s * (
+            ADVANCE_RATE_FACTOR if self._marks.has(account.id) else 1.0
+        )
         pause_ms = self._refusals.pause_ms(account, asker, uses_per_s)
-        expected = uses.places.keys_reserved_before(now_ms + pause_ms + EARLY_TOLERANCE_MS)
-        if len(expected) > EXPECTED_LIMIT:
+        expected = uses.places.keys_due_by(now_ms + pause_ms + EARLY_TOLERANCE_MS)
+        if len(expected) > EXPECTED_WORKS_LIMIT:
             pause_ms, expected = 0.0, []
-        uses.paused_until_ms = max(uses.paused_until_ms, now_ms + pause_ms)
+        uses.local_rejection_until_ms = max(uses.local_rejection_until_ms, now_ms + pause_ms)
         # Nothing is kept, so the time that is told lies past the caller's deadline.
         at_ms = max(due_ms, now_ms + need.left_ms)
         refused = self._refused(number, at_ms, now_ms, is_kept=False)
@@ -281,23 +288,23 @@
 
     @staticmethod
     def _refused(number: int, at_ms: float, now_ms: float, *, is_kept: bool) -> UseAnswered:
-        retry_in_ms = min(LONGEST_RETRY_MS, at_ms - now_ms)
+        retry_in_ms = min(MAX_RETRY_MS, at_ms - now_ms)
         return UseAnswered(
             number, UseOutcome.REFUSED, retry_in_ms, is_steward=True, is_kept=is_kept
         )
 
-    def _of(self, account: Account) -> AccountQuotaGrants:
+    def _of(self, account: Account) -> AccountQuota:
         uses = self._uses.get(account.id)
         if uses is None:
-            bucket = TokenBucket(self.since_ms, self._first_level(account))
-            uses = AccountQuotaGrants(self._tolerance, bucket, self.since_ms)
+            bucket = TokenBucket(self.since_ms, self._initial_remaining(account))
+            uses = AccountQuota(self._tolerance, bucket, self.since_ms)
             uses.level(account, self._now_ms())
             self._uses[account.id] = uses
         return uses
 
-    def _first_level(self, account: Account) -> float:
+    def _initial_remaining(self, account: Account) -> float:
         if self._before is None:
-            is_free = self._is_unmarked and account.id not in self._marked
+            is_free = self._are_prior_grants_known and account.id not in self._marked
             return 0.0 if is_free else -_advance(account)
         depth = self._depth(account)
         usual = default_floor(account, depth, self._before.filled_ms)
@@ -311,4 +318,4 @@
 
 
 def _advance(account: Account) -> float:
-    return account.rate_per_s * AHEAD_GRANT_MS / 1e3
+    return account.rate_per_s * ADVANCE_GRANT_MS / 1e3
--- a/citrondyke/decisions/accounts/slots.py
+++ b/citrondyke/decisions/accounts/slots.py
@@ -17,7 +17,7 @@
 #: Accounts share leases by slot, so that their number costs no messages.
 SLOTS_COUNT = 16
 #: Instances that may keep a slot: with one of them gone the other two agree on the next.
-KEEPERS_COUNT = 3
+REPLICAS_COUNT = 3
 
 
 def slot_of(account: TenantId) -> int:
@@ -46,7 +46,7 @@
         found = self._keepers.get(slot)
         if found is None:
             found = nlargest(
-                KEEPERS_COUNT, members, key=lambda each: rendezvous_weight(each, f'limit {slot}')
+                REPLICAS_COUNT, members, key=lambda each: rendezvous_weight(each, f'limit {slot}')
             )
             self._keepers[slot] = found
         return found
--- a/citrondyke/decisions/accounts/steward_rate_limiter.py
+++ b/citrondyke/decisions/accounts/steward_rate_limiter.py
@@ -8,7 +8,7 @@
 from citrondyke.decisions.accounts.fleet_rate_limiter import (
     FleetRateLimiter,
     LimitVerdict,
-    RequiredLookup,
+    QuotaQuery,
     VerdictKind,
 )
 from citrondyke.decisions.accounts.limit_messages import (
@@ -27,15 +27,18 @@
 from citrondyke.decisions.accounts.slot_lease import SlotLease
 from citrondyke.decisions.accounts.slot_steward import SlotSteward
 from citrondyke.decisions.accounts.slots import SLOTS_COUNT, Slots, slot_of
-from citrondyke.decisions.reservations.kept_places import PlaceCounts
+from citrondyke.decisions.reservations.kept_places import ReservationCounts
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from citrondyke.decisions.accounts.account import Account
-    from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
-    from citrondyke.decisions.accounts.prepaid_accounts import PrepaidAccountRow, PrepaidStoreCall
-    from citrondyke.decisions.accounts.window_count import StewardCount
+    from citrondyke.decisions.accounts.advance_grant_records import (
+        AdvanceGrantRow,
+        AdvanceGrantStoreCall,
+    )
+    from citrondyke.decisions.accounts.overshoot_budget import OvershootBudget
+    from citrondyke.decisions.accounts.steward_count import StewardCount
     from citrondyke.decisions.core.context import Context
     from citrondyke.ids import InstanceId, TenantId
 
@@ -64,7 +67,7 @@
         context: Context,
         members: Callable[[], tuple[InstanceId, ...]],
         find: Callable[[TenantId], Account | None],
-        tolerance: LimitOvershootBudget,
+        tolerance: OvershootBudget,
         began_ms: float | None = None,
     ) -> None:
         """Start without a lease.
@@ -82,8 +85,8 @@
         self._leases = [
             SlotLease(context, self._slots, slot, self._began_ms) for slot in range(SLOTS_COUNT)
         ]
-        self._stewards_of_slots: dict[int, SlotSteward] = {}
-        self._stand_ins = FallbackAllowance(tolerance, self._began_ms)
+        self._slot_stewards: dict[int, SlotSteward] = {}
+        self._fallback = FallbackAllowance(tolerance, self._began_ms)
         self._refusals = Refusals(context)
         self._silent_until_ms: dict[InstanceId, float] = {}
         self._stewards: dict[int, InstanceId] = {}
@@ -92,7 +95,7 @@
 
     def next_step(
         self, account: Account, need: UseNeed, tried: set[InstanceId]
-    ) -> LimitVerdict | RequiredLookup:
+    ) -> LimitVerdict | QuotaQuery:
         """Decide about one request, or tell who must be asked."""
         if not account.has_limit:
             return LimitVerdict(VerdictKind.WITHIN)
@@ -105,17 +108,17 @@
                 continue
             if keeper != own_id:
                 self._numbers += 1
-                refused = self._refusals.take_rejected_locally(account.id)
+                refused = self._refusals.pop_locally_rejected(account.id)
                 asked = UseAsked(self._numbers, account.id, need, refused)
-                return RequiredLookup(keeper, asked, self._numbers)
+                return QuotaQuery(keeper, asked, self._numbers)
             answer = self._answer(own_id, account, UseAsked(0, account.id, need))
             verdict = self.note_answer(account, own_id, answer)
             self._outbox += self._to_tell(slot_of(account.id))
             if verdict is not None:
                 return verdict
-        return LimitVerdict(VerdictKind.UNKNOWN, self._unknown_retry_ms())
+        return LimitVerdict(VerdictKind.UNKNOWN, self._retry_without_steward_ms())
 
-    def _unknown_retry_ms(self) -> float:
+    def _retry_without_steward_ms(self) -> float:
         """Give when somebody may say again; after a loss of all nobody may before all promises end.
 
         Callers come back once: asked back sooner they would be refused for good.
@@ -124,7 +127,7 @@
         return self._context.jittered_ms(max(UNKNOWN_RETRY_MS, START_MS - age_ms), 0.25)
 
     @property
-    def is_starting(self) -> bool:
+    def is_newly_started(self) -> bool:
         """Tell whether this life is young, so that leases are to be asked for often."""
         return self._context.clock.fence_ms() - self._began_ms < STARTING_MS
 
@@ -159,19 +162,19 @@
                 answer = self._answer(sender, account, message)
             return [Addressed(sender, answer), *self._to_tell(slot_of(message.account))]
         if isinstance(message, LeaseAsked):
-            return self._leases[message.slot % SLOTS_COUNT].take_asked(sender, message)
+            return self._leases[message.slot % SLOTS_COUNT].on_lease_request(sender, message)
         slot = message.slot % SLOTS_COUNT if isinstance(message, SLOT_MESSAGES) else 0
         if isinstance(message, LeaseAnswered):
-            self._leases[slot].take_answered(sender, message)
+            self._leases[slot].on_lease_reply(sender, message)
             self._steward_of(slot)
             return self._to_tell(slot)
-        if isinstance(message, FloorsTold) and self._leases[slot].take_copy(sender, message.copy):
+        if isinstance(message, FloorsTold) and self._leases[slot].merge_copy(sender, message.copy):
             told = FloorsAcknowledged(slot, message.copy.era, message.copy.number)
             return [Addressed(sender, told)]
         if isinstance(message, FloorsAcknowledged):
             steward = self._steward_of(slot)
             if steward is not None:
-                steward.note_acknowledged(sender, message.era, message.number)
+                steward.record_acknowledged(sender, message.era, message.number)
         return []
 
     def tick(self) -> list[Addressed]:
@@ -188,14 +191,14 @@
         sent, self._outbox = self._outbox, []
         return sent
 
-    def prepaid_calls(self) -> list[PrepaidStoreCall]:
+    def advance_grant_calls(self) -> list[AdvanceGrantStoreCall]:
         """Give what the store is to be asked now."""
-        held = [self._steward_of(slot) for slot in self._stewards_of_slots]
+        held = [self._steward_of(slot) for slot in self._slot_stewards]
         calls = [steward.next_call() for steward in held if steward is not None]
         return [call for call in calls if call is not None]
 
-    def record_prepaid(
-        self, call: PrepaidStoreCall, row: PrepaidAccountRow | None
+    def apply_advance_grant_row(
+        self, call: AdvanceGrantStoreCall, row: AdvanceGrantRow | None
     ) -> list[Addressed]:
         """Take in what the store answered, and give what to send."""
         steward = self._steward_of(call.slot)
@@ -217,11 +220,11 @@
         steward = self._steward_of(slot_of(account))
         return None if steward is None else steward.count(account)
 
-    def place_counts(self) -> PlaceCounts:
+    def reservation_counts(self) -> ReservationCounts:
         """Give what became of places in the leases that this instance holds."""
-        held = [self._steward_of(slot) for slot in list(self._stewards_of_slots)]
-        counts = [each for steward in held if steward for each in steward.place_counts()]
-        return PlaceCounts(
+        held = [self._steward_of(slot) for slot in list(self._slot_stewards)]
+        counts = [each for steward in held if steward for each in steward.reservation_counts()]
+        return ReservationCounts(
             sum(each.kept for each in counts),
             sum(each.taken for each in counts),
             sum(each.lapsed for each in counts),
@@ -248,7 +251,7 @@
         if steward is not None:
             return steward.answer(asker, number, account, asked.need, asked.refused)
         keepers = self._slots.keepers(slot)
-        is_taken = self._context.instance_id in keepers and self._stand_ins.take(
+        is_taken = self._context.instance_id in keepers and self._fallback.take(
             account, self._context.clock.fence_ms()
         )
         return UseAnswered(number, UseOutcome.GRANTED if is_taken else UseOutcome.NOT_STEWARD)
@@ -258,9 +261,9 @@
         lease = self._leases[slot]
         if not lease.is_held:
             return None
-        found = self._stewards_of_slots.get(slot)
+        found = self._slot_stewards.get(slot)
         if found is None or found.held_since_ms != lease.held_since_ms:
-            found = self._stewards_of_slots[slot] = SlotSteward(
+            found = self._slot_stewards[slot] = SlotSteward(
                 self._context, self._tolerance, lease, slot, self._refusals, self._find
             )
         return found
--- a/citrondyke/decisions/accounts/use_window_counter.py
+++ b/citrondyke/decisions/accounts/use_window_counter.py
@@ -6,7 +6,7 @@
 
 __all__ = ('UseWindowCounter',)
 
-CELL_MS = 50.0
+BUCKET_MS = 50.0
 
 
 class UseWindowCounter:
@@ -23,7 +23,7 @@
 
     def note(self, at_ms: float) -> None:
         """Count one more."""
-        index = int(at_ms // CELL_MS)
+        index = int(at_ms // BUCKET_MS)
         if not self._cells or self._cells[-1][0] < index:
             self._cells.append([index, 0])
         self._cells[-1][1] += 1
@@ -36,15 +36,15 @@
             self._count -= self._cells.popleft()[1]
         return self._count
 
-    def room_at_ms(self, now_ms: float, allowed: float, more: int) -> float:
+    def fits_at_ms(self, now_ms: float, allowed: float, more: int) -> float:
         """Give when so many more fit below what is allowed."""
         over = self.count(now_ms) + more - allowed
         for index, count in self._cells:
             if over <= 0:
                 break
             over -= count
-            now_ms = max(now_ms, (index + 1) * CELL_MS + self._span_ms)
+            now_ms = max(now_ms, (index + 1) * BUCKET_MS + self._span_ms)
         return now_ms if over <= 0 else float('inf')
 
     def _first_index(self, now_ms: float) -> int:
-        return int((now_ms - self._span_ms) // CELL_MS)
+        return int((now_ms - self._span_ms) // BUCKET_MS)
--- a/citrondyke/decisions/batch/backlog_limit.py
+++ b/citrondyke/decisions/batch/backlog_limit.py
@@ -29,7 +29,7 @@
 #: Part of the tolerated overshoot that all instances together may hold unused, so that an
 #: acceptance far from the bound needs no further call of the store. The rest is for what they
 #: have finished or taken over and not yet written.
-SPARE_PART = 0.5
+BUCKET_DEPTH_SHARE = 0.5
 #: Part of the overshoot that is never given out: jobs that change hands are counted late.
 MARGIN_PART = 0.1
 #: From this part of the bound on, what leaves the count is written soon: a job that fits by the
@@ -163,7 +163,7 @@
         """
         self._limit = limit
         self._ceiling = limit * (1.0 + overshoot * (1.0 - MARGIN_PART))
-        self._spare = int(limit * overshoot * SPARE_PART / max(1, instances_count))
+        self._spare = int(limit * overshoot * BUCKET_DEPTH_SHARE / max(1, instances_count))
 
     def is_headroom_sufficient(self, held: int, used: int) -> bool:
         """Tell whether what an instance holds beyond its use is about what it may hold so."""
--- a/citrondyke/decisions/core/commit.py
+++ b/citrondyke/decisions/core/commit.py
@@ -31,7 +31,7 @@
 )
 
 FIRST_PAUSE_MS = 50.0
-LONGEST_PAUSE_MS = 1000.0
+MAX_PAUSE_MS = 1000.0
 
 
 class CommitUncertainReason(Enum):
@@ -112,7 +112,7 @@
         if resume_ms >= until_ms:
             return CommitUncertain(reason)
         yield from sleep_until(resume_ms)
-        pause_ms = min(pause_ms * 2, LONGEST_PAUSE_MS)
+        pause_ms = min(pause_ms * 2, MAX_PAUSE_MS)
 
 
 def _own_write(conflict: Conflict, wanted: Transaction) -> Committed | None:
--- a/citrondyke/decisions/forwarding/admission_rule.py
+++ b/citrondyke/decisions/forwarding/admission_rule.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from citrondyke.decisions.accounts.account import ANYBODY
-from citrondyke.decisions.accounts.fair_share_rejection import Turns
+from citrondyke.decisions.accounts.account import ANONYMOUS_ACCOUNT
+from citrondyke.decisions.accounts.fair_share_policy import Turns
 
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
@@ -30,7 +30,7 @@
 SERVICE_TIME_SMOOTHING = 0.1
 SHORTEST_RETRY_MS = 60.0
 #: Callers wait no longer than a third of the time they have, which is 1.6 s of 5 s.
-LONGEST_RETRY_MS = 1_600.0
+MAX_RETRY_MS = 1_600.0
 #: Requests that were turned away within this time are expected back; it is the longest that they
 #: are asked to stay away.
 EXPECTED_RETURN_MS = 1_600.0
@@ -77,7 +77,7 @@
         route: Route,
         state: ServerState,
         left_ms: float,
-        account: Account = ANYBODY,
+        account: Account = ANONYMOUS_ACCOUNT,
     ) -> Admitted | Rejected:
         """Decide for the best server.
 
@@ -113,6 +113,6 @@
         own_pace_per_ms = max(1, slots) / stay_ms / max(1, self._book.neighbours.instances_count)
         back_ms = len(recent) / own_pace_per_ms
         recent.append(now_ms)
-        retry_ms = min(LONGEST_RETRY_MS, max(SHORTEST_RETRY_MS, late_ms + back_ms))
+        retry_ms = min(MAX_RETRY_MS, max(SHORTEST_RETRY_MS, late_ms + back_ms))
         # Spread, so that those who were turned away together do not come back together.
         return retry_ms * (0.75 + 0.5 * self._context.random.random())
--- a/citrondyke/decisions/forwarding/replicated_rows.py
+++ b/citrondyke/decisions/forwarding/replicated_rows.py
@@ -16,7 +16,7 @@
 
 #: Deletions, and lives, that are remembered; reads lag by seconds, and no fleet replaces so many
 #: servers then.
-REMEMBERED_LIMIT = 2_000
+REMEMBERED_WORKS_LIMIT = 2_000
 
 
 class ObservedRow(msgspec.Struct, Generic[Value], frozen=True):
@@ -194,5 +194,5 @@
 
 
 def _bound(remembered: dict[str, int]) -> None:
-    if len(remembered) > REMEMBERED_LIMIT:
+    if len(remembered) > REMEMBERED_WORKS_LIMIT:
         remembered.pop(min(remembered, key=remembered.__getitem__))
--- a/citrondyke/decisions/forwarding/route_table.py
+++ b/citrondyke/decisions/forwarding/route_table.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from citrondyke.decisions.accounts.account import (
-    ANYBODY,
+    ANONYMOUS_ACCOUNT,
     Account,
     NoAccount,
     NoAccountReason,
@@ -95,12 +95,12 @@
             # of accounts do not exist.
             return NoAccount(NoAccountReason.NO_CONFIGURATION)
         if self.accounts is None:
-            return ANYBODY
+            return ANONYMOUS_ACCOUNT
         account = self._keys.find(key_digest) if key_digest else None
         if account is not None:
             return account
         if is_public:
-            return ANYBODY
+            return ANONYMOUS_ACCOUNT
         unknown = NoAccountReason.UNKNOWN_KEY if key_digest else NoAccountReason.NO_KEY
         return NoAccount(unknown)
 
--- a/citrondyke/decisions/memory/byte_budget.py
+++ b/citrondyke/decisions/memory/byte_budget.py
@@ -51,7 +51,7 @@
         """
         of_kind = self._held[held.kind]
         is_oldest = not of_kind or next(iter(of_kind)) is held
-        if not is_oldest and not self._has_room(held.kind, size_bytes):
+        if not is_oldest and not self._fits(held.kind, size_bytes):
             return False
         of_kind[held] = of_kind.get(held, 0) + size_bytes
         return True
@@ -60,7 +60,7 @@
         """Forget a body."""
         self._held[held.kind].pop(held, None)
 
-    def _has_room(self, kind: HeldKind, size_bytes: int) -> bool:
+    def _fits(self, kind: HeldKind, size_bytes: int) -> bool:
         of_kind = self.bytes_of(kind) + size_bytes
         of_all = sum(self.bytes_of(each) for each in HeldKind) + size_bytes
         return of_kind <= self._limit_bytes * KIND_SHARE and of_all <= self._limit_bytes
--- a/citrondyke/decisions/online/admission.py
+++ b/citrondyke/decisions/online/admission.py
@@ -29,7 +29,7 @@
 #: The pace at which places become free is averaged over about so long.
 PACE_WINDOW_MS = 1000.0
 SHORTEST_RETRY_MS = 100.0
-LONGEST_RETRY_MS = 30_000.0
+MAX_RETRY_MS = 30_000.0
 
 
 class Place(msgspec.Struct, frozen=True):
@@ -93,7 +93,7 @@
         if servers is None or not any(view.accepts_work for view in servers.views):
             return Refusal(RefusalReason.NO_SERVER, SHORTEST_RETRY_MS * 10)
         door = self._doors.setdefault(target, _TargetQueue())
-        if self._has_room(door, servers, tenant_id):
+        if self._fits(door, servers, tenant_id):
             return self._admit(door, target, tenant_id)
         return self._queue(door, tenant_id, target_ms, deadline_ms)
 
@@ -120,7 +120,7 @@
         if servers is None:
             return
         for tenant_id in list(door.waiting):
-            if not self._has_room(door, servers, tenant_id):
+            if not self._fits(door, servers, tenant_id):
                 continue
             waiter = self._pop(door, tenant_id)
             waiter.outcome.fire(self._admit(door, target, tenant_id))
@@ -160,7 +160,7 @@
             comfortable += max(0, view.comfort_limit - others)
         return within, comfortable
 
-    def _has_room(self, door: _TargetQueue, servers: TargetServers, tenant_id: TenantId) -> bool:
+    def _fits(self, door: _TargetQueue, servers: TargetServers, tenant_id: TenantId) -> bool:
         """Tell whether a tenant's next request may go to a server.
 
         A short burst may fill the servers up to what their targets bear. Where requests have to
@@ -232,7 +232,7 @@
         if door.leave_pace_per_ms <= 0.0:
             return SHORTEST_RETRY_MS * 10
         backlog_ms = (door.waiting_count + 1) / door.leave_pace_per_ms
-        retry_ms = min(LONGEST_RETRY_MS, max(SHORTEST_RETRY_MS, backlog_ms))
+        retry_ms = min(MAX_RETRY_MS, max(SHORTEST_RETRY_MS, backlog_ms))
         # Spread, so that those who were turned away together do not come back together.
         return retry_ms * (1 + self._context.random.random())
 
--- a/citrondyke/decisions/reservations/kept_places.py
+++ b/citrondyke/decisions/reservations/kept_places.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-__all__ = ('RESERVATION_HOLD_MS', 'KeptPlaces', 'PlaceCounts')
+__all__ = ('RESERVATION_HOLD_MS', 'KeptPlaces', 'ReservationCounts')
 
 #: A place is kept for so long after its time: a caller needs a new connection and the way to an
 #: instance, and timers fire late on a machine that is busy.
 RESERVATION_HOLD_MS = 400.0
 #: Places kept in one line; beyond it nobody is told a time.
-KEPT_LIMIT = 2_000
+RESERVATIONS_LIMIT = 2_000
 
 
-class PlaceCounts(msgspec.Struct):
+class ReservationCounts(msgspec.Struct):
     """What became of places since the line began."""
 
     kept: int = 0
@@ -39,7 +39,7 @@
         self._keys: list[int] = []
         self._by_key: dict[int, deque[float]] = {}
         self._last_due_ms = float('-inf')
-        self.counts = PlaceCounts()
+        self.counts = ReservationCounts()
 
     def __len__(self) -> int:
         """Count the places that are kept."""
@@ -51,7 +51,7 @@
 
     def keep(self, key: int, due_ms: float) -> bool:
         """Keep a place at the end of the line; tell whether there was room for it."""
-        if len(self._due_ms) >= KEPT_LIMIT:
+        if len(self._due_ms) >= RESERVATIONS_LIMIT:
             return False
         # Times of one line only grow, so that places by key and by time have one order.
         due_ms = max(due_ms, self._last_due_ms)
@@ -82,7 +82,7 @@
         """Count the places whose time has come by a moment."""
         return bisect_right(self._due_ms, at_ms)
 
-    def keys_reserved_before(self, at_ms: float) -> list[int]:
+    def keys_due_by(self, at_ms: float) -> list[int]:
         """List the keys that are expected by a moment."""
         return self._keys[: bisect_right(self._due_ms, at_ms)]
 
--- a/citrondyke/decisions/servers/server_outcome_history.py
+++ b/citrondyke/decisions/servers/server_outcome_history.py
@@ -20,7 +20,7 @@
 #: A server that failed is out for so long before the first trial, twice as long for each time
 #: that it went out lately: one that goes up and down by turns must not fail somebody each time.
 FIRST_PAUSE_MS = 500.0
-LONGEST_PAUSE_MS = 4_000.0
+MAX_PAUSE_MS = 4_000.0
 #: ... and one that does not answer for so long, then for the longest time: each trial costs its
 #: caller the time until it is sent elsewhere, not the few ms of an error.
 UNANSWERED_PAUSE_MS = 1_000.0
@@ -137,10 +137,10 @@
     def pause_ms(self, now_ms: float) -> float:
         """Give the time after the last failure before a trial may be sent."""
         if self._is_silent:
-            return min(LONGEST_PAUSE_MS, UNANSWERED_PAUSE_MS * 4.0**self._failed_trials)
+            return min(MAX_PAUSE_MS, UNANSWERED_PAUSE_MS * 4.0**self._failed_trials)
         self.outs_ms = [out_ms for out_ms in self.outs_ms if out_ms > now_ms - EJECTION_HISTORY_MS]
         doublings = max(0, len(self.outs_ms) - 1)
-        return float(min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2.0**doublings))
+        return float(min(MAX_PAUSE_MS, FIRST_PAUSE_MS * 2.0**doublings))
 
     def _is_news(self, now_ms: float) -> bool:
         """Tell whether peers should hear of a success now."""
--- a/citrondyke/decisions/sharing/engine_share.py
+++ b/citrondyke/decisions/sharing/engine_share.py
@@ -21,7 +21,7 @@
 #: Until the first bad limit the next one tried is so many times the last.
 START_GROWTH = 1.5
 #: Pace below this part of the best one means that the knee is behind.
-PACE_LOSS = 0.98
+MIN_THROUGHPUT_RATIO = 0.98
 #: A step counts as unharmed up to so many times the engine's fastest, whatever the target: where
 #: the target is out of reach anyway, keeping batch work off would win nobody anything.
 ACCEPTABLE_SLOWDOWN = 1.03
@@ -31,22 +31,22 @@
 TARGET_MARGIN = 0.9
 #: Where requests are turned away anyway, they are let in up to so many times the best number of
 #: streams: beyond it the engine makes no more tokens, only later ones.
-COMFORT_SLACK = 1.05
+SATURATION_SLACK = 1.05
 #: Batch requests that may start in the time of one step. Each start is a prefill, which makes
 #: the step longer for everyone on the engine; those of a whole batch at once show as a stall.
 STARTS_PER_STEP = 0.5
 STARTS_BURST = 1.0
 #: Shorter waits for a start are not worth a timer.
-SHORTEST_WAIT_MS = 0.5
+MIN_WAIT_MS = 0.5
 ROUNDING = 1e-6
 #: Filling stays below cutting by so many times the square root of the online requests, which is
 #: how far their number strays by chance. Without the gap every request that comes cuts a stream
 #: and every one that goes resumes it, each time with its prompt to compute again.
 DEADBAND = 1.0
 #: Step assumed before one was seen.
-FIRST_STEP_MS = 10.0
+INITIAL_STEP_MS = 10.0
 #: Gaps longer than this are stalls, not steps.
-LONGEST_STEP_MS = 5000.0
+MAX_STEP_MS = 5000.0
 
 
 def engine_share(token_gap_target_ms: float, max_running: int, online_limit: int) -> EngineShare:
@@ -93,7 +93,7 @@
         if super().room(now_ms) == 0:
             return float('inf')
         wait_ms = (1.0 - self._starts) * self._ms_per_start()
-        return now_ms + max(SHORTEST_WAIT_MS, wait_ms)
+        return now_ms + max(MIN_WAIT_MS, wait_ms)
 
     def on_batch_start(self, request_id: RequestId, now_ms: float) -> None:
         """Count a batch request that goes to the server."""
@@ -132,11 +132,11 @@
     def comfort_limit(self) -> int:
         """Give up to how many requests each one more makes the engine do more work."""
         allowed_ms = self._allowed_ms()
-        best, best_pace = self.curve.best(allowed_ms)
-        bad = self.curve.first_bad(best, allowed_ms, PACE_LOSS * best_pace)
+        best, best_throughput = self.curve.best(allowed_ms)
+        bad = self.curve.first_bad(best, allowed_ms, MIN_THROUGHPUT_RATIO * best_throughput)
         if not best or bad is None:
             return min(self._first_online_limit, self._max_running)
-        return min(max(int(best * COMFORT_SLACK), FIRST_LIMIT), self._max_running)
+        return min(max(int(best * SATURATION_SLACK), FIRST_LIMIT), self._max_running)
 
     def on_frame(self, request_id: RequestId, now_ms: float) -> None:
         """Learn a step from the gap between two tokens of one stream."""
@@ -151,7 +151,7 @@
         is_steady = streams == self._probe_streams
         self._probe_at_ms = now_ms
         self._probe_streams = streams
-        if not is_steady or not 0 < gap_ms < LONGEST_STEP_MS:
+        if not is_steady or not 0 < gap_ms < MAX_STEP_MS:
             return
         self.curve.observe(streams, gap_ms)
         self._adapt(streams, now_ms)
@@ -162,7 +162,7 @@
         Without these nothing would be learned where online work alone fills the engine, which
         is when its limit matters most.
         """
-        if 0 < step_ms < LONGEST_STEP_MS:
+        if 0 < step_ms < MAX_STEP_MS:
             self.curve.observe(self.running_count, step_ms)
 
     def on_call_end(self, took_ms: float) -> None:
@@ -179,7 +179,7 @@
         return int(DEADBAND * math.sqrt(self.online_count) + 0.5)
 
     def _ms_per_start(self) -> float:
-        return (self.curve.fastest_ms() or FIRST_STEP_MS) / STARTS_PER_STEP
+        return (self.curve.fastest_ms() or INITIAL_STEP_MS) / STARTS_PER_STEP
 
     def _refill_starts(self, now_ms: float) -> None:
         gained = (now_ms - self._starts_at_ms) / self._ms_per_start()
@@ -198,11 +198,11 @@
             return
         self._steps_at_limit = 0
         allowed_ms = self._allowed_ms()
-        best, best_pace = self.curve.best(allowed_ms)
+        best, best_throughput = self.curve.best(allowed_ms)
         if best == 0:
             self._limit = max(1, self._limit // 2)
             return
-        bad = self.curve.first_bad(best, allowed_ms, PACE_LOSS * best_pace)
+        bad = self.curve.first_bad(best, allowed_ms, MIN_THROUGHPUT_RATIO * best_throughput)
         self._limit = self._next_limit(best, bad, now_ms)
 
     def _next_limit(self, best: int, bad: int | None, now_ms: float) -> int:
--- a/citrondyke/decisions/sharing/server_share.py
+++ b/citrondyke/decisions/sharing/server_share.py
@@ -14,10 +14,10 @@
 __all__ = ('ServerShare',)
 
 #: An entry instance that says nothing for so long has nothing there any more.
-NOTICE_LIFE_MS = 100_000.0
+NOTICE_EXPIRY_MS = 100_000.0
 #: Reports are compared with the most that was known to run within this time before.
 REPORT_WINDOW_MS = 1000.0
-FOREIGN_SMOOTHING = 0.2
+EXTERNAL_LOAD_SMOOTHING = 0.2
 
 
 class ServerShare(ABC):
@@ -64,10 +64,10 @@
     def expire_notices(self, now_ms: float) -> None:
         """Drop what an instance said that has gone silent."""
         for instance_id, (_, heard_ms) in list(self._online.items()):
-            if now_ms - heard_ms > NOTICE_LIFE_MS:
+            if now_ms - heard_ms > NOTICE_EXPIRY_MS:
                 self._forget(instance_id)
 
-    def keep_notices_of(self, live: set[InstanceId]) -> None:
+    def retain_notices_of(self, live: set[InstanceId]) -> None:
         """Drop what instances said that are believed dead.
 
         An instance that died with requests in flight never says that they ended; without this
@@ -97,7 +97,7 @@
         """
         self._note_known(now_ms)
         surplus = max(0, load.running + load.waiting - self._most_known)
-        self._foreign += FOREIGN_SMOOTHING * (surplus - self._foreign)
+        self._foreign += EXTERNAL_LOAD_SMOOTHING * (surplus - self._foreign)
         if now_ms - self._most_known_at_ms > REPORT_WINDOW_MS:
             self._most_known = 0
 
--- a/citrondyke/decisions/sharing/service_share.py
+++ b/citrondyke/decisions/sharing/service_share.py
@@ -12,11 +12,11 @@
 __all__ = ('ServiceShare', 'service_share')
 
 FIRST_LIMIT = 4.0
-LONGEST_LIMIT = 64.0
+MAX_LIMIT = 64.0
 #: A call that takes so many times the fastest seen means that calls wait for each other.
 SLOW_RATIO = 2.0
 #: The fastest time is let rise by this factor a call, so that an old one is forgotten.
-FASTEST_DRIFT = 1.001
+MIN_TIME_DRIFT = 1.001
 SLOW_SLACK_MS = 2.0
 
 
@@ -44,15 +44,15 @@
 
     def online_limit(self) -> int:
         """Give how many online calls the service bears."""
-        return int(LONGEST_LIMIT)
+        return int(MAX_LIMIT)
 
     def on_frame(self, request_id: RequestId, now_ms: float) -> None:
         """Learn nothing: a plain service has no tokens."""
 
     def on_call_end(self, took_ms: float) -> None:
         """Learn from how long a call took."""
-        self._fastest_ms = min(self._fastest_ms * FASTEST_DRIFT, took_ms)
+        self._fastest_ms = min(self._fastest_ms * MIN_TIME_DRIFT, took_ms)
         if took_ms > self._fastest_ms * SLOW_RATIO + SLOW_SLACK_MS:
             self._limit = max(1.0, self._limit / 2)
             return
-        self._limit = min(LONGEST_LIMIT, self._limit + 1.0 / self._limit)
+        self._limit = min(MAX_LIMIT, self._limit + 1.0 / self._limit)
--- a/citrondyke/decisions/sharing/step_time_model.py
+++ b/citrondyke/decisions/sharing/step_time_model.py
@@ -7,9 +7,9 @@
 __all__ = ('StepTimeModel',)
 
 #: Samples kept for each number of streams.
-SAMPLES_KEPT = 40
+SAMPLES_LIMIT = 40
 #: Samples from which their estimate is trusted.
-SAMPLES_TRUSTED = 6
+MIN_SAMPLES = 6
 #: The estimate has this part of the samples below it. Steps that also prefill are longer, and
 #: are no sign of too many streams; a low quantile leaves them out as long as some steps prefill
 #: nothing.
@@ -38,11 +38,11 @@
         """Take in one step."""
         kept = self._samples.get(streams)
         if kept is None:
-            kept = self._samples[streams] = deque(maxlen=SAMPLES_KEPT)
+            kept = self._samples[streams] = deque(maxlen=SAMPLES_LIMIT)
         kept.append(step_ms)
         self._count += 1
         self._last_seen[streams] = self._count
-        if len(kept) >= SAMPLES_TRUSTED:
+        if len(kept) >= MIN_SAMPLES:
             estimate = sorted(kept)[int(len(kept) * QUANTILE)]
             if estimate != self._estimates.get(streams):
                 self._estimates[streams] = estimate
@@ -72,14 +72,14 @@
 
         :param allowed_ms: longest step that counts.
         """
-        best_streams, best_pace = 0, 0.0
+        best_streams, best_throughput = 0, 0.0
         for streams, step_ms in self.known():
             if step_ms > allowed_ms:
                 break
             pace = streams / step_ms
-            if pace > best_pace:
-                best_streams, best_pace = streams, pace
-        return best_streams, best_pace
+            if pace > best_throughput:
+                best_streams, best_throughput = streams, pace
+        return best_streams, best_throughput
 
     def widest(self, allowed_ms: float) -> int:
         """Give the largest number of streams whose step is within ``allowed_ms``."""
@@ -90,14 +90,14 @@
             widest = streams
         return widest
 
-    def first_bad(self, above: int, allowed_ms: float, least_pace: float) -> int | None:
+    def first_bad(self, above: int, allowed_ms: float, min_throughput: float) -> int | None:
         """Give the smallest number of streams that is too many, ``None`` for none known.
 
         :param above: only larger numbers are looked at.
-        :param least_pace: tokens a millisecond that must be reached.
+        :param min_throughput: tokens a millisecond that must be reached.
         """
         for streams, step_ms in self.known():
-            if streams > above and (step_ms > allowed_ms or streams / step_ms < least_pace):
+            if streams > above and (step_ms > allowed_ms or streams / step_ms < min_throughput):
                 return streams
         return None
 
--- a/citrondyke/decisions/steward.py
+++ b/citrondyke/decisions/steward.py
@@ -114,7 +114,7 @@
                 self._shares[server_id] = self._make_share(view)
         alive = self._members.alive()
         for share in self._shares.values():
-            share.keep_notices_of(alive)
+            share.retain_notices_of(alive)
         self._targets.clear()
         for server_id in sorted(own):
             view = self._fleet.view(server_id)
--- a/citrondyke/gateway/accounts/limit_exchange.py
+++ b/citrondyke/gateway/accounts/limit_exchange.py
@@ -12,14 +12,14 @@
 
 from citrondyke.decisions.accounts.fleet_rate_limiter import (
     LimitVerdict,
-    RequiredLookup,
+    QuotaQuery,
     VerdictKind,
 )
 from citrondyke.decisions.accounts.limit_messages import UseAnswered
-from citrondyke.decisions.accounts.limit_overshoot_budget import GRANT_MS
+from citrondyke.decisions.accounts.overshoot_budget import GRANT_MS
 from citrondyke.decisions.accounts.slot_lease import RENEW_MS
-from citrondyke.decisions.reservations.kept_places import PlaceCounts
-from citrondyke.gateway.accounts.prepaid_account_store import PrepaidAccountStore
+from citrondyke.decisions.reservations.kept_places import ReservationCounts
+from citrondyke.gateway.accounts.advance_grant_store import AdvanceGrantStore
 from citrondyke.gateway.peers.peer_codec import (
     LimitText,
     PeerMessage,
@@ -31,8 +31,8 @@
     from collections.abc import Callable
 
     from citrondyke.decisions.accounts.account import Account
+    from citrondyke.decisions.accounts.advance_grant_records import AdvanceGrantStoreCall
     from citrondyke.decisions.accounts.limit_messages import Addressed, LimitMessage, UseNeed
-    from citrondyke.decisions.accounts.prepaid_accounts import PrepaidStoreCall
     from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.forwarding.current_config import CurrentConfig
@@ -42,7 +42,7 @@
     from citrondyke.ids import InstanceId
     from citrondyke.storage.partitioned_table import PartitionedTable
 
-__all__ = ('LimitMessenger',)
+__all__ = ('LimitExchange',)
 
 log = logbook.Logger(__name__)
 
@@ -56,16 +56,16 @@
 IDLE_MS = 1_000.0
 #: Between two questions for leases in the first seconds of a life, in which requests are refused
 #: until there is a steward.
-STARTING_RENEW_MS = 50.0
+STARTUP_RENEW_MS = 50.0
 #: Requests of one instance that wait for their place: each holds its body and a connection.
-WAITERS_LIMIT = 100
-PLACES_LOG_MS = 1_000.0
+WAITING_REQUESTS_LIMIT = 100
+RESERVATIONS_LOG_MS = 1_000.0
 #: From the port for other messages between instances. Those may lie unread for a while in a large
 #: fleet; a caller waits for these.
 PORT_AFTER_PEERS = 1
 
 
-class LimitMessenger:
+class LimitExchange:
     """Carries questions for uses, and leases, over datagrams of their own."""
 
     def __init__(
@@ -90,15 +90,15 @@
         self._socket: socket.socket | None = None
         self._waiting: dict[int, AsyncResult] = {}
         self._held_slots: tuple[int, ...] = ()
-        self._marks = PrepaidAccountStore(table)
+        self._marks = AdvanceGrantStore(table)
         self._waiters_count = 0
-        self._places_logged = PlaceCounts()
-        self._places_logged_ms = float('-inf')
+        self._logged_reservations = ReservationCounts()
+        self._reservations_logged_ms = float('-inf')
         for name in ('kept', 'taken', 'lapsed'):
             metrics.add_gauge(f'limit_places_{name}', self._count_of(name))
 
     def _count_of(self, name: str) -> Callable[[], float]:
-        return lambda: float(getattr(self._limits.place_counts(), name))
+        return lambda: float(getattr(self._limits.reservation_counts(), name))
 
     def start(self, ip: str) -> None:
         """Listen and begin to ask for leases."""
@@ -121,7 +121,7 @@
         if not account.has_limit:
             return self._limits.next_step(account, need, set())  # type: ignore[return-value]
         clock = self._context.clock
-        if self._waiters_count >= WAITERS_LIMIT:
+        if self._waiters_count >= WAITING_REQUESTS_LIMIT:
             need = msgspec.structs.replace(need, may_wait_ms=0.0)
         while True:
             asked_ms = clock.fence_ms()
@@ -147,8 +147,8 @@
         while True:
             step = self._limits.next_step(account, need, tried)
             self._send_all(self._limits.to_send())
-            self._look_at_marks()
-            if isinstance(step, RequiredLookup):
+            self._spawn_store_calls()
+            if isinstance(step, QuotaQuery):
                 tried.add(step.receiver)
                 answer = self._ask(step)
                 if answer is None:
@@ -164,16 +164,16 @@
             else:
                 return step
 
-    def _look_at_marks(self) -> None:
-        for call in self._limits.prepaid_calls():
-            self._tasks.spawn(self._run_mark_call, call)
+    def _spawn_store_calls(self) -> None:
+        for call in self._limits.advance_grant_calls():
+            self._tasks.spawn(self._run_store_call, call)
 
-    def _run_mark_call(self, call: PrepaidStoreCall) -> None:
+    def _run_store_call(self, call: AdvanceGrantStoreCall) -> None:
         row = None
         try:
             row = self._marks.run(call)
         finally:
-            self._send_all(self._limits.record_prepaid(call, row))
+            self._send_all(self._limits.apply_advance_grant_row(call, row))
 
     def held_slots(self) -> tuple[int, ...]:
         """List the slots whose accounts this instance counts."""
@@ -188,7 +188,7 @@
                 self._metrics.counters['limit_places_waited_for'] += 1
         return verdict
 
-    def _ask(self, question: RequiredLookup) -> UseAnswered | None:
+    def _ask(self, question: QuotaQuery) -> UseAnswered | None:
         result = self._waiting[question.number] = AsyncResult()
         try:
             if not self._send(question.receiver, question.message):
@@ -215,7 +215,7 @@
         message = text.message
         if not isinstance(message, UseAnswered):
             self._send_all(self._limits.take(sender, message))
-            self._look_at_marks()
+            self._spawn_store_calls()
             return
         waiting = self._waiting.get(message.number)
         if waiting is not None:
@@ -228,28 +228,28 @@
             gevent.sleep(self._context.jittered_ms(pause_ms, share=0.1) / 1e3)
             if has_limits:
                 self._send_all(self._limits.tick())
-                self._look_at_marks()
+                self._spawn_store_calls()
             held = self._limits.held_slots()
             if held != self._held_slots:
                 self._held_slots = held
                 log.info('limit.slots', extra={'held': held, 'known': self._membership.count})
-            self._log_places()
+            self._log_reservations()
 
-    def _log_places(self) -> None:
+    def _log_reservations(self) -> None:
         """Tell what became of places, at most every second."""
         now_ms = self._context.now_ms()
-        if now_ms < self._places_logged_ms + PLACES_LOG_MS:
+        if now_ms < self._reservations_logged_ms + RESERVATIONS_LOG_MS:
             return
-        self._places_logged_ms = now_ms
-        counts = self._limits.place_counts()
-        if counts != self._places_logged:
-            self._places_logged = counts
+        self._reservations_logged_ms = now_ms
+        counts = self._limits.reservation_counts()
+        if counts != self._logged_reservations:
+            self._logged_reservations = counts
             extra = {'kept': counts.kept, 'taken': counts.taken, 'lapsed': counts.lapsed}
             log.info('limit.places', extra=extra)
 
     def _pause_ms(self) -> float:
         """Give the pause until leases are asked for again; it is short while there may be none."""
-        return STARTING_RENEW_MS if self._limits.is_starting else RENEW_MS
+        return STARTUP_RENEW_MS if self._limits.is_newly_started else RENEW_MS
 
     def _send_all(self, addressed: list[Addressed]) -> None:
         for each in addressed:
--- a/citrondyke/gateway/callers/admission_controller.py
+++ b/citrondyke/gateway/callers/admission_controller.py
@@ -20,7 +20,7 @@
     from citrondyke.decisions.forwarding.admission_rule import AdmissionRule
     from citrondyke.decisions.forwarding.current_config import CurrentConfig
     from citrondyke.decisions.forwarding.server_registry import ServerRegistry
-    from citrondyke.gateway.accounts.limit_exchange import LimitMessenger
+    from citrondyke.gateway.accounts.limit_exchange import LimitExchange
     from citrondyke.gateway.callers.caller_connection import CallerConnection
     from citrondyke.gateway.callers.error_responder import ErrorResponder
     from citrondyke.gateway.callers.forwarding import Forwarding
@@ -54,7 +54,7 @@
         book: ServerRegistry,
         rule: AdmissionRule,
         config: CurrentConfig,
-        limits: LimitMessenger,
+        limits: LimitExchange,
         answers: ErrorResponder,
         log: RequestLog,
     ) -> None:
--- a/citrondyke/gateway/callers/startup_gate.py
+++ b/citrondyke/gateway/callers/startup_gate.py
@@ -95,9 +95,9 @@
                 'steps_ms': None if self._steps is None else dict(self._steps.done_ms),
             },
         )
-        self._run_marks()
+        self._run_store_calls()
 
-    def _run_marks(self) -> None:
+    def _run_store_calls(self) -> None:
         """Look for the steps that requests need not wait for, and tell them."""
         if self._steps is None:
             return
--- a/citrondyke/gateway/gauges.py
+++ b/citrondyke/gateway/gauges.py
@@ -13,7 +13,7 @@
     from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry
     from citrondyke.decisions.forwarding.server_registry import ServerRegistry
     from citrondyke.decisions.memory.byte_budget import ByteBudget
-    from citrondyke.gateway.accounts.limit_exchange import LimitMessenger
+    from citrondyke.gateway.accounts.limit_exchange import LimitExchange
     from citrondyke.gateway.callers.front import Front
     from citrondyke.gateway.callers.startup_gate import StartupGate
     from citrondyke.gateway.jobs.batch_subsystem import BatchSubsystem
@@ -36,7 +36,7 @@
     gate: StartupGate
     batch: BatchSubsystem
     suspects: SuspectRegistry
-    limits: LimitMessenger
+    limits: LimitExchange
     store: Dependency
     budget: ByteBudget
 
--- a/citrondyke/gateway/instance.py
+++ b/citrondyke/gateway/instance.py
@@ -21,7 +21,7 @@
 from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.decisions.forwarding.startup_hold import StartupHold
 from citrondyke.decisions.memory.byte_budget import budget_for
-from citrondyke.gateway.accounts.limit_exchange import LimitMessenger
+from citrondyke.gateway.accounts.limit_exchange import LimitExchange
 from citrondyke.gateway.callers.admission_controller import AdmissionController
 from citrondyke.gateway.callers.error_responder import ErrorResponder
 from citrondyke.gateway.callers.forwarder import Forwarder
@@ -141,7 +141,7 @@
             settings.limit_tolerance,
             began_ms,
         )
-        self.limits = LimitMessenger(
+        self.limits = LimitExchange(
             self.context,
             limits,
             self.beliefs.config,
--- a/citrondyke/gateway/jobs/backlog_tokens.py
+++ b/citrondyke/gateway/jobs/backlog_tokens.py
@@ -11,7 +11,7 @@
 import msgspec
 from gevent.event import Event
 
-from citrondyke.decisions.accounts.account import ANYBODY
+from citrondyke.decisions.accounts.account import ANONYMOUS_ACCOUNT
 from citrondyke.decisions.batch.job import bound_name
 from citrondyke.gateway.jobs.route_backlog_tokens import (
     NEAR_LIMIT_POLL_MS,
@@ -83,7 +83,7 @@
         job_id: JobId,
         tokens: int,
         until_ms: float,
-        account: TenantId = ANYBODY.id,
+        account: TenantId = ANONYMOUS_ACCOUNT.id,
     ) -> BacklogReservation | BacklogFull | PlatformFailure:
         """Count a job's tokens before it is accepted.
 
--- a/citrondyke/gateway/settings.py
+++ b/citrondyke/gateway/settings.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
+from citrondyke.decisions.accounts.overshoot_budget import OvershootBudget
 from citrondyke.ids import AvailabilityZone, InstanceId
 
 __all__ = ('Address', 'GatewaySettings', 'StoreSettings')
@@ -55,4 +55,4 @@
     #: Part by which accepted tokens may pass a route's bound.
     tokens_overshoot: float = 0.1
     #: What may pass an account's limit on requests.
-    limit_tolerance: LimitOvershootBudget = LimitOvershootBudget()
+    limit_tolerance: OvershootBudget = OvershootBudget()
--- a/citrondyke/operator/account_report.py
+++ b/citrondyke/operator/account_report.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.decisions.accounts.window_count import StewardCount
+from citrondyke.decisions.accounts.steward_count import StewardCount
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
--- a/citrondyke/platform/settings_file.py
+++ b/citrondyke/platform/settings_file.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
+from citrondyke.decisions.accounts.overshoot_budget import OvershootBudget
 from citrondyke.errors import SettingsInvalidError
 from citrondyke.gateway.settings import Address, GatewaySettings, StoreSettings
 from citrondyke.ids import AvailabilityZone, InstanceId
@@ -158,7 +158,7 @@
             lapsed_grace_ms=2_200.0,
             job_kept_ms=file.bounds.status_s * 1e3,
             tokens_overshoot=file.bounds.quota_overshoot,
-            limit_tolerance=LimitOvershootBudget(
+            limit_tolerance=OvershootBudget(
                 window_ms=file.bounds.quota_window_s * 1e3,
                 overshoot=file.bounds.quota_overshoot,
                 slack=file.bounds.quota_slack,
--- a/tests/support/limit_world.py
+++ b/tests/support/limit_world.py
@@ -13,6 +13,10 @@
 import msgspec
 
 from citrondyke.decisions.accounts.account import Account
+from citrondyke.decisions.accounts.advance_grant_records import (
+    AdvanceGrantRow,
+    AdvanceGrantStoreCall,
+)
 from citrondyke.decisions.accounts.fleet_rate_limiter import (
     FleetRateLimiter,
     LimitVerdict,
@@ -24,8 +28,7 @@
     UseAnswered,
     UseNeed,
 )
-from citrondyke.decisions.accounts.limit_overshoot_budget import GRANT_MS, LimitOvershootBudget
-from citrondyke.decisions.accounts.prepaid_accounts import PrepaidAccountRow, PrepaidStoreCall
+from citrondyke.decisions.accounts.overshoot_budget import GRANT_MS, OvershootBudget
 from citrondyke.decisions.core.context import Context
 from citrondyke.ids import AvailabilityZone, InstanceId, TenantId
 from citrondyke.util.clock import Clock
@@ -44,14 +47,14 @@
 #: A call that goes by way of a peer may be carried out much later.
 STORE_LATE_MS = 3_000.0
 
-TOLERANCE = LimitOvershootBudget(window_ms=WINDOW_MS, overshoot=0.1, slack=20.0)
+TOLERANCE = OvershootBudget(window_ms=WINDOW_MS, overshoot=0.1, slack=20.0)
 
 Make = Callable[
     [
         Context,
         Callable[[], tuple[InstanceId, ...]],
         Callable[[TenantId], Account | None],
-        LimitOvershootBudget,
+        OvershootBudget,
     ],
     FleetRateLimiter,
 ]
@@ -130,7 +133,7 @@
         self.told: Counter[str] = Counter()
         self._works = count(1)
         #: Rows of marks by slot; they outlive all instances.
-        self.rows: dict[int, PrepaidAccountRow] = {}
+        self.rows: dict[int, AdvanceGrantRow] = {}
         self.is_store_silent = False
         #: Part of the store's answers that get lost.
         self.lost_part = 0.0
@@ -247,7 +250,7 @@
             return
         if node.silent_until_ms <= self.now_ms:
             self._send(node, node.limits.tick())
-            self._run_marks(node)
+            self._run_store_calls(node)
         self.at(self.tick_ms * self.random.uniform(0.9, 1.1), lambda: self._tick(node))
 
     def _send(self, sender: Node, addressed: list[Addressed]) -> None:
@@ -273,10 +276,10 @@
                 waiting(each.message)
         else:
             self._send(node, node.limits.take(sender, each.message))
-            self._run_marks(node)
+            self._run_store_calls(node)
 
-    def _run_marks(self, node: Node) -> None:
-        for call in node.limits.prepaid_calls():
+    def _run_store_calls(self, node: Node) -> None:
+        for call in node.limits.advance_grant_calls():
             if self.is_store_silent:
                 self.at(STORE_TIMEOUT_MS, partial(self._marked, node, call, None))
                 continue
@@ -285,23 +288,23 @@
                 delay_ms += STORE_LATE_MS
             self.at(delay_ms / 2, partial(self._at_store, node, call, delay_ms / 2))
 
-    def _at_store(self, node: Node, call: PrepaidStoreCall, back_ms: float) -> None:
-        row = self.rows.get(call.slot, PrepaidAccountRow(frozenset(), 0))
+    def _at_store(self, node: Node, call: AdvanceGrantStoreCall, back_ms: float) -> None:
+        row = self.rows.get(call.slot, AdvanceGrantRow(frozenset(), 0))
         if call.wanted is not None and call.version == row.version:
-            self.rows[call.slot] = PrepaidAccountRow(call.wanted, row.version + 1)
-            row = PrepaidAccountRow(call.wanted, row.version + 1, is_written=True)
+            self.rows[call.slot] = AdvanceGrantRow(call.wanted, row.version + 1)
+            row = AdvanceGrantRow(call.wanted, row.version + 1, is_written=True)
         is_lost = self.random.random() < self.lost_part
         self.at(back_ms, partial(self._marked, node, call, None if is_lost else row))
 
-    def _marked(self, node: Node, call: PrepaidStoreCall, row: PrepaidAccountRow | None) -> None:
+    def _marked(self, node: Node, call: AdvanceGrantStoreCall, row: AdvanceGrantRow | None) -> None:
         if node.is_dead:
             return
         if node.silent_until_ms > self.now_ms:
             wait_ms = node.silent_until_ms - self.now_ms
             self.at(wait_ms, partial(self._marked, node, call, row))
             return
-        self._send(node, node.limits.record_prepaid(call, row))
-        self._run_marks(node)
+        self._send(node, node.limits.apply_advance_grant_row(call, row))
+        self._run_store_calls(node)
 
     def _go_on(self, asking: _Asking) -> None:
         node = asking.node
@@ -314,7 +317,7 @@
         asked_ms = self.now_ms
         step = node.limits.next_step(asking.account, asking.need, asking.tried)
         self._send(node, node.limits.to_send())
-        self._run_marks(node)
+        self._run_store_calls(node)
         if isinstance(step, LimitVerdict):
             if step.kind is VerdictKind.UNKNOWN and asking.rounds < ROUNDS:
                 asking.tried, asking.rounds = set(), asking.rounds + 1
--- a/tests/test_accounts/test_accounts_window.py
+++ b/tests/test_accounts/test_accounts_window.py
@@ -156,7 +156,7 @@
     made.kill(second, 50.0)
     made.cuts = set()
     made.run(7_000.0)
-    follower = limits_of(steward(made))._stewards_of_slots[slot]
+    follower = limits_of(steward(made))._slot_stewards[slot]
     assert follower._before is None
     assert made.largest_window(LARGE.id) <= PROMISED * 1.1
 
@@ -169,7 +169,7 @@
         # Every wait would end in a place, were its store silent or not.
         self.made.is_store_silent = True
         self.node = steward(self.made)
-        self.slot = limits_of(self.node)._stewards_of_slots[slot_of(LARGE.id)]
+        self.slot = limits_of(self.node)._slot_stewards[slot_of(LARGE.id)]
 
     def ask(
         self, work: int, account: Account = LARGE, left_ms: float = 5_000.0, wait_ms: float = 0.0
--- a/tests/test_forwarding/test_forwarding_admission.py
+++ b/tests/test_forwarding/test_forwarding_admission.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from citrondyke.decisions.forwarding.admission_rule import (
-    LONGEST_RETRY_MS,
+    MAX_RETRY_MS,
     WAIT_SHARE,
     AdmissionRule,
     Admitted,
@@ -93,7 +93,7 @@
         door.clock.ms += 100.0
     assert times[0] < 300.0
     assert times[-1] > 1_000.0
-    assert max(times) <= LONGEST_RETRY_MS * 1.25
+    assert max(times) <= MAX_RETRY_MS * 1.25
     door.clock.ms += 10_000.0
     later = door.ask()
     assert isinstance(later, Rejected)
--- a/tests/test_gateway/test_callers/test_callers_limits.py
+++ b/tests/test_gateway/test_callers/test_callers_limits.py
@@ -9,9 +9,9 @@
 import pytest
 
 from citrondyke.cmd.ctl.accounts import read_states
-from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
+from citrondyke.decisions.accounts.overshoot_budget import OvershootBudget
 from citrondyke.decisions.accounts.slots import SLOTS_COUNT
-from citrondyke.decisions.accounts.window_count import StewardCount
+from citrondyke.decisions.accounts.steward_count import StewardCount
 from citrondyke.gateway.accounts import limit_exchange
 from citrondyke.operator.account_report import (
     AccountState,
@@ -102,7 +102,7 @@
 
 
 def test_tolerance_of_the_settings_is_used_for_uneven_callers() -> None:
-    tolerance = LimitOvershootBudget(overshoot=0.1, slack=20.0)
+    tolerance = OvershootBudget(overshoot=0.1, slack=20.0)
     rate_per_s, burst = 54.0, 54.0
     window_s = tolerance.window_ms / 1e3
     allowed = (rate_per_s * window_s + burst) * (1 + tolerance.overshoot) + tolerance.slack
--- a/tests/test_platform/test_platform_accounts.py
+++ b/tests/test_platform/test_platform_accounts.py
@@ -7,7 +7,12 @@
 import msgspec
 import pytest
 
-from citrondyke.decisions.accounts.account import ANYBODY, Account, NoAccount, NoAccountReason
+from citrondyke.decisions.accounts.account import (
+    ANONYMOUS_ACCOUNT,
+    Account,
+    NoAccount,
+    NoAccountReason,
+)
 from citrondyke.decisions.forwarding.route_table import RouteTable
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.platform.rows import ACCOUNTS_LIMIT, decode_config
@@ -29,7 +34,7 @@
     unknown = found.account_of(key_hash('c'), is_public=False)
     assert unknown == NoAccount(NoAccountReason.UNKNOWN_KEY)
     assert found.account_of('', is_public=False) == NoAccount(NoAccountReason.NO_KEY)
-    assert found.account_of('', is_public=True) is ANYBODY
+    assert found.account_of('', is_public=True) is ANONYMOUS_ACCOUNT
 
 
 def test_keys_are_needed_as_soon_as_the_configuration_speaks_of_accounts() -> None:
@@ -37,7 +42,7 @@
     # fleet would be open to anybody.
     assert not table().account_of('', is_public=False)
     open_table = decode_config(msgspec.json.encode({'version': 3}))
-    assert open_table.account_of('', is_public=False) is ANYBODY
+    assert open_table.account_of('', is_public=False) is ANONYMOUS_ACCOUNT
 
 
 @pytest.mark.parametrize(
--- a/tests/test_platform/test_platform_decoding.py
+++ b/tests/test_platform/test_platform_decoding.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
+from citrondyke.decisions.accounts.overshoot_budget import OvershootBudget
 from citrondyke.decisions.batch.job import ItemResult, ItemState
 from citrondyke.decisions.forwarding.route import RouteKind
 from citrondyke.decisions.forwarding.route_table import NoRoute
@@ -85,10 +85,10 @@
     assert settings.seed_ips == ('10.2.0.28',)
     assert settings.stop_within_ms == 8_000.0
     assert settings.memory_bytes == 320 * 1024 * 1024
-    assert settings.limit_tolerance == LimitOvershootBudget(overshoot=0.1)
+    assert settings.limit_tolerance == OvershootBudget(overshoot=0.1)
     stated = SETTINGS.replace('grace_s = 8', 'quota_slack = 20\nquota_window_s = 7')
     tolerance = platform_settings(stated, 'boot.toml', 9000).limit_tolerance
-    assert tolerance == LimitOvershootBudget(window_ms=7_000.0, overshoot=0.1, slack=20.0)
+    assert tolerance == OvershootBudget(window_ms=7_000.0, overshoot=0.1, slack=20.0)
 
 
 def test_settings_are_the_same_as_json() -> None:
