--- a/benchmarks/gateway_load.py
+++ b/benchmarks/gateway_load.py
@@ -44,7 +44,7 @@
 SERVERS = 5
 SLOTS = 8
 #: From the start of a run to its first event.
-INITIAL_EVENT_MS = 12.0
+FIRST_EVENT_MS = 12.0
 #: The traffic's steps: share of the mean, for so long.
 STEPS = ((0.383, 3_400.0), (1.87, 2_400.0))
 LENGTH_MS = 40_000.0
@@ -203,9 +203,9 @@
         self._at(self.clock.ms + run.left_ms, lambda: self._finish(server_id, run))
 
     def _note_first(self, request: _Request) -> None:
-        took_ms = self.clock.ms + INITIAL_EVENT_MS - request.arrived_ms
+        took_ms = self.clock.ms + FIRST_EVENT_MS - request.arrived_ms
         self.first_ms.append(took_ms)
-        second_ms = self.clock.ms + INITIAL_EVENT_MS - request.tried_ms
+        second_ms = self.clock.ms + FIRST_EVENT_MS - request.tried_ms
         if took_ms <= AIM_MS:
             self.worth += IN_AIM
         elif request.is_second and second_ms <= AIM_MS:
