--- a/citrondyke/gateway/jobs/backlog_tokens.py
+++ b/citrondyke/gateway/jobs/backlog_tokens.py
@@ -11,8 +11,8 @@
 import msgspec
 from gevent.event import Event
 
-from citrondyke.decisions.batch.job import backlog_name_of
 from citrondyke.decisions.accounts.account import ANONYMOUS_ACCOUNT
+from citrondyke.decisions.batch.job import backlog_name_of
 from citrondyke.gateway.jobs.route_backlog_tokens import (
     NEAR_LIMIT_POLL_MS,
     BacklogReservation,
