--- a/citrondyke/decisions/batch/batch_demand.py
+++ b/citrondyke/decisions/batch/batch_demand.py
@@ -24,7 +24,7 @@
     """The items of one service that wait at one owner and stand best."""
 
     service: ServiceName
-    likelihood: CompletionLikelihood
+    prospect: CompletionLikelihood
     waiting_count: int
     #: When the first of them must start to be done in time, by the monotonic clock of whoever
     #: holds this.
@@ -35,6 +35,6 @@
     """A need as instances tell it to each other, whose clocks differ."""
 
     service: ServiceName
-    likelihood: int
+    prospect: int
     waiting_count: int
     start_in_ms: float
--- a/citrondyke/decisions/batch/batch_scheduler.py
+++ b/citrondyke/decisions/batch/batch_scheduler.py
@@ -70,7 +70,7 @@
     """A batch item on a server; the number is its owner's."""
 
     number: int
-    incarnation: ServerIncarnation
+    life: ServerIncarnation
     started_ms: float
     urgency: Urgency
     #: Time that it still runs; one that has run for seconds may be nearly done.
@@ -215,7 +215,7 @@
         now_ms = self._context.now_ms()
         by_server: dict[ServerIncarnation, list[RunningItem]] = {}
         for item in running:
-            by_server.setdefault(item.incarnation, []).append(item)
+            by_server.setdefault(item.life, []).append(item)
         chosen = []
         for life, items in by_server.items():
             state = self._registry.find_incarnation(life)
--- a/citrondyke/decisions/batch/item_priority.py
+++ b/citrondyke/decisions/batch/item_priority.py
@@ -19,7 +19,7 @@
 class ItemPriority(msgspec.Struct, frozen=True):
     """How an item stands that would start now."""
 
-    likelihood: CompletionLikelihood
+    prospect: CompletionLikelihood
     #: Time that is left when it ends, if it takes as long as usual.
     slack_ms: float
     #: A run of it was cut.
@@ -33,9 +33,9 @@
         is longer than usual starts the sooner the likelier it is in time: in the order of due
         times the places would go to items that become late one and all.
         """
-        is_doubtful = self.likelihood is CompletionLikelihood.DOUBTFUL
+        is_doubtful = self.prospect is CompletionLikelihood.DOUBTFUL
         slack_ms = -self.slack_ms if is_doubtful else self.slack_ms
-        return self.likelihood, not self.has_begun, slack_ms
+        return self.prospect, not self.has_begun, slack_ms
 
 
 def priority_of(slack_ms: float, margin_ms: float, *, has_begun: bool = False) -> ItemPriority:
@@ -46,10 +46,10 @@
     """
     if slack_ms < LATE_SLACK_MS:
         return ItemPriority(CompletionLikelihood.LATE, slack_ms, has_begun)
-    likelihood = (
+    prospect = (
         CompletionLikelihood.DOABLE if slack_ms >= margin_ms else CompletionLikelihood.DOUBTFUL
     )
-    return ItemPriority(likelihood, slack_ms, has_begun)
+    return ItemPriority(prospect, slack_ms, has_begun)
 
 
 def batch_demand_of(
@@ -60,11 +60,11 @@
     :param outlooks: of all that wait; one at least.
     """
     priorities = list(priorities)
-    best = min(each.likelihood for each in priorities)
-    slacks_ms = [each.slack_ms for each in priorities if each.likelihood is best]
+    best = min(each.prospect for each in priorities)
+    slacks_ms = [each.slack_ms for each in priorities if each.prospect is best]
     return BatchDemand(service, best, len(slacks_ms), now_ms + min(slacks_ms))
 
 
 def count_by_likelihood(priorities: Iterable[ItemPriority]) -> Counter[CompletionLikelihood]:
     """Count items by how they stand."""
-    return Counter(each.likelihood for each in priorities)
+    return Counter(each.prospect for each in priorities)
--- a/citrondyke/decisions/jobs/job_file_reader.py
+++ b/citrondyke/decisions/jobs/job_file_reader.py
@@ -17,7 +17,7 @@
 
     #: Counted from 1.
     line_number: int
-    reason: str
+    why: str
 
     def __bool__(self) -> bool:
         """Count as no segments."""
@@ -103,9 +103,9 @@
         text = line.strip()
         if not text:
             return None
-        reason = self._check(text)
-        if reason is not None:
-            return InvalidLine(self._line_number, reason)
+        why = self._check(text)
+        if why is not None:
+            return InvalidLine(self._line_number, why)
         self._lines.append(text)
         self._items_count += 1
         return None
@@ -117,10 +117,10 @@
             return f'more than {self._items_limit} items'
         line = parse_line(text)
         if isinstance(line, LineError):
-            return line.reason
+            return line.why
         target = target_of_line(line)
         if isinstance(target, LineError):
-            return target.reason
+            return target.why
         if self._target is None:
             self._target, self._url = target, line.url
         if target != self._target:
--- a/citrondyke/decisions/jobs/job_line.py
+++ b/citrondyke/decisions/jobs/job_line.py
@@ -23,7 +23,7 @@
 class LineError(msgspec.Struct, frozen=True):
     """Stands in the place of a target: why the line cannot be accepted."""
 
-    reason: str
+    why: str
 
     def __bool__(self) -> bool:
         """Count as no target."""
--- a/tests/test_batch/test_batch_needs.py
+++ b/tests/test_batch/test_batch_needs.py
@@ -43,19 +43,19 @@
         self.book = BatchDemandTable(manual_context(self.clock))
 
     def wait_for(
-        self, count: int, likelihood: CompletionLikelihood = DOABLE, start_in_ms: float = 9e3
+        self, count: int, prospect: CompletionLikelihood = DOABLE, start_in_ms: float = 9e3
     ) -> None:
-        need = BatchDemand(SERVICE, likelihood, count, self.clock.ms + start_in_ms)
+        need = BatchDemand(SERVICE, prospect, count, self.clock.ms + start_in_ms)
         self.book.record_own_demand([need])
 
     def hear(
         self,
         count: int,
-        likelihood: CompletionLikelihood = DOABLE,
+        prospect: CompletionLikelihood = DOABLE,
         start_in_ms: float = 9e3,
         peer: InstanceId = PEER,
     ) -> None:
-        self.book.record_peer_demand(peer, [DemandNotice(SERVICE, likelihood, count, start_in_ms)])
+        self.book.record_peer_demand(peer, [DemandNotice(SERVICE, prospect, count, start_in_ms)])
 
     def part(self, free_count: int) -> float:
         return self.book.own_share_of_capacity(SERVICE, free_count)
@@ -80,10 +80,10 @@
 
 @pytest.mark.parametrize('prospect', [DOUBTFUL, LATE])
 def test_items_that_may_be_late_leave_the_places_to_those_in_time(
-    likelihood: CompletionLikelihood,
+    prospect: CompletionLikelihood,
 ) -> None:
     owner = Owner()
-    owner.wait_for(30, likelihood, start_in_ms=-100.0)
+    owner.wait_for(30, prospect, start_in_ms=-100.0)
     owner.hear(6, start_in_ms=60_000.0)
     assert owner.part(6) == 0.0
     assert owner.part(7) == 1.0
