--- a/citrondyke/decisions/batch/batch_demand_table.py
+++ b/citrondyke/decisions/batch/batch_demand_table.py
@@ -94,7 +94,7 @@
             for demand in own
         ]
 
-    def has_peer_demand(self, service: ServiceName) -> bool:
+    def is_peer_demand_known(self, service: ServiceName) -> bool:
         """Tell whether others who have items waiting have had the time to say so."""
         since_ms = self._own_since_ms.get(service)
         return since_ms is not None and self._context.now_ms() - since_ms >= RENEW_MS
--- a/citrondyke/decisions/batch/batch_scheduler.py
+++ b/citrondyke/decisions/batch/batch_scheduler.py
@@ -112,7 +112,7 @@
         self._rate_limiter = rate_limiter
         self.headroom = OnlineHeadroom(context)
         self._preempted_ms: dict[ServerIncarnation, float] = {}
-        self._excess_count: dict[ServerIncarnation, _ExcessHistory] = {}
+        self._excess_history: dict[ServerIncarnation, _ExcessHistory] = {}
 
     @property
     def is_fleet_large(self) -> bool:
@@ -202,7 +202,7 @@
             if state is not None and _excess_count(state, now_ms) > 0:
                 found.add(life)
             else:
-                self._excess_count.pop(life, None)
+                self._excess_history.pop(life, None)
         return found
 
     def items_to_preempt(self, running: Iterable[RunningItem]) -> list[RunningItem]:
@@ -249,7 +249,7 @@
         while cut and cut[-1].urgency is Urgency.AT_RISK and batch_left < state.held_limit:
             cut.pop()
             batch_left += 1
-        self._excess_count[state.life].remove_excess(len(cut))
+        self._excess_history[state.life].remove_excess(len(cut))
         return cut
 
     def _preemption_count(
@@ -274,9 +274,9 @@
         """
         excess = _excess_count(state, now_ms)
         if excess <= 0:
-            self._excess_count.pop(state.life, None)
+            self._excess_history.pop(state.life, None)
             return 0
-        known = self._excess_count.setdefault(state.life, _ExcessHistory(deque()))
+        known = self._excess_history.setdefault(state.life, _ExcessHistory(deque()))
         seen = known.seen
         if seen and now_ms - seen[-1][0] > EXCESS_GAP_MS:
             seen.clear()
--- a/citrondyke/decisions/batch/item_priority.py
+++ b/citrondyke/decisions/batch/item_priority.py
@@ -57,7 +57,7 @@
 ) -> BatchDemand:
     """Sum up the items of a service that stand best.
 
-    :param outlooks: of all that wait; one at least.
+    :param priorities: of all that wait; one at least.
     """
     priorities = list(priorities)
     best = min(each.prospect for each in priorities)
--- a/citrondyke/decisions/batch/owned_job.py
+++ b/citrondyke/decisions/batch/owned_job.py
@@ -15,7 +15,7 @@
 RETRY_MS = 100.0
 MAX_RETRY_PAUSE_MS = 2_000.0
 #: Pause before it is looked again whether an item that was stopped may be sent.
-STOPPED_PAUSE_MS = 1_000.0
+BLOCKED_PAUSE_MS = 1_000.0
 #: Clocks of instances may differ by some seconds: an item is abandoned this much later than its
 #: job allows, so that it never is too early.
 ABANDON_MARGIN_MS = 5_000.0
@@ -91,7 +91,7 @@
         self.is_lost = False
 
     @property
-    def is_finished(self) -> bool:
+    def is_closed(self) -> bool:
         """Tell whether nothing more is to be done for it."""
         return self.is_lost or self.head.is_ended or self.head.is_done
 
@@ -106,7 +106,7 @@
 
     def waiting_items(self, now_ms: float) -> list[ItemProgress]:
         """List the items that may start, in the order handed in."""
-        if self.is_finished:
+        if self.is_closed:
             return []
         return [
             progress
@@ -137,7 +137,7 @@
             return
         if end is RunResult.BLOCKED:
             # Its trial, its job's end or its time to be abandoned comes.
-            progress.not_before_ms = now_ms + STOPPED_PAUSE_MS
+            progress.not_before_ms = now_ms + BLOCKED_PAUSE_MS
             return
         if end is RunResult.FAILED:
             progress.failures_count += 1
--- a/citrondyke/decisions/batch/start_rate_limiter.py
+++ b/citrondyke/decisions/batch/start_rate_limiter.py
@@ -17,7 +17,7 @@
 __all__ = ('StartRateLimiter',)
 
 #: Shortest time in which peers hear of a start: a datagram's way and the look at it.
-SHORTEST_GAP_MS = 5.0
+MIN_GAP_MS = 5.0
 #: A datagram's way between two availability zones.
 ONE_WAY_DELAY_MS = 1.0
 
@@ -48,7 +48,7 @@
     @property
     def gap_ms(self) -> float:
         """Give the time after which what was started is known to all neighbours."""
-        return max(SHORTEST_GAP_MS, self._topology.gap_ms + ONE_WAY_DELAY_MS)
+        return max(MIN_GAP_MS, self._topology.gap_ms + ONE_WAY_DELAY_MS)
 
     def try_start(self, service: ServiceName, free_count: int, *, is_remote: bool = False) -> bool:
         """Ask for one start.
@@ -79,7 +79,7 @@
         Owners in other zones are not heard of one by one: each zone is taken to have as many.
         """
         topology = self._topology
-        if not self.demand.has_peer_demand(service):
+        if not self.demand.is_peer_demand_known(service):
             return free_count / (topology.instances_count if is_remote else topology.near_count)
         if is_remote:
             return self.demand.own_share_of_capacity(service, free_count / topology.zones_count)
--- a/citrondyke/decisions/batch/takeover.py
+++ b/citrondyke/decisions/batch/takeover.py
@@ -69,15 +69,15 @@
         #: By how much heartbeats and looks are rarer than in a small fleet; silences grow with it.
         self.timeout_factor = 1.0
 
-    def record_row(self, instance_id: InstanceId, life: str, version: int) -> bool:
+    def record_row(self, instance_id: InstanceId, incarnation: str, version: int) -> bool:
         """Take in a heartbeat's row; tell whether it is a new one."""
         seen = self._seen.get(instance_id)
         if seen is not None and version <= seen.version:
             return False
         now_ms = self._context.now_ms()
-        is_known_incarnation = seen is not None and seen.life == life
+        is_known_incarnation = seen is not None and seen.life == incarnation
         since_ms = seen.since_ms if seen is not None and is_known_incarnation else now_ms
-        self._seen[instance_id] = _Seen(life, version, now_ms, since_ms)
+        self._seen[instance_id] = _Seen(incarnation, version, now_ms, since_ms)
         return True
 
     def record_removed(self, instance_id: InstanceId) -> None:
@@ -112,16 +112,18 @@
         """Tell whether this instance's own heartbeats are written."""
         return self._context.now_ms() - self._heartbeat_ms <= HEARTBEAT_GAP_MS * self.timeout_factor
 
-    def is_dead(self, owner: InstanceId, life: str, row_version: int, since_ms: float) -> bool:
+    def is_dead(
+        self, owner: InstanceId, incarnation: str, row_version: int, since_ms: float
+    ) -> bool:
         """Tell whether the owner of a job is certainly gone, or silent for too long.
 
         :param row_version: of the row in which the owner is named.
         :param since_ms: when this instance first saw that version of it.
         """
-        return self.dead_for_ms(owner, life, row_version, since_ms) is not None
+        return self.dead_for_ms(owner, incarnation, row_version, since_ms) is not None
 
     def dead_for_ms(
-        self, owner: InstanceId, life: str, row_version: int, since_ms: float
+        self, owner: InstanceId, incarnation: str, row_version: int, since_ms: float
     ) -> float | None:
         """Give the time for which it is known that an owner is gone; ``None`` if it is not.
 
@@ -132,17 +134,17 @@
             return float('inf')
         now_ms = self._context.now_ms()
         seen = self._seen.get(owner)
-        if seen is not None and seen.life != life and seen.version > row_version:
+        if seen is not None and seen.life != incarnation and seen.version > row_version:
             # Another life of it began after that row was written.
             return now_ms - seen.since_ms
-        if seen is None and life in self._removed:
+        if seen is None and incarnation in self._removed:
             # Not since its row in question was seen: it ran on, and what it sent last may come.
-            return now_ms - self._removed[life]
+            return now_ms - self._removed[incarnation]
         # A life that is not known here may have begun a moment ago and claimed the job before its
         # first heartbeat was read; if that counted as gone, all would claim from each other.
         # And a head that was written a moment ago shows that its owner was alive then.
         shown_ms = since_ms
-        if seen is not None and seen.life == life:
+        if seen is not None and seen.life == incarnation:
             shown_ms = max(since_ms, seen.renewed_ms)
         overdue_ms = now_ms - shown_ms - HEARTBEAT_TIMEOUT_MS * self.timeout_factor
         return overdue_ms if overdue_ms >= 0 else None
@@ -198,13 +200,13 @@
 class TakeoverSchedule:
     """Decides when this instance claims a job."""
 
-    def __init__(self, context: Context, life: str, instances: InstanceLiveness) -> None:
+    def __init__(self, context: Context, incarnation: str, instances: InstanceLiveness) -> None:
         """Use what is known of the instances.
 
-        :param life: names this life of this instance.
+        :param incarnation: names this life of this instance.
         """
         self._context = context
-        self._life = life
+        self._incarnation = incarnation
         self._instances = instances
         self._seen: dict[JobId, _SeenHead] = {}
 
@@ -225,7 +227,7 @@
         seen = self._seen.get(head.job_id)
         if seen is None or seen.version != version:
             seen = self._seen[head.job_id] = _SeenHead(version, now_ms)
-        if head.owner_life == self._life:
+        if head.owner_life == self._incarnation:
             # An acceptance whose reply never came: nobody else takes it while this instance lives.
             return now_ms - seen.since_ms >= OWN_CLAIM_DELAY_MS
         if head.owner == self._context.instance_id:
--- a/citrondyke/gateway/jobs/job_committer.py
+++ b/citrondyke/gateway/jobs/job_committer.py
@@ -83,7 +83,7 @@
         job, and whoever changes a head tells the owner besides.
         """
         for job in list(self._owned.by_id.values()):
-            if not job.is_finished:
+            if not job.is_closed:
                 self._take_head(job, self._store.read_head(job.head.job_id))
 
     def save_pause_ms(self) -> float:
@@ -119,7 +119,7 @@
                 verdict = self._commit_once(job)
             if verdict is CommitVerdict.DONE and not job.finished:
                 verdict = self._store.release(job, list(job.open.values()))
-                if verdict is CommitVerdict.DONE or job.is_finished:
+                if verdict is CommitVerdict.DONE or job.is_closed:
                     log.info('job.handed_over', extra={'job_id': job.head.job_id})
                     self._owned.drop(job.head.job_id)
                     return
@@ -174,7 +174,7 @@
                     for progress in job.open.values()
                     if progress.events_count - (progress.saved_event_id or 0) >= SAVE_EVENTS
                 ]
-                if ahead and not job.is_finished and not self._owned.is_stopping:
+                if ahead and not job.is_closed and not self._owned.is_stopping:
                     self.save(job, ahead[:SAVE_ITEMS])
 
     def _run_head_polls(self) -> None:
@@ -186,7 +186,7 @@
         self._take_head(job, self._store.head(job.head.job_id))
 
     def _take_head(self, job: OwnedJob, stored: StoredHead | NoJob) -> None:
-        if isinstance(stored, NoJob) or job.is_finished or job.head.job_id in self._committing:
+        if isinstance(stored, NoJob) or job.is_closed or job.head.job_id in self._committing:
             return
         if stored.version > job.version and not stored.head.is_done:
             self._owned.lose(job.head.job_id, 'head changed')
--- a/citrondyke/gateway/jobs/job_endpoint.py
+++ b/citrondyke/gateway/jobs/job_endpoint.py
@@ -91,7 +91,7 @@
             self._answer_no_job(caller, call, facts, FOREIGN)
             return
         if job is not None:
-            while len(job.results) <= call.after and not job.is_finished:
+            while len(job.results) <= call.after and not job.is_closed:
                 left_ms = until_ms - self._context.now_ms()
                 if left_ms <= 0:
                     break
--- a/tests/test_batch/test_batch_needs.py
+++ b/tests/test_batch/test_batch_needs.py
@@ -118,9 +118,9 @@
 def test_owner_shares_with_all_until_others_had_the_time_to_tell() -> None:
     owner = Owner()
     owner.wait_for(5)
-    assert not owner.book.has_peer_demand(SERVICE)
+    assert not owner.book.is_peer_demand_known(SERVICE)
     owner.clock.ms += RENEW_MS
-    assert owner.book.has_peer_demand(SERVICE)
+    assert owner.book.is_peer_demand_known(SERVICE)
 
 
 def test_items_start_by_due_time_and_doubtful_ones_by_their_chance() -> None:
