--- a/citrondyke/platform/outside.py
+++ b/citrondyke/platform/outside.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from citrondyke.gateway.http_client import HttpClient
-from citrondyke.gateway.outside import Environment
+from citrondyke.gateway.platform_adapters import PlatformAdapters
 from citrondyke.gateway.replication.replicated_state import RowDecoder
 from citrondyke.gateway.store_traffic import StoreTraffic
 from citrondyke.platform.dialect import PlatformDialect
@@ -25,7 +25,9 @@
 __all__ = ('platform_outside',)
 
 
-def platform_outside(clock: Clock, settings: GatewaySettings, source_ip: str = '') -> Environment:
+def platform_outside(
+    clock: Clock, settings: GatewaySettings, source_ip: str = ''
+) -> PlatformAdapters:
     """Make the clients of the platform.
 
     :param source_ip: address to call the store from; empty for any.
@@ -33,7 +35,7 @@
     address = settings.store.address
     http = HttpClient(clock, address.ip, address.port, source_ip)
     traffic = StoreTraffic()
-    return Environment(
+    return PlatformAdapters(
         PlatformTable(http, settings.store.call_timeout_ms, traffic),
         PlatformObjects(http, settings.store.call_timeout_ms),
         CONFIG_TABLE,
--- a/citrondyke/platform/store_client.py
+++ b/citrondyke/platform/store_client.py
@@ -165,7 +165,7 @@
             return
         size_bytes = len(answer.body) if isinstance(answer, HttpAnswer) else 0
         is_answered = isinstance(answer, HttpAnswer) and answer.status in (OK, PRECONDITION_FAILED)
-        self._traffic.note(kind, table, size_bytes, is_answered=is_answered)
+        self._traffic.record(kind, table, size_bytes, is_answered=is_answered)
 
 
 class PlatformObjects(ObjectStore):
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -122,7 +122,9 @@
     def wait_version(self, version: int) -> None:
         """Wait until all instances have a version of the configuration."""
         wait_until_seen(
-            lambda: all(each.beliefs.config.current.version >= version for each in self.instances),
+            lambda: all(
+                each.replicated.config.current.version >= version for each in self.instances
+            ),
             f'version {version} everywhere',
         )
 
@@ -203,7 +205,7 @@
 
     def _is_ready(self, instance: GatewayInstance) -> bool:
         return (
-            instance.beliefs.is_complete
+            instance.replicated.is_complete
             and {state.listed.id for state in instance.book.states()} == set(self.servers)
             and len(instance.membership.peers) == len(self.instances) - 1
         )
@@ -266,7 +268,7 @@
     def end(self) -> None:
         """Stop everything."""
         for instance in self.instances:
-            instance.abandon()
+            instance.stop_abruptly()
         for server in self.servers.values():
             server.stop()
         self._wsgi.stop(timeout=0)
--- a/tests/support/limit_world.py
+++ b/tests/support/limit_world.py
@@ -247,7 +247,7 @@
             return
         if node.silent_until_ms <= self.now_ms:
             self._send(node, node.limits.tick())
-            self._run_marks(node)
+            self._poll_milestones(node)
         self.at(self.tick_ms * self.random.uniform(0.9, 1.1), lambda: self._tick(node))
 
     def _send(self, sender: Node, addressed: list[Addressed]) -> None:
@@ -273,9 +273,9 @@
                 waiting(each.message)
         else:
             self._send(node, node.limits.take(sender, each.message))
-            self._run_marks(node)
+            self._poll_milestones(node)
 
-    def _run_marks(self, node: Node) -> None:
+    def _poll_milestones(self, node: Node) -> None:
         for call in node.limits.prepaid_calls():
             if self.is_store_silent:
                 self.at(STORE_TIMEOUT_MS, partial(self._marked, node, call, None))
@@ -301,7 +301,7 @@
             self.at(wait_ms, partial(self._marked, node, call, row))
             return
         self._send(node, node.limits.record_prepaid(call, row))
-        self._run_marks(node)
+        self._poll_milestones(node)
 
     def _go_on(self, asking: _Asking) -> None:
         node = asking.node
@@ -314,7 +314,7 @@
         asked_ms = self.now_ms
         step = node.limits.next_step(asking.account, asking.need, asking.tried)
         self._send(node, node.limits.to_send())
-        self._run_marks(node)
+        self._poll_milestones(node)
         if isinstance(step, LimitVerdict):
             if step.kind is VerdictKind.UNKNOWN and asking.rounds < ROUNDS:
                 asking.tried, asking.rounds = set(), asking.rounds + 1
--- a/tests/test_batch/test_batch_give_way.py
+++ b/tests/test_batch/test_batch_give_way.py
@@ -6,8 +6,8 @@
 
 from citrondyke.decisions.batch.batch_preemption import (
     AT_RISK_MS,
+    LIMIT_WAIT_SHARE,
     SOON_WAIT_SHARE,
-    WAIT_SHARE,
     BatchPreemption,
     RunningItem,
     Urgency,
@@ -184,10 +184,10 @@
     for _ in range(20):
         floor.state.own.online = 3
         assert floor.give_way.to_cut(items) == []
-        floor.clock.ms += WAIT_SHARE * target_ms / 2
+        floor.clock.ms += LIMIT_WAIT_SHARE * target_ms / 2
         floor.state.own.online = 2
         assert floor.give_way.crowded([floor.state.life]) == set()
-        floor.clock.ms += WAIT_SHARE * target_ms / 2
+        floor.clock.ms += LIMIT_WAIT_SHARE * target_ms / 2
 
 
 def test_run_is_cut_for_a_request_that_would_wait() -> None:
@@ -196,7 +196,7 @@
     items = running(floor, target_ms, *[1_000.0, 5_000.0, 2_000.0] * 2)
     floor.state.own.batch, floor.state.own.online = 6, 3
     assert floor.give_way.to_cut(items) == []
-    floor.clock.ms += WAIT_SHARE * target_ms
+    floor.clock.ms += LIMIT_WAIT_SHARE * target_ms
     assert [item.remaining_ms for item in floor.give_way.to_cut(items)] == [5_000.0]
 
 
@@ -205,7 +205,7 @@
     items = running(floor, 300.0, *[5_000.0] * 5, 10.0)
     floor.state.own.batch, floor.state.own.online = 6, 3
     floor.give_way.to_cut(items)
-    floor.clock.ms += WAIT_SHARE * 300.0
+    floor.clock.ms += LIMIT_WAIT_SHARE * 300.0
     assert floor.give_way.to_cut(items) == []
 
 
@@ -229,7 +229,7 @@
     items = running(floor, target_ms, 5_000.0, 5_000.0)
     floor.state.own.batch, floor.state.own.online = 2, 7
     floor.give_way.to_cut(items)
-    floor.clock.ms += 2 * WAIT_SHARE * target_ms
+    floor.clock.ms += 2 * LIMIT_WAIT_SHARE * target_ms
     assert floor.give_way.to_cut(items) == []
     floor.clock.ms += SOON_WAIT_SHARE * target_ms
     assert len(floor.give_way.to_cut(items)) == 1
--- a/tests/test_crashes/test_crashes_suspects.py
+++ b/tests/test_crashes/test_crashes_suspects.py
@@ -219,20 +219,20 @@
     # and has a try left moves to a server of its own; the culprit comes again and again.
     rng = random.Random(seed)
     desk = Desk()
-    ends_count = 0
+    exits_count = 0
     answered = set()
     crowd: list[RequestContent] = []
     for turn in range(200):
         desk.clock.ms += 10.0
         crowd = [*[each for each in crowd if each not in answered][-8:], other(turn)]
         if turn % 5 == 0 and desk.book.standing(CULPRIT) in SENT:
-            ends_count += 1
+            exits_count += 1
             place = rng.randrange(5)
             beside = [each for index, each in enumerate(crowd) if index % 5 == place]
-            desk.end(1_000 + ends_count, CULPRIT, *beside)
+            desk.end(1_000 + exits_count, CULPRIT, *beside)
         for each in crowd[:4]:
             if desk.book.standing(each) in SENT:
                 desk.book.record_survived(each)
                 answered.add(each)
-    assert ends_count == 3
+    assert exits_count == 3
     assert all(desk.book.standing(other(turn)) in SENT for turn in range(200))
--- a/tests/test_decisions/test_decisions_list_readers.py
+++ b/tests/test_decisions/test_decisions_list_readers.py
@@ -42,9 +42,9 @@
     at = Listening()
     assert at.hear(position(3)) is MissingRows.NOTHING
     at.clock.ms += SILENT_MS - 1
-    assert at.watch.is_covered
+    assert at.watch.is_delegated
     at.clock.ms += 1
-    assert not at.watch.is_covered
+    assert not at.watch.is_delegated
 
 
 def test_a_server_that_leaves_is_heard_of_in_time_though_the_readers_are_gone() -> None:
@@ -59,9 +59,9 @@
     at = Listening()
     at.hear(position(3, age_ms=FRESH_MS - 100))
     at.clock.ms += 100
-    assert not at.watch.is_covered
+    assert not at.watch.is_delegated
     at.hear(position(3, age_ms=FRESH_MS))
-    assert not at.watch.is_covered
+    assert not at.watch.is_delegated
 
 
 def test_second_reader_with_the_same_list_covers_without_a_question() -> None:
@@ -70,7 +70,7 @@
     assert at.hear(position(40), SECOND) is MissingRows.NOTHING
     at.clock.ms += SILENT_MS
     assert at.hear(position(40), SECOND) is MissingRows.NOTHING
-    assert at.watch.is_covered
+    assert at.watch.is_delegated
 
 
 def test_lost_changes_are_asked_for_and_a_list_that_differs_for_long_as_a_whole() -> None:
@@ -85,7 +85,7 @@
     assert at.hear(position(4, digest=2)) is MissingRows.NOTHING
     at.clock.ms += 5_000.0
     assert at.hear(position(4, digest=2)) is MissingRows.EVERYTHING
-    assert not at.watch.is_covered
+    assert not at.watch.is_delegated
 
 
 def test_next_life_of_a_reader_counts_anew() -> None:
--- a/tests/test_forwarding/test_forwarding_admission.py
+++ b/tests/test_forwarding/test_forwarding_admission.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from citrondyke.decisions.forwarding.admission_rule import (
+    LIMIT_WAIT_SHARE,
     LONGEST_RETRY_MS,
-    WAIT_SHARE,
     AdmissionRule,
     Admitted,
     Rejected,
@@ -64,7 +64,7 @@
     fill(door, SLOTS + 2)
     answer = door.ask()
     assert isinstance(answer, Rejected)
-    assert answer.expected_wait_ms > WAIT_SHARE * door.route.target_ms
+    assert answer.expected_wait_ms > LIMIT_WAIT_SHARE * door.route.target_ms
 
 
 def test_batch_items_make_room_and_turn_nobody_away() -> None:
--- a/tests/test_gateway/test_beliefs/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Tests of the gateway's beliefs."""
--- a/tests/test_gateway/test_callers/test_callers_keys.py
+++ b/tests/test_gateway/test_callers/test_callers_keys.py
@@ -81,7 +81,7 @@
     # The store turns this instance away. Whether the key was added meanwhile it cannot know; told
     # 401 its caller would never try it again.
     keyed.store.faults.refused_ips = {each.address.ip for each in keyed.instances}
-    config = keyed.instances[0].beliefs.config
+    config = keyed.instances[0].replicated.config
     now_ms = keyed.instances[0].context.now_ms
     wait_until_seen(lambda: not config.is_confirmed(now_ms()), 'the configuration to grow old')
     reply = keyed.call('/fetch/x', x_api_key='nobodys')
@@ -135,7 +135,7 @@
     keyed.configure(3, accounts=[account('acme', ACME), account('other', ACME)])
     keyed.configure(4, accounts=[account('acme', ACME, rate_per_s=-1)])
     assert keyed.call('/fetch/x', x_api_key=OTHER).status == 200
-    assert keyed.instances[0].beliefs.config.current.version == 2
+    assert keyed.instances[0].replicated.config.current.version == 2
 
 
 def test_job_is_not_unknown_to_an_instance_that_has_no_configuration_yet(
@@ -144,7 +144,7 @@
     # An instance has just started: it reaches the store, and the configuration is still on its way.
     # Without it everybody looks like nobody's caller; told 404, the job's caller hands it in anew.
     assert keyed.submit('job-1', x_api_key=ACME).status == 202
-    config = keyed.instances[1].beliefs.config
+    config = keyed.instances[1].replicated.config
 
     def call_without_configuration(path: str, method: str) -> Reply:
         # The instance reads the configuration each second: only what it answers without it counts.
--- a/tests/test_gateway/test_callers/test_callers_limits.py
+++ b/tests/test_gateway/test_callers/test_callers_limits.py
@@ -94,7 +94,7 @@
 
 def test_steward_that_is_gone_is_followed(limited: GatewayFleet) -> None:
     # One of two instances ends; the other one must not refuse for good what nobody counts.
-    limited.instances[1].abandon()
+    limited.instances[1].stop_abruptly()
     assert wait_until_seen(
         lambda: limited.call('/fetch/x', request_id='again', x_api_key=KEY).status == 200,
         'a steward after the one that ended',
--- a/tests/test_gateway/test_jobs/test_jobs.py
+++ b/tests/test_gateway/test_jobs/test_jobs.py
@@ -123,7 +123,7 @@
     # silence, claims the job and lists every item once.
     slow_down(fleet)
     assert fleet.submit('job-1', 6, at=0).status == 202
-    fleet.instances[0].abandon()
+    fleet.instances[0].stop_abruptly()
     results = fleet.wait_done('job-1', at=1)
     assert sorted(each['id'] for each in results) == [f'job-1-{n}' for n in range(6)]
     assert {each['text'] for each in results} == {TEXT}
--- a/tests/test_gateway/test_jobs/test_jobs_job_intake.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_intake.py
@@ -5,7 +5,7 @@
 import gevent
 
 from citrondyke.gateway.callers.caller_request import CallerRequest
-from citrondyke.gateway.dialect import CallFacts
+from citrondyke.gateway.dialect import RequestMetadata
 from citrondyke.ids import RequestId
 from tests.support.gateway import GatewayFleet
 
@@ -34,10 +34,10 @@
     # instance without having heard anything, and its last try ends without an answer.
     instance = fleet.instances[0]
     (route,) = (
-        each for each in instance.beliefs.config.current.routes if each.name == 'batch-stream'
+        each for each in instance.replicated.config.current.routes if each.name == 'batch-stream'
     )
     request = CallerRequest(b'POST', b'/batch-stream/job', [], b'', instance.clock.now_ms())
     for within_ms, is_held in ((None, False), (5_000.0, True)):
-        facts = CallFacts(request_id=RequestId('job-1'), within_ms=within_ms)
-        wait = instance.batch.intake._begin_wait(request, facts, route)
+        metadata = RequestMetadata(request_id=RequestId('job-1'), within_ms=within_ms)
+        wait = instance.batch.intake._begin_wait(request, metadata, route)
         assert (wait.last_at_ms > wait.elsewhere_at_ms) is is_held
--- a/tests/test_gateway/test_peers/test_peers_knowledge.py
+++ b/tests/test_gateway/test_peers/test_peers_knowledge.py
@@ -34,9 +34,9 @@
 def test_answer_leaves_out_what_the_asking_instance_has(fleet: GatewayFleet) -> None:
     # A configuration may hold thousands of routes. While the store is away all ask, again and
     # again, and each was told the whole of it each time.
-    version = fleet.instances[0].beliefs.config.current.version
+    version = fleet.instances[0].replicated.config.current.version
     behind = known(fleet, instances_count=1, version=version - 1)
-    assert behind.table == fleet.instances[0].beliefs.config.current
+    assert behind.table == fleet.instances[0].replicated.config.current
     assert len(behind.peers) == len(fleet.instances)
     level = known(fleet, instances_count=len(fleet.instances), version=version)
     assert level.table is None
@@ -61,10 +61,10 @@
 def test_answer_leaves_out_the_list_that_the_asking_instance_has(fleet: GatewayFleet) -> None:
     # While the store is away 300 instances ask each other more than once a second; each answer
     # brought 500 KB of servers, though all had the same ones.
-    asking = fleet.instances[1].beliefs
+    asking = fleet.instances[1].replicated
     exchange = fleet.instances[0].peers.knowledge
     data = exchange.answer(
-        KnowledgeWanted(2, asking.list_digest), fleet.instances[1].beliefs.config.current.version
+        KnowledgeWanted(2, asking.list_digest), fleet.instances[1].replicated.config.current.version
     )
     known_there = decode_msgpack(data.data, StoreState)
     assert known_there.has_same_servers
@@ -73,9 +73,9 @@
     plain = exchange.answer(KnowledgeWanted(), ConfigVersion(0))
     assert len(whole.data) <= len(plain.data)
     assert decode_msgpack(expand(whole.data), StoreState).servers
-    before = list(asking.known_servers()[0])
+    before = list(asking.server_rows()[0])
     fleet.instances[1].peers.knowledge._ask(fleet.instances[0].address.ip)
-    assert asking.known_servers()[0] == before
+    assert asking.server_rows()[0] == before
 
 
 def test_start_without_the_store_is_served_by_a_seed_at_once(
@@ -88,4 +88,4 @@
     # Nobody but the first question can bring it.
     monkeypatch.setattr(store_state_exchange, 'ASK_EVERY_MS', 1e6)
     started = fleet.start_instance(seed_ips=(fleet.instances[0].address.ip,))
-    wait_until_seen(lambda: started.beliefs.is_complete, 'the new instance to serve')
+    wait_until_seen(lambda: started.replicated.is_complete, 'the new instance to serve')
--- a/tests/test_gateway/test_peers/test_peers_list_readers.py
+++ b/tests/test_gateway/test_peers/test_peers_list_readers.py
@@ -47,7 +47,7 @@
         return [each for each in self.instances if each.peers.list_readers.is_delegate_reader]
 
     def following(self) -> list[GatewayInstance]:
-        return [each for each in self.instances if each.peers.list_readers.is_covered]
+        return [each for each in self.instances if each.peers.list_readers.is_delegated]
 
     def wait_covered(self) -> None:
         wait_until_seen(
@@ -73,7 +73,7 @@
     def drop(self, instance: GatewayInstance) -> None:
         """End one instance without a word."""
         self.instances.remove(instance)
-        instance.abandon()
+        instance.stop_abruptly()
 
 
 @pytest.fixture
@@ -119,7 +119,7 @@
     # Few bytes are no reason to rely on a neighbour.
     gevent.sleep(0.5)
     assert not any(each.peers.list_readers.is_delegate_reader for each in fleet.instances)
-    assert not any(each.peers.list_readers.is_covered for each in fleet.instances)
+    assert not any(each.peers.list_readers.is_delegated for each in fleet.instances)
 
 
 @pytest.mark.parametrize('count', [1, 2])
@@ -164,13 +164,13 @@
 def test_lost_datagrams_are_made_up_by_the_next_position(readers: ReadersFleet) -> None:
     sends = []
     for reader in readers.reading():
-        teller = reader.peers.list_readers._teller
-        sends.append((teller, teller._send))
-        teller._send = lambda *_: None
+        publisher = reader.peers.list_readers._teller
+        sends.append((publisher, publisher._send))
+        publisher._send = lambda *_: None
     readers.list_server('app-1', 'app', state='draining', seq=2)
     gevent.sleep(0.6)
-    for teller, send in sends:
-        teller._send = send
+    for publisher, send in sends:
+        publisher._send = send
     wait_until_seen(lambda: len(readers.know_leaving('app-1')) == INSTANCES, 'all to know')
     readers.wait_covered()
 
@@ -195,7 +195,7 @@
     for _ in range(INSTANCES):
         readers.start_instance()
     wait_until_seen(
-        lambda: all(each.beliefs.is_complete for each in readers.instances), 'all to serve'
+        lambda: all(each.replicated.is_complete for each in readers.instances), 'all to serve'
     )
     assert len(readers.calls_by_ip) <= 2
     assert len(readers.config_reads) <= 2
@@ -212,14 +212,14 @@
         if f'instance-{number}' not in gone:
             instance = readers.start_instance(instance_id=f'instance-{number}')
     wait_until_seen(
-        lambda: all(each.beliefs.is_complete for each in readers.instances), 'all to serve'
+        lambda: all(each.replicated.is_complete for each in readers.instances), 'all to serve'
     )
 
 
 def test_zone_with_one_instance_reads_for_itself(readers: ReadersFleet) -> None:
     alone = readers.start_instance(zone=AvailabilityZone('zone-b'))
     readers.wait_ready()
-    assert not alone.peers.list_readers.is_covered
+    assert not alone.peers.list_readers.is_delegated
     readers.check_drain()
 
 
@@ -241,7 +241,7 @@
             return False
         return ask(listener, reader, ip)
 
-    follower = next(each for each in readers.instances if each.peers.list_readers.is_covered)
+    follower = next(each for each in readers.instances if each.peers.list_readers.is_delegated)
     readers.drop(follower)
     monkeypatch.setattr(ServerListSubscriber, 'ask', hanging)
     for each in readers.instances:
@@ -254,6 +254,6 @@
         callers=follower.address,
         health=Address(follower.address.ip, HEALTH_PORT),
     )
-    wait_until_seen(lambda: started.beliefs.is_complete, 'the start to be served')
+    wait_until_seen(lambda: started.replicated.is_complete, 'the start to be served')
     assert follower.address.ip not in readers.calls_by_ip
     powered.set()
--- /dev/null
+++ b/tests/test_gateway/test_replication/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of how an instance follows the store's tables."""
--- a/tests/test_gateway/test_beliefs/test_beliefs_dependency.py
+++ b/tests/test_gateway/test_replication/test_replication_dependency.py
@@ -11,10 +11,10 @@
     # and asked its peers for all that they know, each 400 ms: 232 KB a second and instance.
     clock = ManualClock()
     store = Dependency(clock, 'store')
-    store.note_call()
-    store.note_answer()
+    store.record_call()
+    store.record_answer()
     clock.ms += 3_000.0
-    assert store.silent_ms == 0.0
+    assert store.unanswered_ms == 0.0
     assert store.answer_age_ms == 3_000.0
 
 
@@ -22,16 +22,16 @@
     clock = ManualClock()
     store = Dependency(clock, 'store')
     clock.ms += 5_000.0
-    store.note_call()
+    store.record_call()
     clock.ms += LOST_AFTER_MS / 2
-    store.note_failure('refused')
+    store.record_failure('refused')
     assert not store.is_lost
-    store.note_call()
+    store.record_call()
     clock.ms += LOST_AFTER_MS / 2
-    store.note_failure('refused')
+    store.record_failure('refused')
     assert store.is_lost
-    assert store.silent_ms == LOST_AFTER_MS
-    store.note_call()
-    store.note_answer()
+    assert store.unanswered_ms == LOST_AFTER_MS
+    store.record_call()
+    store.record_answer()
     assert not store.is_lost
-    assert store.silent_ms == 0.0
+    assert store.unanswered_ms == 0.0
--- a/tests/test_gateway/test_beliefs/test_beliefs.py
+++ b/tests/test_gateway/test_replication/test_replication_state.py
@@ -12,7 +12,7 @@
 
 
 def version(fleet: GatewayFleet, at: int) -> int:
-    return fleet.instances[at].beliefs.config.current.version
+    return fleet.instances[at].replicated.config.current.version
 
 
 def wait_version(fleet: GatewayFleet, at: int) -> None:
@@ -51,7 +51,7 @@
     seed = fleet.instances[0].address.ip
     fleet.store.faults.refused_ips = {seed.rpartition('.')[0] + '.13'}
     fleet.start_instance(seed_ips=(seed,))
-    wait_until_seen(lambda: fleet.instances[2].beliefs.is_complete, 'the third instance')
+    wait_until_seen(lambda: fleet.instances[2].replicated.is_complete, 'the third instance')
     assert fleet.call('/fetch/a', at=2).status == 200
 
 
--- a/tests/test_gateway/test_beliefs/test_beliefs_table_follower.py
+++ b/tests/test_gateway/test_replication/test_replication_table_follower.py
@@ -6,9 +6,9 @@
 
 from citrondyke.gateway.replication.dependency import Dependency
 from citrondyke.gateway.replication.table_follower import (
+    DELEGATED_FULL_READ_FACTOR,
+    FULL_READS_BYTES_PER_S,
     REREAD_WINDOW_MS,
-    WHOLE_PROOF_FACTOR,
-    WHOLE_READS_BYTES_PER_S,
     TableFollower,
 )
 from citrondyke.storage.failure import PlatformFailure
@@ -89,7 +89,7 @@
         follower.clock.ms += 1_000.0
     assert follower.table.shown_bytes == len(LARGE)
     assert follower.current_count == 19
-    follower.clock.ms += len(LARGE) / WHOLE_READS_BYTES_PER_S * 1e3
+    follower.clock.ms += len(LARGE) / FULL_READS_BYTES_PER_S * 1e3
     follower.follower.poll_once()
     assert follower.table.shown_bytes == 2 * len(LARGE)
 
@@ -198,7 +198,9 @@
 def test_list_that_others_read_is_read_as_a_whole_now_and_then(follower: Follower) -> None:
     follower.put(LARGE)
     follower.follower.adopt(follower.table.version, len(LARGE))
-    follower.clock.ms += 1.5 * WHOLE_PROOF_FACTOR * len(LARGE) / WHOLE_READS_BYTES_PER_S * 1e3
+    follower.clock.ms += (
+        1.5 * DELEGATED_FULL_READ_FACTOR * len(LARGE) / FULL_READS_BYTES_PER_S * 1e3
+    )
     assert follower.follower.poll_once()
     assert follower.table.shown_bytes == len(LARGE)
 
--- a/tests/test_gateway/test_servers/test_servers_crash_fleet.py
+++ b/tests/test_gateway/test_servers/test_servers_crash_fleet.py
@@ -44,7 +44,7 @@
         state = self.book.state(ServerId(f's-{server}'))
         assert state is not None
         for content in contents:
-            self.guard.note_broken(state, content, BreakKind.SILENT, None)
+            self.guard.record_interrupted(state, content, BreakKind.SILENT, None)
         refused = BrokenReplyError(BreakKind.NO_CONNECTION)
         refused.__cause__ = ConnectionRefusedError()
         self.guard.record_connect_failure(state, refused)
@@ -77,16 +77,16 @@
         while pauses := [
             pause_ms
             for member in self.members.values()
-            if (pause_ms := member.guard.teller.next_pause_ms()) is not None
+            if (pause_ms := member.guard.publisher.next_pause_ms()) is not None
         ]:
             self.clock.ms += min(pauses)
             for member in self.members.values():
-                for news, receivers in member.guard.teller.take():
+                for news, receivers in member.guard.publisher.take():
                     self.sent_count += len(receivers)
                     for receiver in receivers:
                         is_lost = self._random.random() < self._lost_share
                         if receiver in self.members and not is_lost:
-                            self.members[receiver].guard.take(news)
+                            self.members[receiver].guard.on_message(news)
 
 
 @pytest.mark.parametrize(('instances_count', 'lost_share'), [(10, 0.1), (60, 0.1), (195, 0.0)])
--- a/tests/test_gateway/test_servers/test_servers_crashes.py
+++ b/tests/test_gateway/test_servers/test_servers_crashes.py
@@ -81,10 +81,10 @@
     before = fleet.runs_of(DEADLY)
     wait_until_seen(lambda: stored_suspects(fleet), 'its row')
     for instance in fleet.instances:
-        instance.abandon()
+        instance.stop_abruptly()
     new = fleet.start_instance()
     wait_until_seen(lambda: len(new.suspects), 'the new instance to know of it')
-    wait_until_seen(lambda: new.beliefs.is_complete, 'the new instance to be ready')
+    wait_until_seen(lambda: new.replicated.is_complete, 'the new instance to be ready')
     assert fleet.call('/fetch/a', DEADLY, at=2, request_id='after').status == 502
     assert fleet.runs_of(DEADLY) == before
 
@@ -103,7 +103,7 @@
     assert fleet.call('/fetch/a', DEADLY, request_id='well').status == 200
     content = content_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
     for instance in fleet.instances:
-        wait_until_seen(lambda: not instance.guard.ends_count(content), 'it to be cleared')  # noqa: B023
+        wait_until_seen(lambda: not instance.guard.exits_count(content), 'it to be cleared')  # noqa: B023
 
 
 def test_stream_beside_a_deadly_one_goes_on_elsewhere(fleet: GatewayFleet) -> None:
@@ -150,7 +150,7 @@
             instance.suspects.record_server_exit(content, server, is_fresh=True)
     fleet.instances[1].suspect_store.save(content)
     for instance in fleet.instances:
-        wait_until_seen(lambda: instance.guard.ends_count(content) == 3.0, 'all three ends')  # noqa: B023
+        wait_until_seen(lambda: instance.guard.exits_count(content) == 3.0, 'all three ends')  # noqa: B023
 
 
 def test_servers_own_failure_clears_nothing(fleet: GatewayFleet) -> None:
@@ -162,7 +162,7 @@
         server.acts.extend([Act.FAIL] * 4)
     content = content_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
     assert fleet.call('/fetch/a', DEADLY, request_id='failed').status == 500
-    assert fleet.instances[0].guard.ends_count(content) == 2.0
+    assert fleet.instances[0].guard.exits_count(content) == 2.0
 
 
 def test_item_that_makes_room_while_its_servers_end_is_looked_for_goes_on(
@@ -177,7 +177,7 @@
             run.cut()
         gevent.sleep(0.05)
 
-    monkeypatch.setattr(fleet.instances[0].guard, '_probe', tell_to_make_room)
+    monkeypatch.setattr(fleet.instances[0].guard, '_check_exit', tell_to_make_room)
     for server in fleet.servers.values():
         server.acts.extend([Act.CUT] * 2)
     assert fleet.submit('job', 4).status == 202
--- a/tests/test_gateway/test_servers/test_servers_reply_reader.py
+++ b/tests/test_gateway/test_servers/test_servers_reply_reader.py
@@ -54,8 +54,8 @@
     reader = read(data + extra, [len(data)] * cut)
     assert reader.is_whole
     assert reader.take() == b'hello'
-    assert not reader.may_be_followed
-    assert read(data).may_be_followed
+    assert not reader.is_reusable
+    assert read(data).is_reusable
 
 
 @pytest.mark.parametrize('data', [LENGTH, CHUNKS])
@@ -90,7 +90,7 @@
     head = LENGTH[: -len(b'hello')]
     assert read(head, is_bodiless=True).is_whole
     assert not read(head).is_whole
-    assert read(b'HTTP/1.1 304 Not Modified\r\nA: b\r\n\r\n').may_be_followed
+    assert read(b'HTTP/1.1 304 Not Modified\r\nA: b\r\n\r\n').is_reusable
 
 
 @given(st.binary(max_size=300))
--- a/tests/test_gateway/test_servers/test_servers_suspect_store.py
+++ b/tests/test_gateway/test_servers/test_servers_suspect_store.py
@@ -11,7 +11,7 @@
     SuspectVerdict,
 )
 from citrondyke.gateway.replication.dependency import Dependency
-from citrondyke.gateway.servers.suspect_store import SILENT_MS, TRIES, SuspectStore
+from citrondyke.gateway.servers.suspect_store import ATTEMPTS_LIMIT, UNRESPONSIVE_MS, SuspectStore
 from citrondyke.storage.partitioned_table import PartTransaction, RowPut
 from tests.support.flaky_table import FlakyTable, Trouble
 from tests.support.gateway import HOST, GatewayFleet, wait_until_seen
@@ -78,8 +78,8 @@
 
 def test_no_trial_while_the_store_is_silent(floor: Floor) -> None:
     member = floor.members[0]
-    member.dependency.note_call()
-    floor.clock.ms += SILENT_MS + 1.0
+    member.dependency.record_call()
+    floor.clock.ms += UNRESPONSIVE_MS + 1.0
     assert not member.claim()
 
 
@@ -106,10 +106,10 @@
         lambda: 1.0,
     )
     missed.record_server_exit(CULPRIT, 4, is_fresh=True)
-    store.look(other := content_of(b'POST', b'h', b'/p/', b'other'))
+    store.read_row(other := content_of(b'POST', b'h', b'/p/', b'other'))
     assert missed.score(other) == 0.0
     assert missed.score(CULPRIT) == 1.0
-    store.look(CULPRIT)
+    store.read_row(CULPRIT)
     assert missed.score(CULPRIT) == 4.0
 
 
@@ -137,7 +137,7 @@
     for server in (1, 2, 3):
         first.suspects.record_server_exit(content, server, is_fresh=True)
     first.suspect_store.save(content)
-    wait_until_seen(lambda: first.suspect_store.failed_count > TRIES, 'tries in vain')
+    wait_until_seen(lambda: first.suspect_store.failed_count > ATTEMPTS_LIMIT, 'tries in vain')
     faults.refused_ips = set()
     other.peers.stop()
     wait_until_seen(lambda: other.suspects.score(content) == 3.0, 'the row')
--- a/tests/test_platform/test_platform_decoding.py
+++ b/tests/test_platform/test_platform_decoding.py
@@ -166,15 +166,15 @@
 
 
 def test_replies_tell_whether_they_ran() -> None:
-    facts = PlatformDialect().reply_facts
+    metadata = PlatformDialect().reply_metadata
     mark = (b'response-seal', b'x')
-    assert facts(ReplyHead(200, [mark])).is_signed
-    assert not facts(ReplyHead(200, [mark, (b'content-encoding', b'gzip')])).is_signed
-    assert facts(ReplyHead(503, [(b'not-executed', b'1')])).was_not_run
-    assert not facts(ReplyHead(503, [mark])).was_not_run
-    assert facts(ReplyHead(421, [])).is_misplaced
-    assert facts(ReplyHead(200, [(b'instance-load', b'3,1,8')])).load == (3, 1)
-    assert facts(ReplyHead(200, [(b'instance-load', b'many')])).load is None
+    assert metadata(ReplyHead(200, [mark])).is_signed
+    assert not metadata(ReplyHead(200, [mark, (b'content-encoding', b'gzip')])).is_signed
+    assert metadata(ReplyHead(503, [(b'not-executed', b'1')])).was_not_run
+    assert not metadata(ReplyHead(503, [mark])).was_not_run
+    assert metadata(ReplyHead(421, [])).is_misplaced
+    assert metadata(ReplyHead(200, [(b'instance-load', b'3,1,8')])).load == (3, 1)
+    assert metadata(ReplyHead(200, [(b'instance-load', b'many')])).load is None
 
 
 def test_job_calls_are_recognized() -> None:
@@ -217,8 +217,8 @@
 def test_any_headers_are_read(name: bytes, value: bytes) -> None:
     dialect = PlatformDialect()
     pairs = [(name.lower(), value), (b'deadline-ms', value), (b'last-event-id', value)]
-    dialect.call_facts(CallerRequest(b'GET', b'/', pairs, b'', 0.0))
-    dialect.reply_facts(ReplyHead(200, [(b'instance-load', value), (b'attempt-id', value)]))
+    dialect.request_metadata(CallerRequest(b'GET', b'/', pairs, b'', 0.0))
+    dialect.reply_metadata(ReplyHead(200, [(b'instance-load', value), (b'attempt-id', value)]))
 
 
 def test_check_settings_takes_both_forms(tmp_path: Path) -> None:
--- a/tests/test_platform/test_platform_foreign_entries.py
+++ b/tests/test_platform/test_platform_foreign_entries.py
@@ -63,7 +63,7 @@
         self.book = ServerRegistry(context)
         decoder = RowDecoder(CONFIG_KEY, decode_config, decode_server)
         self.over: list[str] = []
-        self.beliefs = ReplicatedState(
+        self.replicated = ReplicatedState(
             context,
             decoder,
             self.book,
@@ -108,20 +108,20 @@
     by_feed, by_read = Believer(), Believer()
     before = [row('i-1', 5, GOOD), row('i-2', 6, GOOD)]
     for believer in (by_feed, by_read):
-        believer.beliefs.on_server_listing(before, 6)
-    by_feed.beliefs.on_server_rows([row('i-1', 7, raw)])
-    by_read.beliefs.on_server_listing([row('i-1', 7, raw), row('i-2', 6, GOOD)], 7)
+        believer.replicated.on_server_listing(before, 6)
+    by_feed.replicated.on_server_rows([row('i-1', 7, raw)])
+    by_read.replicated.on_server_listing([row('i-1', 7, raw), row('i-2', 6, GOOD)], 7)
     assert by_feed.ids() == by_read.ids() == {'i-2'}
     for believer in (by_feed, by_read):
-        believer.beliefs.on_server_rows([row('i-1', 8, GOOD)])
+        believer.replicated.on_server_rows([row('i-1', 8, GOOD)])
         assert believer.ids() == {'i-1', 'i-2'}
 
 
 def test_outage_keeps_no_server_whose_entry_another_writer_holds() -> None:
     believer = Believer()
-    believer.beliefs.on_server_listing([row('i-1', 5, GOOD)], 5)
-    believer.beliefs._servers.record_outage(1_000.0)
-    believer.beliefs.on_server_rows([row('i-1', 7, b'?')])
+    believer.replicated.on_server_listing([row('i-1', 5, GOOD)], 5)
+    believer.replicated._servers.record_outage(1_000.0)
+    believer.replicated.on_server_rows([row('i-1', 7, b'?')])
     assert believer.ids() == set()
 
 
@@ -130,12 +130,12 @@
     # would be final for it.
     believer = Believer()
     config = msgspec.json.encode({'version': 1, 'routes': []})
-    believer.beliefs.on_config_listing([PartRow('op', '', CONFIG_KEY, 3, config)], 3)
-    assert believer.beliefs.config.is_confirmed(1_000.0)
+    believer.replicated.on_config_listing([PartRow('op', '', CONFIG_KEY, 3, config)], 3)
+    assert believer.replicated.config.is_confirmed(1_000.0)
     for raw in (DEEP, b'\xff', b'{"version":"x"}', b'{"version":-1}'):
         other = Believer()
-        other.beliefs.on_config_listing([PartRow('op', '', CONFIG_KEY, 4, raw)], 4)
-        assert not other.beliefs.config.is_confirmed(1_000.0)
+        other.replicated.on_config_listing([PartRow('op', '', CONFIG_KEY, 4, raw)], 4)
+        assert not other.replicated.config.is_confirmed(1_000.0)
 
 
 @given(
@@ -154,9 +154,9 @@
 )
 def test_no_bytes_leave_the_decoder_or_change_another_entry(raw: bytes) -> None:
     believer = Believer()
-    believer.beliefs.on_server_listing([row('i-2', 6, GOOD)], 6)
-    believer.beliefs.on_server_rows([row('i-1', 7, raw)])
-    believer.beliefs.on_config_changes([PartRow('op', '', CONFIG_KEY, 8, raw)])
+    believer.replicated.on_server_listing([row('i-2', 6, GOOD)], 6)
+    believer.replicated.on_server_rows([row('i-1', 7, raw)])
+    believer.replicated.on_config_changes([PartRow('op', '', CONFIG_KEY, 8, raw)])
     state = believer.book.state(ServerId('i-2'))
     assert state is not None
     assert state.listed == decode_server('i-2', GOOD)
--- a/tests/test_servers/test_servers_pace.py
+++ b/tests/test_servers/test_servers_pace.py
@@ -16,7 +16,7 @@
 
 
 def pace_of(value: bytes) -> float | None:
-    return PlatformDialect().reply_facts(ReplyHead(200, [(b'instance-load', value)])).pace
+    return PlatformDialect().reply_metadata(ReplyHead(200, [(b'instance-load', value)])).pace
 
 
 @pytest.mark.parametrize(
@@ -32,21 +32,21 @@
 def test_odd_figure_is_ignored_and_the_counts_are_not(figure: bytes) -> None:
     # A server states nonsense of its machine; taken at its word it would draw or lose everybody.
     value = b'3,1,8,' + figure
-    facts = PlatformDialect().reply_facts(ReplyHead(200, [(b'instance-load', value)]))
-    assert facts.load == (3, 1)
-    assert facts.pace is not None
+    metadata = PlatformDialect().reply_metadata(ReplyHead(200, [(b'instance-load', value)]))
+    assert metadata.load == (3, 1)
+    assert metadata.pace is not None
     pace = ReportedSlowdown()
-    assert not pace.note(facts.pace, 0.0)
+    assert not pace.note(metadata.pace, 0.0)
     assert pace.factor(0.0) == 1.0
 
 
 def test_absurd_count_does_not_hide_a_server_from_all() -> None:
-    facts = PlatformDialect().reply_facts(
+    metadata = PlatformDialect().reply_metadata(
         ReplyHead(200, [(b'instance-load', b'1' * 6_000 + b',0')])
     )
-    assert facts.load is not None
+    assert metadata.load is not None
     state = ServerState(listed_server('s-0', 's'), ServerIncarnation('s-0'))
-    state.record_reported_load(*facts.load, 0.0)
+    state.record_reported_load(*metadata.load, 0.0)
     assert state.total_count(0.0) <= 16 * 8
 
 
