--- a/tests/test_forwarding/test_forwarding_admission.py
+++ b/tests/test_forwarding/test_forwarding_admission.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from citrondyke.decisions.forwarding.admission_rule import (
-    LIMIT_WAIT_SHARE,
-    LONGEST_RETRY_MS,
+    MAX_RETRY_MS,
+    WAIT_SHARE,
     AdmissionRule,
     Admitted,
     Rejected,
@@ -64,7 +64,7 @@
     fill(door, SLOTS + 2)
     answer = door.ask()
     assert isinstance(answer, Rejected)
-    assert answer.expected_wait_ms > LIMIT_WAIT_SHARE * door.route.target_ms
+    assert answer.expected_wait_ms > WAIT_SHARE * door.route.target_ms
 
 
 def test_batch_items_make_room_and_turn_nobody_away() -> None:
@@ -93,7 +93,7 @@
         door.clock.ms += 100.0
     assert times[0] < 300.0
     assert times[-1] > 1_000.0
-    assert max(times) <= LONGEST_RETRY_MS * 1.25
+    assert max(times) <= MAX_RETRY_MS * 1.25
     door.clock.ms += 10_000.0
     later = door.ask()
     assert isinstance(later, Rejected)
