--- a/tests/test_batch/test_batch_give_way.py
+++ b/tests/test_batch/test_batch_give_way.py
@@ -6,8 +6,8 @@
 
 from citrondyke.decisions.batch.batch_preemption import (
     AT_RISK_MS,
-    WAIT_SHARE,
     SOON_WAIT_SHARE,
+    WAIT_SHARE,
     BatchPreemption,
     RunningItem,
     Urgency,
