--- a/tests/test_gateway/test_replication/__init__.py
+++ b/tests/test_gateway/test_replication/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of how an instance follows the store's tables."""
+"""Tests of the gateway's beliefs."""
