--- a/benchmarks/gateway_load.py
+++ b/benchmarks/gateway_load.py
@@ -21,7 +21,7 @@
     Policy,
     RandomOfTwo,
 )
-from citrondyke.decisions.batch.batch_preemption import BatchPreemption, RunningItem, Urgency
+from citrondyke.decisions.batch.batch_scheduler import BatchScheduler, RunningItem, Urgency
 from citrondyke.decisions.batch.start_rate_limiter import StartRateLimiter
 from citrondyke.decisions.core.context import Context
 from citrondyke.decisions.forwarding.load_notices import RENEW_MS
@@ -111,7 +111,7 @@
         self.batch_ms = 0.0
         self._policies = [self._new_instance(policy, n) for n in range(INSTANCES)]
         self._ways = [
-            BatchPreemption(
+            BatchScheduler(
                 each.context, each.book, StartRateLimiter(each.context, each.book.neighbours)
             )
             for each in self._policies
@@ -271,7 +271,7 @@
         for instance, way in enumerate(self._ways):
             if self._gives_way:
                 self._cut(instance, way)
-            while (state := way.choose(SERVICE, Urgency.PATIENT)) is not None:
+            while (state := way.choose_server(SERVICE, Urgency.PATIENT)) is not None:
                 self._count(instance, state.listed.id, batch=1)
                 self._enter(state.listed.id, _Run(instance, None, ITEM_MS))
 
@@ -280,7 +280,7 @@
         assert state is not None
         return state.life
 
-    def _cut(self, instance: int, way: BatchPreemption) -> None:
+    def _cut(self, instance: int, way: BatchScheduler) -> None:
         runs = [
             (server_id, run)
             for server_id, server in self._servers.items()
@@ -291,7 +291,7 @@
             RunningItem(number, self._life(instance, server_id), run.started_ms, Urgency.PATIENT)
             for number, (server_id, run) in enumerate(runs)
         ]
-        for item in way.to_cut(items):
+        for item in way.items_to_preempt(items):
             server_id, run = runs[item.number]
             if run in self._servers[server_id].running:
                 self.batch_ms += self.clock.ms - run.started_ms
--- a/citrondyke/gateway/instance.py
+++ b/citrondyke/gateway/instance.py
@@ -362,7 +362,7 @@
             self.book.neighbours.replace(
                 {instance_id: beat.zone for instance_id, beat in self.membership.peers.items()}
             )
-            self._live.pace = self._store_interval_factor()
+            self._live.timeout_factor = self._store_interval_factor()
             self.replicated.reconcile('grace')
             self.peers.list_readers.look()
 
