--- a/citrondyke/gateway/jobs/item_sender.py
+++ b/citrondyke/gateway/jobs/item_sender.py
@@ -101,7 +101,7 @@
         self, connection: ServerConnection, progress: ItemProgress, until_ms: float
     ) -> None:
         splitter = EventSplitter(progress.last_event_id)
-        while (piece := connection.read_piece(until_ms)) is not None:
+        while (piece := connection.read_chunk(until_ms)) is not None:
             until_ms = self._context.now_ms() + EVENT_MS
             for event in splitter.feed(piece):
                 progress.first_event_ms = progress.first_event_ms or until_ms - EVENT_MS
