--- a/benchmarks/account_limits.py
+++ b/benchmarks/account_limits.py
@@ -17,7 +17,7 @@
 from benchmarks.counted_limits import CountedLimits
 from citrondyke.decisions.accounts.account import Account
 from citrondyke.decisions.accounts.fleet_rate_limiter import VerdictKind
-from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
+from citrondyke.decisions.accounts.steward_rate_limiter import StewardRateLimiter
 from citrondyke.ids import TenantId
 from tests.support.limit_world import LimitWorld, Make, allowed_in_window
 
@@ -54,8 +54,8 @@
 def _halves(world: LimitWorld) -> None:
     names = list(world.nodes)
     half = len(names) // 2
-    world.cuts = {frozenset((a, b)) for a in names[:half] for b in names[half:]}
-    world.at(6_000.0, world.cuts.clear)
+    world.cut_links = {frozenset((a, b)) for a in names[:half] for b in names[half:]}
+    world.at(6_000.0, world.cut_links.clear)
 
 
 def _all_killed(world: LimitWorld) -> None:
@@ -119,7 +119,7 @@
         'busiest',
         'us a request, simulation too',
     )
-    ways: dict[str, Make] = {'steward': StewardLimits, 'counted': CountedLimits}
+    ways: dict[str, Make] = {'steward': StewardRateLimiter, 'counted': CountedLimits}
     for name, make in ways.items():
         for size in SIZES:
             for fault_name, fault in FAULTS.items():
--- a/benchmarks/counted_limits.py
+++ b/benchmarks/counted_limits.py
@@ -67,14 +67,14 @@
             return LimitVerdict(VerdictKind.WITHIN)
         now_ms = self._context.clock.fence_ms()
         bucket = self._bucket(account)
-        if bucket.take(
+        if bucket.try_consume(
             account.rate_per_s, self._tolerance.depth(account.rate_per_s, account.burst), now_ms
         ):
             self._untold[account.id] = self._untold.get(account.id, 0) + 1
             return LimitVerdict(VerdictKind.WITHIN)
         return LimitVerdict(VerdictKind.OVER, bucket.wait_ms(account.rate_per_s))
 
-    def note_answer(
+    def apply_answer(
         self, account: Account, sender: InstanceId, answer: UseAnswered
     ) -> LimitVerdict | None:
         """Take in nothing: nobody is asked."""
@@ -82,7 +82,7 @@
     def record_no_reply(self, account: Account, receiver: InstanceId) -> None:
         """Take in nothing: nobody is asked."""
 
-    def take(self, sender: InstanceId, message: LimitMessage) -> list[Addressed]:
+    def on_message(self, sender: InstanceId, message: LimitMessage) -> list[Addressed]:
         """Take out what was used elsewhere."""
         if isinstance(message, UsesTold):
             for account_id, count in message.uses:
--- a/benchmarks/drained_bucket.py
+++ b/benchmarks/drained_bucket.py
@@ -15,5 +15,5 @@
         self.add(-count)
 
     def wait_ms(self, rate_per_s: float) -> float:
-        """Give the time until there is room for one, as of the last ``take``."""
+        """Give the time until there is room for one, as of the last ``try_consume``."""
         return max(0.0, 1.0 - self._level) / rate_per_s * 1e3
--- a/benchmarks/kept_admission.py
+++ b/benchmarks/kept_admission.py
@@ -10,7 +10,7 @@
     WAIT_SHARE,
     Rejected,
 )
-from citrondyke.decisions.reservations.kept_places import KeptPlaces
+from citrondyke.decisions.reservations.reservations import Reservations
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
@@ -32,22 +32,22 @@
     def __init__(self, context: Context, book: ServerRegistry) -> None:
         """Keep nothing yet."""
         super().__init__(context, book)
-        self._places = KeptPlaces()
+        self._places = Reservations()
 
     def choose_for(self, key: int) -> ServerId | float:
         """Choose for a request that may come back to its place."""
         now_ms = self.context.now_ms()
-        self._places.lapse(now_ms)
+        self._places.expire(now_ms)
         state = self.book.choose(SERVICE, (), '')
         assert state is not None
         slots = sum(each.listed.slots_count for each in self.book.usable(SERVICE))
-        if self._places.find(key) is not None:
-            self._places.take(key)
+        if self._places.due_ms_of(key) is not None:
+            self._places.consume(key)
             return state.listed.id
         answer = self.decide(state)
         gap_ms = STAY_MS / slots * self.book.neighbours.instances_count / self.share
         # Places that are due are not given to who comes now.
-        kept_ms = self._places.due_by(now_ms) * gap_ms * self.share
+        kept_ms = self._places.count_due(now_ms) * gap_ms * self.share
         if not isinstance(answer, Rejected):
             if answer.expected_wait_ms + kept_ms <= WAIT_SHARE * AIM_MS:
                 return state.listed.id
@@ -56,7 +56,7 @@
             wait_ms = answer.expected_wait_ms - WAIT_SHARE * AIM_MS
         due_ms = self._places.next_due_ms(now_ms + wait_ms + kept_ms, gap_ms)
         if due_ms <= now_ms + MAX_RETRY_MS:
-            self._places.keep(key, due_ms)
+            self._places.reserve(key, due_ms)
         return due_ms - now_ms
 
 
--- a/citrondyke/decisions/accounts/account_quota.py
+++ b/citrondyke/decisions/accounts/account_quota.py
@@ -7,8 +7,8 @@
 from citrondyke.decisions.accounts.overshoot_budget import ADVANCE_GRANT_MS, GRANT_MS
 from citrondyke.decisions.accounts.slot_lease import LEASE_MS
 from citrondyke.decisions.accounts.use_window_counter import UseWindowCounter
-from citrondyke.decisions.reservations.kept_places import KeptPlaces
 from citrondyke.decisions.reservations.rejected_work import RejectedWork
+from citrondyke.decisions.reservations.reservations import Reservations
 
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
@@ -32,84 +32,84 @@
     uses in a second would fill the servers, and leave nothing until the window is over.
     """
 
-    def __init__(self, tolerance: OvershootBudget, bucket: TokenBucket, since_ms: float) -> None:
+    def __init__(self, budget: OvershootBudget, bucket: TokenBucket, since_ms: float) -> None:
         """Begin with a lease.
 
         :param since_ms: since when the ring knows all uses.
         """
-        self._tolerance = tolerance
+        self._budget = budget
         self._bucket = bucket
         self._since_ms = since_ms
-        self._ring = UseWindowCounter(tolerance.window_ms + GRANT_MS)
-        self._refused = UseWindowCounter(tolerance.window_ms)
+        self._ring = UseWindowCounter(budget.window_ms + GRANT_MS)
+        self._rejected = UseWindowCounter(budget.window_ms)
         #: The highest depth in this lease; by it keepers know the floor of an account not named.
         self.max_depth = 0.0
-        self.places = KeptPlaces()
-        self.turned_away = RejectedWork()
+        self.reservations = Reservations()
+        self.rejected_work = RejectedWork()
         self._next_ahead_ms = float('-inf')
         #: Until when some instance refuses without asking; it does not know of later places.
         self.local_rejection_until_ms = float('-inf')
 
-    def level(self, account: Account, now_ms: float) -> float:
+    def remaining(self, account: Account, now_ms: float) -> float:
         """Give what is left before the account has had all of its burst."""
-        depth = self._tolerance.depth(account.rate_per_s, account.burst)
+        depth = self._budget.depth(account.rate_per_s, account.burst)
         self.max_depth = max(self.max_depth, depth)
-        level = self._bucket.level(account.rate_per_s, depth, now_ms)
+        level = self._bucket.remaining(account.rate_per_s, depth, now_ms)
         # A limit that was lowered would hold back for longer than what it was lowered to.
         lowest = -account.rate_per_s * (ADVANCE_GRANT_MS + LEASE_MS) / 1e3
         if level < lowest:
             self._bucket.add(lowest - level)
         return max(level, lowest)
 
-    def fill(self, count: float) -> None:
+    def add_remaining(self, count: float) -> None:
         """Take in that the account had more left."""
         self._bucket.add(count)
 
     def has_counted_full_window(self, now_ms: float) -> bool:
         """Tell whether all uses of the window were counted here."""
-        return now_ms >= self._since_ms + self._tolerance.window_ms + GRANT_MS
+        return now_ms >= self._since_ms + self._budget.window_ms + GRANT_MS
 
     def free_at_ms(
-        self, account: Account, now_ms: float, *, may_advance: bool, is_place: bool
+        self, account: Account, now_ms: float, *, may_advance: bool, is_reserved: bool
     ) -> float:
         """Give when the next use may begin.
 
-        :param is_place: whether it is one for which a place is kept; others wait for the places
+        :param is_reserved: whether it is one for which a place is kept; others wait for the places
             that fall due before them.
         """
-        if is_place:
+        if is_reserved:
             return self._free_after(account, now_ms, 0, 0, may_advance=may_advance)
-        kept = len(self.places)
+        kept = len(self.reservations)
         at_ms = self._free_after(account, now_ms, 0, kept, may_advance=may_advance)
-        if at_ms < self._next_ahead_ms and self.level(account, now_ms) < 1.0:
+        if at_ms < self._next_ahead_ms and self.remaining(account, now_ms) < 1.0:
             at_ms = self._next_ahead_ms
         for _ in range(MAX_SCANS):
-            ahead = self.places.due_by(at_ms)
+            ahead = self.reservations.count_due(at_ms)
             later_ms = self._free_after(account, now_ms, ahead, kept, may_advance=may_advance)
             if later_ms <= at_ms:
                 break
             at_ms = later_ms
         return at_ms
 
-    def take(self, account: Account, at_ms: float, now_ms: float) -> None:
+    def consume(self, account: Account, at_ms: float, now_ms: float) -> None:
         """Count a use that begins at a moment."""
-        if self.level(account, now_ms) < 1.0:
+        if self.remaining(account, now_ms) < 1.0:
             gap_ms = 1e3 / (ADVANCE_RATE_FACTOR * account.rate_per_s)
             self._next_ahead_ms = max(self._next_ahead_ms, at_ms) + gap_ms
         self._bucket.add(-1.0)
-        self._ring.note(at_ms)
+        self._ring.record(at_ms)
 
-    def record_refused(self, now_ms: float) -> None:
+    def record_rejected(self, now_ms: float) -> None:
         """Count a refusal."""
-        self._refused.note(now_ms)
+        self._rejected.record(now_ms)
 
     def window_uses_count(self, now_ms: float) -> int:
         """Give how many uses there were in the last window."""
         return self._ring.count(now_ms)
 
-    def refused_count(self, now_ms: float) -> int:
+    def rejected_count(self, now_ms: float) -> int:
         """Give how many refusals there were in the last window."""
-        return self._refused.count(now_ms)
+        return self._rejected.count(now_ms)
 
     def _free_after(
         self, account: Account, now_ms: float, ahead: int, kept: int, *, may_advance: bool
@@ -120,12 +120,12 @@
         :param kept: all places; the window must have room left for them.
         """
         rate_per_s = account.rate_per_s
-        level = self.level(account, now_ms) - ahead
+        level = self.remaining(account, now_ms) - ahead
         by_level_ms = now_ms + max(0.0, 1.0 - level) / rate_per_s * 1e3
         if level >= 1.0 or not may_advance or not self.has_counted_full_window(now_ms):
             return by_level_ms
         lowest = 1.0 - rate_per_s * ADVANCE_GRANT_MS / 1e3
         ahead_ms = now_ms + max(0.0, lowest - level) / rate_per_s * 1e3
-        allowed = self._tolerance.advance_grant_limit(rate_per_s, account.burst)
+        allowed = self._budget.advance_grant_limit(rate_per_s, account.burst)
         room_ms = self._ring.fits_at_ms(now_ms, allowed, kept + 1)
         return min(by_level_ms, max(ahead_ms, room_ms))
--- a/citrondyke/decisions/accounts/advance_grant_records.py
+++ b/citrondyke/decisions/accounts/advance_grant_records.py
@@ -11,7 +11,7 @@
 #: A call that brought nothing is repeated after this: the store is out of reach for seconds.
 RETRY_MS = 200.0
 #: A mark stays for so long after its account has filled up again: it is likely to be needed soon.
-STAY_MS = 5_000.0
+RECORD_HOLD_MS = 5_000.0
 
 
 class AdvanceGrantRow(msgspec.Struct, frozen=True):
@@ -44,7 +44,7 @@
     def __init__(self, slot: int, era: int) -> None:
         """Know nothing yet."""
         self._slot = slot
-        self._era = era
+        self._lease_epoch = era
         self._row: AdvanceGrantRow | None = None
         #: Accounts that ask for a mark, and until when each keeps it.
         self._wanted_until_ms: dict[TenantId, float] = {}
@@ -56,7 +56,7 @@
         """List accounts that have a mark or ask for one."""
         return set(self._wanted_until_ms) | (self._row.accounts if self._row else frozenset())
 
-    def has(self, account: TenantId) -> bool:
+    def is_recorded(self, account: TenantId) -> bool:
         """Tell whether an account certainly has its mark and keeps it."""
         row = self._row
         if row is None or not row.is_written:
@@ -64,17 +64,17 @@
             return False
         return account in row.accounts and account in self._wanted_until_ms
 
-    def want(self, account: TenantId, now_ms: float) -> None:
+    def request_record(self, account: TenantId, now_ms: float) -> None:
         """Ask for a mark, or keep it for longer."""
-        self._wanted_until_ms[account] = now_ms + STAY_MS
+        self._wanted_until_ms[account] = now_ms + RECORD_HOLD_MS
 
-    def next_call(self, now_ms: float) -> AdvanceGrantStoreCall | None:
+    def next_store_call(self, now_ms: float) -> AdvanceGrantStoreCall | None:
         """Give what the store is to be asked now; one call at a time."""
         if self._is_calling or now_ms < self._retry_at_ms:
             return None
         if self._row is None:
             self._is_calling = True
-            return AdvanceGrantStoreCall(self._slot, self._era)
+            return AdvanceGrantStoreCall(self._slot, self._lease_epoch)
         ended = [each for each, at in self._wanted_until_ms.items() if at < now_ms]
         for account in ended:
             # From here on the account can't have anything ahead of time, whatever the store does.
@@ -83,13 +83,13 @@
         if wanted == self._row.accounts and (self._row.is_written or not wanted):
             return None
         self._is_calling = True
-        return AdvanceGrantStoreCall(self._slot, self._era, wanted, self._row.version)
+        return AdvanceGrantStoreCall(self._slot, self._lease_epoch, wanted, self._row.version)
 
     def is_call_of(self, call: AdvanceGrantStoreCall) -> bool:
         """Tell whether a call was made in this lease."""
-        return call.era == self._era
+        return call.era == self._lease_epoch
 
-    def note_row(self, row: AdvanceGrantRow | None, now_ms: float) -> None:
+    def apply_row(self, row: AdvanceGrantRow | None, now_ms: float) -> None:
         """Take in the row as it stands; ``None`` where the store did not say."""
         self._is_calling = False
         if row is None:
--- a/citrondyke/decisions/accounts/bucket.py
+++ b/citrondyke/decisions/accounts/bucket.py
@@ -13,14 +13,14 @@
         self._level = level
         self._at_ms = since_ms
 
-    def take(self, rate_per_s: float, depth: float, now_ms: float) -> bool:
+    def try_consume(self, rate_per_s: float, depth: float, now_ms: float) -> bool:
         """Take one use out, by the limit as it is now; one that was lowered holds at once."""
-        if self.level(rate_per_s, depth, now_ms) < 1.0:
+        if self.remaining(rate_per_s, depth, now_ms) < 1.0:
             return False
         self.add(-1.0)
         return True
 
-    def level(self, rate_per_s: float, depth: float, now_ms: float) -> float:
+    def remaining(self, rate_per_s: float, depth: float, now_ms: float) -> float:
         """Give what is in it, by the limit as it is now."""
         added = max(0.0, now_ms - self._at_ms) * rate_per_s / 1e3
         self._level = min(depth, self._level + added)
--- a/citrondyke/decisions/accounts/fallback_allowance.py
+++ b/citrondyke/decisions/accounts/fallback_allowance.py
@@ -17,17 +17,17 @@
 class FallbackAllowance:
     """A small part of what may pass a limit, for the time in which a slot has no steward."""
 
-    def __init__(self, tolerance: OvershootBudget, began_ms: float) -> None:
+    def __init__(self, budget: OvershootBudget, began_ms: float) -> None:
         """Begin with a life."""
-        self._tolerance = tolerance
+        self._budget = budget
         self._began_ms = began_ms
         self._buckets: dict[TenantId, TokenBucket] = {}
 
-    def take(self, account: Account, now_ms: float) -> bool:
+    def try_consume(self, account: Account, now_ms: float) -> bool:
         """Take one use out."""
         bucket = self._buckets.get(account.id)
         if bucket is None:
-            first = self._tolerance.fallback_initial(account.rate_per_s)
+            first = self._budget.fallback_initial(account.rate_per_s)
             bucket = self._buckets[account.id] = TokenBucket(self._began_ms, first)
-        depth = self._tolerance.fallback_depth(account.rate_per_s)
-        return bucket.take(self._tolerance.fallback_rate_per_s, depth, now_ms)
+        depth = self._budget.fallback_depth(account.rate_per_s)
+        return bucket.try_consume(self._budget.fallback_rate_per_s, depth, now_ms)
--- a/citrondyke/decisions/accounts/fleet_rate_limiter.py
+++ b/citrondyke/decisions/accounts/fleet_rate_limiter.py
@@ -76,7 +76,7 @@
         """
 
     @abstractmethod
-    def note_answer(
+    def apply_answer(
         self, account: Account, sender: InstanceId, answer: UseAnswered
     ) -> LimitVerdict | None:
         """Take in an answer; ``None`` when another one has to be asked."""
@@ -86,14 +86,14 @@
         """Take in that somebody did not answer in time."""
 
     @abstractmethod
-    def take(self, sender: InstanceId, message: LimitMessage) -> list[Addressed]:
+    def on_message(self, sender: InstanceId, message: LimitMessage) -> list[Addressed]:
         """Take in what a peer sends, answers to questions left out, and give what to send."""
 
     @abstractmethod
     def tick(self) -> list[Addressed]:
         """Give what is to be sent from time to time."""
 
-    def to_send(self) -> list[Addressed]:
+    def pending_messages(self) -> list[Addressed]:
         """Give what is to be sent after a step beside the question."""
         return []
 
--- a/citrondyke/decisions/accounts/local_rejection_cache.py
+++ b/citrondyke/decisions/accounts/local_rejection_cache.py
@@ -13,7 +13,7 @@
     from citrondyke.decisions.core.context import Context
     from citrondyke.ids import InstanceId, TenantId
 
-__all__ = ('Refusals',)
+__all__ = ('LocalRejectionCache',)
 
 #: Longest time for which an instance refuses an account's requests without asking.
 MAX_PAUSE_MS = 500.0
@@ -31,7 +31,7 @@
     expected: frozenset[int]
 
 
-class Refusals:
+class LocalRejectionCache:
     """Keeps a flood from the steward.
 
     An account that asks for many times its limit is refused by each instance alone most of the
@@ -44,7 +44,7 @@
         self._rejected_instances_ms: dict[TenantId, dict[InstanceId, float]] = {}
         self._pauses: dict[TenantId, _Pause] = {}
         #: Work refused without asking since the steward was last asked.
-        self._alone: dict[TenantId, deque[int]] = {}
+        self._unreported: dict[TenantId, deque[int]] = {}
 
     def pause_ms(self, account: Account, asker: InstanceId, uses_per_s: float) -> float:
         """Give, as a steward, for how long an instance that was refused need not ask.
@@ -59,7 +59,7 @@
         pause_ms = len(askers) / (REQUESTS_PER_GRANT * uses_per_s) * 1e3
         return min(MAX_PAUSE_MS, pause_ms)
 
-    def pause(self, account: TenantId, answer: UseAnswered) -> None:
+    def set_pause(self, account: TenantId, answer: UseAnswered) -> None:
         """Refuse an account's requests without asking for a while."""
         if answer.is_kept or answer.pause_ms <= 0.0:
             return
@@ -68,7 +68,7 @@
             now_ms + answer.pause_ms, now_ms + answer.retry_in_ms, frozenset(answer.expected)
         )
 
-    def paused(self, account: TenantId, work: int) -> float | None:
+    def reject_locally(self, account: TenantId, work: int) -> float | None:
         """Give in how many milliseconds a caller may come back; ``None`` when it is to be asked."""
         pause = self._pauses.get(account)
         now_ms = self._context.now_ms()
@@ -77,10 +77,10 @@
             return None
         if work in pause.expected:
             return None
-        self._alone.setdefault(account, deque(maxlen=REPORTED_REJECTIONS_LIMIT)).append(work)
+        self._unreported.setdefault(account, deque(maxlen=REPORTED_REJECTIONS_LIMIT)).append(work)
         left_ms = max(pause.retry_until_ms, pause.until_ms) - now_ms
         return self._context.jittered_ms(left_ms, 0.25)
 
     def pop_locally_rejected(self, account: TenantId) -> tuple[int, ...]:
         """Give what was refused without asking, to be told with the next question."""
-        return tuple(self._alone.pop(account, ()))
+        return tuple(self._unreported.pop(account, ()))
--- a/citrondyke/decisions/accounts/slots.py
+++ b/citrondyke/decisions/accounts/slot_placement.py
@@ -12,7 +12,7 @@
 
     from citrondyke.ids import InstanceId, TenantId
 
-__all__ = ('SLOTS_COUNT', 'Slots', 'slot_of')
+__all__ = ('SLOTS_COUNT', 'SlotPlacement', 'slot_of')
 
 #: Accounts share leases by slot, so that their number costs no messages.
 SLOTS_COUNT = 16
@@ -25,7 +25,7 @@
     return content_bucket(account.encode()) % SLOTS_COUNT
 
 
-class Slots:
+class SlotPlacement:
     """Keepers of each slot by rendezvous among the instances that are known."""
 
     def __init__(self, members: Callable[[], tuple[InstanceId, ...]]) -> None:
@@ -35,18 +35,18 @@
         """
         self._members = members
         self._seen: tuple[InstanceId, ...] = ()
-        self._keepers: dict[int, list[InstanceId]] = {}
+        self._replicas: dict[int, list[InstanceId]] = {}
 
-    def keepers(self, slot: int) -> list[InstanceId]:
+    def replicas(self, slot: int) -> list[InstanceId]:
         """List who may keep a slot, the first one first."""
         members = self._members()
         if members is not self._seen and members != self._seen:
-            self._keepers.clear()
+            self._replicas.clear()
         self._seen = members
-        found = self._keepers.get(slot)
+        found = self._replicas.get(slot)
         if found is None:
             found = nlargest(
                 REPLICAS_COUNT, members, key=lambda each: rendezvous_weight(each, f'limit {slot}')
             )
-            self._keepers[slot] = found
+            self._replicas[slot] = found
         return found
--- a/citrondyke/decisions/accounts/steward_rate_limiter.py
+++ b/citrondyke/decisions/accounts/steward_rate_limiter.py
@@ -23,11 +23,11 @@
     UseNeed,
     UseOutcome,
 )
-from citrondyke.decisions.accounts.local_rejection_cache import Refusals
+from citrondyke.decisions.accounts.local_rejection_cache import LocalRejectionCache
 from citrondyke.decisions.accounts.slot_lease import SlotLease
+from citrondyke.decisions.accounts.slot_placement import SLOTS_COUNT, SlotPlacement, slot_of
 from citrondyke.decisions.accounts.slot_steward import SlotSteward
-from citrondyke.decisions.accounts.slots import SLOTS_COUNT, Slots, slot_of
-from citrondyke.decisions.reservations.kept_places import ReservationCounts
+from citrondyke.decisions.reservations.reservations import ReservationCounts
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -42,20 +42,20 @@
     from citrondyke.decisions.core.context import Context
     from citrondyke.ids import InstanceId, TenantId
 
-__all__ = ('StewardLimits',)
+__all__ = ('StewardRateLimiter',)
 
 #: Who did not answer is asked last for so long.
-SILENT_MS = 1_000.0
+UNRESPONSIVE_MS = 1_000.0
 #: When a caller may come back after nobody could say: a lease passes on within two seconds.
 UNKNOWN_RETRY_MS = 400.0
 #: From a process's begin until its slots have a steward again after a loss of all: the promises of
 #: the lives before, and the starts of the slowest machines.
-START_MS = 1_400.0
-STARTING_MS = 3_000.0
+STEWARD_STARTUP_MS = 1_400.0
+NEWLY_STARTED_MS = 3_000.0
 SLOT_MESSAGES = (LeaseAnswered, FloorsTold, FloorsAcknowledged)
 
 
-class StewardLimits(FleetRateLimiter):
+class StewardRateLimiter(FleetRateLimiter):
     """Asks the steward of the account's slot; is the steward of some slots itself.
 
     A request costs one datagram each way, and the count is exact. Who follows a steward starts at
@@ -67,7 +67,7 @@
         context: Context,
         members: Callable[[], tuple[InstanceId, ...]],
         find: Callable[[TenantId], Account | None],
-        tolerance: OvershootBudget,
+        budget: OvershootBudget,
         began_ms: float | None = None,
     ) -> None:
         """Start without a lease.
@@ -78,19 +78,19 @@
             not known.
         """
         self._context = context
-        self._find = find
-        self._tolerance = tolerance
-        self._slots = Slots(members)
+        self._find_account = find
+        self._budget = budget
+        self._placement = SlotPlacement(members)
         self._began_ms = context.clock.fence_ms() if began_ms is None else began_ms
         self._leases = [
-            SlotLease(context, self._slots, slot, self._began_ms) for slot in range(SLOTS_COUNT)
+            SlotLease(context, self._placement, slot, self._began_ms) for slot in range(SLOTS_COUNT)
         ]
         self._slot_stewards: dict[int, SlotSteward] = {}
-        self._fallback = FallbackAllowance(tolerance, self._began_ms)
-        self._refusals = Refusals(context)
-        self._silent_until_ms: dict[InstanceId, float] = {}
-        self._stewards: dict[int, InstanceId] = {}
-        self._numbers = 0
+        self._fallback = FallbackAllowance(budget, self._began_ms)
+        self._local_rejections = LocalRejectionCache(context)
+        self._unresponsive_until_ms: dict[InstanceId, float] = {}
+        self._known_stewards: dict[int, InstanceId] = {}
+        self._last_number = 0
         self._outbox: list[Addressed] = []
 
     def next_step(
@@ -99,21 +99,21 @@
         """Decide about one request, or tell who must be asked."""
         if not account.has_limit:
             return LimitVerdict(VerdictKind.WITHIN)
-        paused = self._refusals.paused(account.id, need.work)
-        if paused is not None:
-            return LimitVerdict(VerdictKind.OVER, max(paused, need.left_ms))
+        retry_in_ms = self._local_rejections.reject_locally(account.id, need.work)
+        if retry_in_ms is not None:
+            return LimitVerdict(VerdictKind.OVER, max(retry_in_ms, need.left_ms))
         own_id = self._context.instance_id
-        for keeper in self._order(slot_of(account.id)):
-            if keeper in tried:
+        for replica in self._query_order(slot_of(account.id)):
+            if replica in tried:
                 continue
-            if keeper != own_id:
-                self._numbers += 1
-                refused = self._refusals.pop_locally_rejected(account.id)
-                asked = UseAsked(self._numbers, account.id, need, refused)
-                return QuotaQuery(keeper, asked, self._numbers)
+            if replica != own_id:
+                self._last_number += 1
+                refused = self._local_rejections.pop_locally_rejected(account.id)
+                asked = UseAsked(self._last_number, account.id, need, refused)
+                return QuotaQuery(replica, asked, self._last_number)
             answer = self._answer(own_id, account, UseAsked(0, account.id, need))
-            verdict = self.note_answer(account, own_id, answer)
-            self._outbox += self._to_tell(slot_of(account.id))
+            verdict = self.apply_answer(account, own_id, answer)
+            self._outbox += self._pending_floor_messages(slot_of(account.id))
             if verdict is not None:
                 return verdict
         return LimitVerdict(VerdictKind.UNKNOWN, self._retry_without_steward_ms())
@@ -124,23 +124,23 @@
         Callers come back once: asked back sooner they would be refused for good.
         """
         age_ms = self._context.clock.fence_ms() - self._began_ms
-        return self._context.jittered_ms(max(UNKNOWN_RETRY_MS, START_MS - age_ms), 0.25)
+        return self._context.jittered_ms(max(UNKNOWN_RETRY_MS, STEWARD_STARTUP_MS - age_ms), 0.25)
 
     @property
     def is_newly_started(self) -> bool:
         """Tell whether this life is young, so that leases are to be asked for often."""
-        return self._context.clock.fence_ms() - self._began_ms < STARTING_MS
+        return self._context.clock.fence_ms() - self._began_ms < NEWLY_STARTED_MS
 
-    def note_answer(
+    def apply_answer(
         self, account: Account, sender: InstanceId, answer: UseAnswered
     ) -> LimitVerdict | None:
         """Take in an answer; ``None`` when another one has to be asked."""
         if answer.is_steward:
-            self._stewards[slot_of(account.id)] = sender
+            self._known_stewards[slot_of(account.id)] = sender
         if answer.outcome is UseOutcome.GRANTED:
             return LimitVerdict(VerdictKind.WITHIN, by=sender, start_in_ms=answer.start_in_ms)
         if answer.outcome is UseOutcome.REFUSED:
-            self._refusals.pause(account.id, answer)
+            self._local_rejections.set_pause(account.id, answer)
             return LimitVerdict(
                 VerdictKind.OVER, answer.retry_in_ms, sender, is_kept=answer.is_kept
             )
@@ -148,26 +148,29 @@
 
     def record_no_reply(self, account: Account, receiver: InstanceId) -> None:
         """Take in that somebody did not answer in time."""
-        self._silent_until_ms[receiver] = self._context.now_ms() + SILENT_MS
-        self._stewards.pop(slot_of(account.id), None)
+        self._unresponsive_until_ms[receiver] = self._context.now_ms() + UNRESPONSIVE_MS
+        self._known_stewards.pop(slot_of(account.id), None)
 
-    def take(self, sender: InstanceId, message: LimitMessage) -> list[Addressed]:
+    def on_message(self, sender: InstanceId, message: LimitMessage) -> list[Addressed]:
         """Take in what a peer sends, and give what to send."""
         if isinstance(message, UseAsked):
-            account = self._find(message.account)
+            account = self._find_account(message.account)
             if account is None:
                 # Added a moment ago, and not heard of here yet.
                 answer = UseAnswered(message.number, UseOutcome.NOT_STEWARD)
             else:
                 answer = self._answer(sender, account, message)
-            return [Addressed(sender, answer), *self._to_tell(slot_of(message.account))]
+            return [
+                Addressed(sender, answer),
+                *self._pending_floor_messages(slot_of(message.account)),
+            ]
         if isinstance(message, LeaseAsked):
             return self._leases[message.slot % SLOTS_COUNT].on_lease_request(sender, message)
         slot = message.slot % SLOTS_COUNT if isinstance(message, SLOT_MESSAGES) else 0
         if isinstance(message, LeaseAnswered):
             self._leases[slot].on_lease_reply(sender, message)
             self._steward_of(slot)
-            return self._to_tell(slot)
+            return self._pending_floor_messages(slot)
         if isinstance(message, FloorsTold) and self._leases[slot].merge_copy(sender, message.copy):
             told = FloorsAcknowledged(slot, message.copy.era, message.copy.number)
             return [Addressed(sender, told)]
@@ -186,7 +189,7 @@
                 sent += steward.tick()
         return sent
 
-    def to_send(self) -> list[Addressed]:
+    def pending_messages(self) -> list[Addressed]:
         """Give what questions to this instance itself brought about."""
         sent, self._outbox = self._outbox, []
         return sent
@@ -194,7 +197,7 @@
     def advance_grant_calls(self) -> list[AdvanceGrantStoreCall]:
         """Give what the store is to be asked now."""
         held = [self._steward_of(slot) for slot in self._slot_stewards]
-        calls = [steward.next_call() for steward in held if steward is not None]
+        calls = [steward.next_store_call() for steward in held if steward is not None]
         return [call for call in calls if call is not None]
 
     def apply_advance_grant_row(
@@ -204,8 +207,8 @@
         steward = self._steward_of(call.slot)
         if steward is None:
             return []
-        steward.note_row(call, row)
-        return steward.to_tell()
+        steward.apply_row(call, row)
+        return steward.pending_floor_messages()
 
     def is_steward_of(self, account: TenantId) -> bool:
         """Tell whether this instance counts an account now."""
@@ -230,15 +233,15 @@
             sum(each.lapsed for each in counts),
         )
 
-    def _order(self, slot: int) -> list[InstanceId]:
+    def _query_order(self, slot: int) -> list[InstanceId]:
         """List the keepers to ask: the known steward first, the silent ones last."""
         now_ms = self._context.now_ms()
-        steward = self._stewards.get(slot)
+        steward = self._known_stewards.get(slot)
         return sorted(
-            self._slots.keepers(slot),
-            key=lambda keeper: (
-                self._silent_until_ms.get(keeper, 0.0) > now_ms,
-                keeper != steward,
+            self._placement.replicas(slot),
+            key=lambda replica: (
+                self._unresponsive_until_ms.get(replica, 0.0) > now_ms,
+                replica != steward,
             ),
         )
 
@@ -250,8 +253,8 @@
             return UseAnswered(number, UseOutcome.GRANTED, is_steward=steward is not None)
         if steward is not None:
             return steward.answer(asker, number, account, asked.need, asked.refused)
-        keepers = self._slots.keepers(slot)
-        is_taken = self._context.instance_id in keepers and self._fallback.take(
+        replicas = self._placement.replicas(slot)
+        is_taken = self._context.instance_id in replicas and self._fallback.try_consume(
             account, self._context.clock.fence_ms()
         )
         return UseAnswered(number, UseOutcome.GRANTED if is_taken else UseOutcome.NOT_STEWARD)
@@ -264,10 +267,10 @@
         found = self._slot_stewards.get(slot)
         if found is None or found.held_since_ms != lease.held_since_ms:
             found = self._slot_stewards[slot] = SlotSteward(
-                self._context, self._tolerance, lease, slot, self._refusals, self._find
+                self._context, self._budget, lease, slot, self._local_rejections, self._find_account
             )
         return found
 
-    def _to_tell(self, slot: int) -> list[Addressed]:
+    def _pending_floor_messages(self, slot: int) -> list[Addressed]:
         steward = self._steward_of(slot)
-        return [] if steward is None else steward.to_tell()
+        return [] if steward is None else steward.pending_floor_messages()
--- a/citrondyke/decisions/accounts/use_window_counter.py
+++ b/citrondyke/decisions/accounts/use_window_counter.py
@@ -18,28 +18,28 @@
     def __init__(self, span_ms: float) -> None:
         """Count nothing yet."""
         self._span_ms = span_ms
-        self._cells: deque[list[int]] = deque()
+        self._buckets: deque[list[int]] = deque()
         self._count = 0
 
-    def note(self, at_ms: float) -> None:
+    def record(self, at_ms: float) -> None:
         """Count one more."""
         index = int(at_ms // BUCKET_MS)
-        if not self._cells or self._cells[-1][0] < index:
-            self._cells.append([index, 0])
-        self._cells[-1][1] += 1
+        if not self._buckets or self._buckets[-1][0] < index:
+            self._buckets.append([index, 0])
+        self._buckets[-1][1] += 1
         self._count += 1
 
     def count(self, now_ms: float) -> int:
         """Give how many there were in the span that ends now."""
         first = self._first_index(now_ms)
-        while self._cells and self._cells[0][0] < first:
-            self._count -= self._cells.popleft()[1]
+        while self._buckets and self._buckets[0][0] < first:
+            self._count -= self._buckets.popleft()[1]
         return self._count
 
     def fits_at_ms(self, now_ms: float, allowed: float, more: int) -> float:
         """Give when so many more fit below what is allowed."""
         over = self.count(now_ms) + more - allowed
-        for index, count in self._cells:
+        for index, count in self._buckets:
             if over <= 0:
                 break
             over -= count
--- a/citrondyke/decisions/forwarding/admission_rule.py
+++ b/citrondyke/decisions/forwarding/admission_rule.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from citrondyke.decisions.accounts.account import ANONYMOUS_ACCOUNT
-from citrondyke.decisions.accounts.fair_share_policy import Turns
+from citrondyke.decisions.accounts.fair_share_policy import FairSharePolicy
 
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
@@ -63,7 +63,7 @@
         """Start without a measurement."""
         self._context = context
         self._book = book
-        self._turns = Turns(context)
+        self._fair_share = FairSharePolicy(context)
         self._stay_ms: dict[RouteName, float] = {}
         self._turned_away_ms: dict[ServiceName, deque[float]] = {}
 
@@ -86,7 +86,7 @@
         """
         service = state.listed.service
         priority = account.priority_on(route.priority)
-        self._turns.note(service, account.id)
+        self._fair_share.record_request(service, account.id)
         now_ms = self._context.now_ms()
         slots = max(1, state.listed.slots_count)
         ahead = state.online_count(now_ms) + state.held_count(now_ms) - slots + 1
@@ -95,11 +95,11 @@
         if wait_ms <= 0.0 < left_ms:
             return Admitted(0.0)
         longest_ms = WAIT_SHARE * route.target_ms
-        if self._turns.must_yield(service, account.id, priority):
+        if self._fair_share.must_yield(service, account.id, priority):
             longest_ms *= YIELD_SHARE
         if wait_ms <= longest_ms and wait_ms < left_ms:
             return Admitted(wait_ms)
-        self._turns.record_rejected(service, priority)
+        self._fair_share.record_rejected(service, priority)
         late_ms = wait_ms - longest_ms
         return Rejected(wait_ms, self._retry_in_ms(state, stay_ms, late_ms))
 
--- a/citrondyke/decisions/jobs/worker.py
+++ b/citrondyke/decisions/jobs/worker.py
@@ -189,7 +189,7 @@
                 if share.batch_count == 0 and (suspect := pool.pop_suspect()) is not None:
                     started.append(self._runner.begin(*suspect, server_id, share, pool))
                 continue
-            room = share.room(self._context.now_ms())
+            room = share.free_capacity(self._context.now_ms())
             while room > 0:
                 taken = pool.pop()
                 if taken is None:
--- a/citrondyke/decisions/memory/byte_budget.py
+++ b/citrondyke/decisions/memory/byte_budget.py
@@ -43,7 +43,7 @@
         """Count what is held of a kind."""
         return sum(self._held[kind].values())
 
-    def take(self, held: HeldBytes, size_bytes: int) -> bool:
+    def try_acquire(self, held: HeldBytes, size_bytes: int) -> bool:
         """Count more bytes of a body, if there is room.
 
         The oldest of a kind always has room, within its own bound: if several waited for each
@@ -56,7 +56,7 @@
         of_kind[held] = of_kind.get(held, 0) + size_bytes
         return True
 
-    def give_back(self, held: HeldBytes) -> None:
+    def release(self, held: HeldBytes) -> None:
         """Forget a body."""
         self._held[held.kind].pop(held, None)
 
@@ -74,13 +74,13 @@
         self._budget = budget
         self.kind = kind
 
-    def take(self, size_bytes: int) -> bool:
+    def try_acquire(self, size_bytes: int) -> bool:
         """Count more of its bytes; tell whether there was room."""
-        return self._budget.take(self, size_bytes)
+        return self._budget.try_acquire(self, size_bytes)
 
     def release(self) -> None:
         """Let it go."""
-        self._budget.give_back(self)
+        self._budget.release(self)
 
 
 def budget_for(memory_bytes: int) -> ByteBudget:
--- a/citrondyke/decisions/reservations/rejected_work.py
+++ b/citrondyke/decisions/reservations/rejected_work.py
@@ -10,7 +10,7 @@
 __all__ = ('RejectedWork',)
 
 #: Callers come back within a third of the time that they have.
-REMEMBERED_MS = 3_000.0
+REJECTED_MEMORY_MS = 3_000.0
 REMEMBERED_WORKS_LIMIT = 4_000
 #: Without a refusal of new work for so long there is room for what comes back.
 OVERLOAD_MEMORY_MS = 300.0
@@ -25,26 +25,26 @@
 
     def __init__(self) -> None:
         """Remember nothing yet."""
-        self._at_ms: dict[int, float] = {}
-        self._over_ms = float('-inf')
+        self._rejected_ms: dict[int, float] = {}
+        self._overload_ms = float('-inf')
 
-    def note(self, works: Iterable[int], now_ms: float) -> None:
+    def record(self, works: Iterable[int], now_ms: float) -> None:
         """Take in what was turned away without a place."""
         for work in works:
-            self._at_ms.pop(work, None)
+            self._rejected_ms.pop(work, None)
             if work:
-                self._at_ms[work] = now_ms
-        while self._at_ms:
-            oldest = next(iter(self._at_ms))
-            is_full = len(self._at_ms) > REMEMBERED_WORKS_LIMIT
-            if not is_full and self._at_ms[oldest] >= now_ms - REMEMBERED_MS:
+                self._rejected_ms[work] = now_ms
+        while self._rejected_ms:
+            oldest = next(iter(self._rejected_ms))
+            is_full = len(self._rejected_ms) > REMEMBERED_WORKS_LIMIT
+            if not is_full and self._rejected_ms[oldest] >= now_ms - REJECTED_MEMORY_MS:
                 break
-            del self._at_ms[oldest]
+            del self._rejected_ms[oldest]
 
     def record_overload(self, now_ms: float) -> None:
         """Take in that new work was turned away."""
-        self._over_ms = now_ms
+        self._overload_ms = now_ms
 
     def should_reject_retry(self, work: int, now_ms: float) -> bool:
         """Tell whether work comes back while new work is turned away."""
-        return now_ms <= self._over_ms + OVERLOAD_MEMORY_MS and work in self._at_ms
+        return now_ms <= self._overload_ms + OVERLOAD_MEMORY_MS and work in self._rejected_ms
--- a/citrondyke/decisions/reservations/kept_places.py
+++ b/citrondyke/decisions/reservations/reservations.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-__all__ = ('RESERVATION_HOLD_MS', 'KeptPlaces', 'ReservationCounts')
+__all__ = ('RESERVATION_HOLD_MS', 'ReservationCounts', 'Reservations')
 
 #: A place is kept for so long after its time: a caller needs a new connection and the way to an
 #: instance, and timers fire late on a machine that is busy.
@@ -24,7 +24,7 @@
     lapsed: int = 0
 
 
-class KeptPlaces:
+class Reservations:
     """One line of places, each the next caller's of one key.
 
     Answers callers that were all told to come back soon, met the same crowd again and were refused
@@ -49,7 +49,7 @@
         """Give the time of the next place, one gap behind the last one that was kept."""
         return max(earliest_ms, self._last_due_ms + gap_ms)
 
-    def keep(self, key: int, due_ms: float) -> bool:
+    def reserve(self, key: int, due_ms: float) -> bool:
         """Keep a place at the end of the line; tell whether there was room for it."""
         if len(self._due_ms) >= RESERVATIONS_LIMIT:
             return False
@@ -62,12 +62,12 @@
         self.counts.kept += 1
         return True
 
-    def find(self, key: int) -> float | None:
+    def due_ms_of(self, key: int) -> float | None:
         """Give the time of a key's first place; ``None`` without one."""
         dues_ms = self._by_key.get(key)
         return dues_ms[0] if dues_ms else None
 
-    def take(self, key: int) -> None:
+    def consume(self, key: int) -> None:
         """Use a key's first place up; it serves once."""
         due_ms = self._by_key[key].popleft()
         if not self._by_key[key]:
@@ -78,7 +78,7 @@
         del self._due_ms[index], self._keys[index]
         self.counts.taken += 1
 
-    def due_by(self, at_ms: float) -> int:
+    def count_due(self, at_ms: float) -> int:
         """Count the places whose time has come by a moment."""
         return bisect_right(self._due_ms, at_ms)
 
@@ -86,7 +86,7 @@
         """List the keys that are expected by a moment."""
         return self._keys[: bisect_right(self._due_ms, at_ms)]
 
-    def lapse(self, now_ms: float) -> int:
+    def expire(self, now_ms: float) -> int:
         """Drop places that nobody took in time; give how many."""
         count = bisect_right(self._due_ms, now_ms - RESERVATION_HOLD_MS)
         for key in self._keys[:count]:
--- a/citrondyke/decisions/sharing/engine_share.py
+++ b/citrondyke/decisions/sharing/engine_share.py
@@ -15,7 +15,7 @@
 __all__ = ('EngineShare', 'engine_share')
 
 #: Streams that are tried on an engine of which nothing is known.
-FIRST_LIMIT = 8
+INITIAL_LIMIT = 8
 #: Steps that are watched at one limit before another is tried.
 STEPS_PER_LIMIT = 6
 #: Until the first bad limit the next one tried is so many times the last.
@@ -26,7 +26,7 @@
 #: the target is out of reach anyway, keeping batch work off would win nobody anything.
 ACCEPTABLE_SLOWDOWN = 1.03
 #: How long the best limit is kept before one stream more is tried again.
-RETRY_PROBE_MS = 5000.0
+RAISE_INTERVAL_MS = 5000.0
 #: Part of the target up to which steps are filled; the rest is for prefill and noise.
 TARGET_MARGIN = 0.9
 #: Where requests are turned away anyway, they are let in up to so many times the best number of
@@ -70,35 +70,35 @@
     def __init__(self, token_gap_target_ms: float, max_running: int, online_limit: int) -> None:
         """Start careful."""
         super().__init__()
-        self.curve = StepTimeModel()
+        self.step_times = StepTimeModel()
         self._target_ms = token_gap_target_ms
         self._max_running = max_running
         self._first_online_limit = online_limit
-        self._limit = FIRST_LIMIT
+        self._limit = INITIAL_LIMIT
         self._steps_at_limit = 0
-        self._next_probe_ms = 0.0
-        self._probe: RequestId | None = None
-        self._probe_at_ms = 0.0
-        self._probe_streams = 0
-        self._starts = STARTS_BURST
+        self._next_raise_ms = 0.0
+        self._sampled_request: RequestId | None = None
+        self._last_token_ms = 0.0
+        self._last_token_streams = 0
+        self._start_tokens = STARTS_BURST
         self._starts_at_ms = 0.0
 
-    def room(self, now_ms: float) -> int:
+    def free_capacity(self, now_ms: float) -> int:
         """Count the batch requests that may start now."""
-        self._refill_starts(now_ms)
-        return min(super().room(now_ms), int(self._starts + ROUNDING))
+        self._refill_start_tokens(now_ms)
+        return min(super().free_capacity(now_ms), int(self._start_tokens + ROUNDING))
 
     def next_capacity_ms(self, now_ms: float) -> float:
         """Give when the next start is due, where only the pace of starts holds it back."""
-        if super().room(now_ms) == 0:
+        if super().free_capacity(now_ms) == 0:
             return float('inf')
-        wait_ms = (1.0 - self._starts) * self._ms_per_start()
+        wait_ms = (1.0 - self._start_tokens) * self._ms_per_start()
         return now_ms + max(MIN_WAIT_MS, wait_ms)
 
     def on_batch_start(self, request_id: RequestId, now_ms: float) -> None:
         """Count a batch request that goes to the server."""
         super().on_batch_start(request_id, now_ms)
-        self._starts -= 1.0
+        self._start_tokens -= 1.0
 
     def set_target(self, token_gap_target_ms: float) -> None:
         """Take a changed target."""
@@ -119,11 +119,11 @@
 
     def online_limit(self) -> int:
         """Give how many online requests the engine bears within their targets."""
-        known = self.curve.known()
-        slow = next((pair for pair in known if pair[1] > self._target_ms), None)
+        estimates = self.step_times.estimates()
+        slow = next((pair for pair in estimates if pair[1] > self._target_ms), None)
         if slow is None:
             return min(self._first_online_limit, self._max_running)
-        within = self.curve.widest(self._target_ms)
+        within = self.step_times.max_streams(self._target_ms)
         if not within:
             # Nothing faster was seen yet: come down in proportion, and look again there.
             within = int(slow[0] * self._target_ms / slow[1])
@@ -132,28 +132,30 @@
     def comfort_limit(self) -> int:
         """Give up to how many requests each one more makes the engine do more work."""
         allowed_ms = self._allowed_ms()
-        best, best_throughput = self.curve.best(allowed_ms)
-        bad = self.curve.first_bad(best, allowed_ms, MIN_THROUGHPUT_RATIO * best_throughput)
-        if not best or bad is None:
+        best_streams, best_throughput = self.step_times.peak_throughput(allowed_ms)
+        excessive_streams = self.step_times.first_excessive(
+            best_streams, allowed_ms, MIN_THROUGHPUT_RATIO * best_throughput
+        )
+        if not best_streams or excessive_streams is None:
             return min(self._first_online_limit, self._max_running)
-        return min(max(int(best * SATURATION_SLACK), FIRST_LIMIT), self._max_running)
+        return min(max(int(best_streams * SATURATION_SLACK), INITIAL_LIMIT), self._max_running)
 
     def on_frame(self, request_id: RequestId, now_ms: float) -> None:
         """Learn a step from the gap between two tokens of one stream."""
-        if self._probe != request_id:
-            if self._probe is None or self._probe not in self._batch:
-                self._probe = request_id
-                self._probe_at_ms = now_ms
-                self._probe_streams = self.running_count
+        if self._sampled_request != request_id:
+            if self._sampled_request is None or self._sampled_request not in self._batch:
+                self._sampled_request = request_id
+                self._last_token_ms = now_ms
+                self._last_token_streams = self.running_count
             return
-        gap_ms = now_ms - self._probe_at_ms
+        gap_ms = now_ms - self._last_token_ms
         streams = self.running_count
-        is_steady = streams == self._probe_streams
-        self._probe_at_ms = now_ms
-        self._probe_streams = streams
+        is_steady = streams == self._last_token_streams
+        self._last_token_ms = now_ms
+        self._last_token_streams = streams
         if not is_steady or not 0 < gap_ms < MAX_STEP_MS:
             return
-        self.curve.observe(streams, gap_ms)
+        self.step_times.observe(streams, gap_ms)
         self._adapt(streams, now_ms)
 
     def on_online_step(self, step_ms: float) -> None:
@@ -163,7 +165,7 @@
         is when its limit matters most.
         """
         if 0 < step_ms < MAX_STEP_MS:
-            self.curve.observe(self.running_count, step_ms)
+            self.step_times.observe(self.running_count, step_ms)
 
     def on_call_end(self, took_ms: float) -> None:
         """Learn nothing: the steps have said it all."""
@@ -171,23 +173,25 @@
     def on_batch_end(self, request_id: RequestId, now_ms: float) -> None:
         """Count a stream that left, and watch another one."""
         super().on_batch_end(request_id, now_ms)
-        if request_id == self._probe:
-            self._probe = None
+        if request_id == self._sampled_request:
+            self._sampled_request = None
 
     def _deadband(self) -> int:
         """Leave a gap between filling and cutting where online requests come and go."""
         return int(DEADBAND * math.sqrt(self.online_count) + 0.5)
 
     def _ms_per_start(self) -> float:
-        return (self.curve.fastest_ms() or INITIAL_STEP_MS) / STARTS_PER_STEP
+        return (self.step_times.fastest_ms() or INITIAL_STEP_MS) / STARTS_PER_STEP
 
-    def _refill_starts(self, now_ms: float) -> None:
+    def _refill_start_tokens(self, now_ms: float) -> None:
         gained = (now_ms - self._starts_at_ms) / self._ms_per_start()
-        self._starts = min(STARTS_BURST, self._starts + gained)
+        self._start_tokens = min(STARTS_BURST, self._start_tokens + gained)
         self._starts_at_ms = now_ms
 
     def _allowed_ms(self) -> float:
-        return max(self._target_ms * TARGET_MARGIN, self.curve.fastest_ms() * ACCEPTABLE_SLOWDOWN)
+        return max(
+            self._target_ms * TARGET_MARGIN, self.step_times.fastest_ms() * ACCEPTABLE_SLOWDOWN
+        )
 
     def _adapt(self, streams: int, now_ms: float) -> None:
         """Move the limit once enough steps were seen at it."""
@@ -198,22 +202,24 @@
             return
         self._steps_at_limit = 0
         allowed_ms = self._allowed_ms()
-        best, best_throughput = self.curve.best(allowed_ms)
-        if best == 0:
+        best_streams, best_throughput = self.step_times.peak_throughput(allowed_ms)
+        if best_streams == 0:
             self._limit = max(1, self._limit // 2)
             return
-        bad = self.curve.first_bad(best, allowed_ms, MIN_THROUGHPUT_RATIO * best_throughput)
-        self._limit = self._next_limit(best, bad, now_ms)
-
-    def _next_limit(self, best: int, bad: int | None, now_ms: float) -> int:
-        if bad is None:
-            grown = int(max(best, self._limit) * START_GROWTH) + 1
+        excessive_streams = self.step_times.first_excessive(
+            best_streams, allowed_ms, MIN_THROUGHPUT_RATIO * best_throughput
+        )
+        self._limit = self._next_limit(best_streams, excessive_streams, now_ms)
+
+    def _next_limit(self, best_streams: int, excessive_streams: int | None, now_ms: float) -> int:
+        if excessive_streams is None:
+            grown = int(max(best_streams, self._limit) * START_GROWTH) + 1
             return min(grown, self._max_running)
-        if bad - best > 1:
-            return (best + bad) // 2
-        if now_ms >= self._next_probe_ms:
+        if excessive_streams - best_streams > 1:
+            return (best_streams + excessive_streams) // 2
+        if now_ms >= self._next_raise_ms:
             # The smallest bad number has to be tried again now and then, to learn that the
             # engine has become faster; a few steps at it are all that it costs.
-            self._next_probe_ms = now_ms + RETRY_PROBE_MS
-            return bad
-        return best
+            self._next_raise_ms = now_ms + RAISE_INTERVAL_MS
+            return excessive_streams
+        return best_streams
--- a/citrondyke/decisions/sharing/server_share.py
+++ b/citrondyke/decisions/sharing/server_share.py
@@ -29,9 +29,9 @@
         self._online_sum = 0
         #: Batch requests by start, oldest first.
         self._batch: OrderedDict[RequestId, None] = OrderedDict()
-        self._foreign = 0.0
-        self._most_known = 0
-        self._most_known_at_ms = 0.0
+        self._external_count = 0.0
+        self._peak_count = 0
+        self._peak_at_ms = 0.0
 
     @property
     def batch_count(self) -> int:
@@ -46,7 +46,7 @@
     @property
     def running_count(self) -> int:
         """Count everything on the server, with what others than us seem to run there."""
-        return self._online_sum + len(self._batch) + int(self._foreign)
+        return self._online_sum + len(self._batch) + int(self._external_count)
 
     def on_notice(self, instance_id: InstanceId, online_count: int, now_ms: float) -> bool:
         """Take in how many online requests an entry instance has on the server.
@@ -65,7 +65,7 @@
         """Drop what an instance said that has gone silent."""
         for instance_id, (_, heard_ms) in list(self._online.items()):
             if now_ms - heard_ms > NOTICE_EXPIRY_MS:
-                self._forget(instance_id)
+                self._drop_notice(instance_id)
 
     def retain_notices_of(self, live: set[InstanceId]) -> None:
         """Drop what instances said that are believed dead.
@@ -74,20 +74,20 @@
         they would keep batch work off the server for a long time.
         """
         for instance_id in [each for each in self._online if each not in live]:
-            self._forget(instance_id)
+            self._drop_notice(instance_id)
 
-    def _forget(self, instance_id: InstanceId) -> None:
+    def _drop_notice(self, instance_id: InstanceId) -> None:
         count, _ = self._online.pop(instance_id)
         self._online_sum -= count
 
     def on_batch_start(self, request_id: RequestId, now_ms: float) -> None:
         """Count a batch request that goes to the server."""
         self._batch[request_id] = None
-        self._note_known(now_ms)
+        self._record_peak(now_ms)
 
     def on_batch_end(self, request_id: RequestId, now_ms: float) -> None:
         """Count a batch request that left the server."""
-        self._note_known(now_ms)
+        self._record_peak(now_ms)
         self._batch.pop(request_id, None)
 
     def on_load(self, load: ServerLoad, now_ms: float) -> None:
@@ -95,13 +95,13 @@
 
         More than was known is another steward's work for a moment, or a caller from outside.
         """
-        self._note_known(now_ms)
-        surplus = max(0, load.running + load.waiting - self._most_known)
-        self._foreign += EXTERNAL_LOAD_SMOOTHING * (surplus - self._foreign)
-        if now_ms - self._most_known_at_ms > REPORT_WINDOW_MS:
-            self._most_known = 0
+        self._record_peak(now_ms)
+        surplus = max(0, load.running + load.waiting - self._peak_count)
+        self._external_count += EXTERNAL_LOAD_SMOOTHING * (surplus - self._external_count)
+        if now_ms - self._peak_at_ms > REPORT_WINDOW_MS:
+            self._peak_count = 0
 
-    def room(self, now_ms: float) -> int:
+    def free_capacity(self, now_ms: float) -> int:
         """Count the batch requests that may start now."""
         return max(0, self.fill_limit(now_ms) - self.running_count)
 
@@ -109,7 +109,7 @@
         """Give when to look for room again, where time alone makes it; else infinity."""
         return float('inf')
 
-    def to_cut(self, now_ms: float) -> list[RequestId]:
+    def runs_to_preempt(self, now_ms: float) -> list[RequestId]:
         """Name the batch requests that stand in the way of online ones, youngest first.
 
         The youngest have the least to do again when they resume.
@@ -146,8 +146,8 @@
     def on_call_end(self, took_ms: float) -> None:
         """Learn from a whole batch request."""
 
-    def _note_known(self, now_ms: float) -> None:
+    def _record_peak(self, now_ms: float) -> None:
         known = self._online_sum + len(self._batch)
-        if known >= self._most_known:
-            self._most_known = known
-            self._most_known_at_ms = now_ms
+        if known >= self._peak_count:
+            self._peak_count = known
+            self._peak_at_ms = now_ms
--- a/citrondyke/decisions/sharing/service_share.py
+++ b/citrondyke/decisions/sharing/service_share.py
@@ -11,7 +11,7 @@
 
 __all__ = ('ServiceShare', 'service_share')
 
-FIRST_LIMIT = 4.0
+INITIAL_LIMIT = 4.0
 MAX_LIMIT = 64.0
 #: A call that takes so many times the fastest seen means that calls wait for each other.
 SLOW_RATIO = 2.0
@@ -31,7 +31,7 @@
     def __init__(self) -> None:
         """Start careful."""
         super().__init__()
-        self._limit = FIRST_LIMIT
+        self._limit = INITIAL_LIMIT
         self._fastest_ms = float('inf')
 
     def fill_limit(self, now_ms: float) -> int:
--- a/citrondyke/decisions/sharing/step_time_model.py
+++ b/citrondyke/decisions/sharing/step_time_model.py
@@ -32,7 +32,7 @@
         self._last_seen: dict[int, int] = {}
         self._count = 0
         self._estimates: dict[int, float] = {}
-        self._rising: list[tuple[int, float]] | None = []
+        self._monotonic: list[tuple[int, float]] | None = []
 
     def observe(self, streams: int, step_ms: float) -> None:
         """Take in one step."""
@@ -46,34 +46,34 @@
             estimate = sorted(kept)[int(len(kept) * QUANTILE)]
             if estimate != self._estimates.get(streams):
                 self._estimates[streams] = estimate
-                self._rising = None
+                self._monotonic = None
         if self._count % FORGET_AFTER == 0:
-            self._forget()
+            self._drop_unseen()
 
-    def known(self) -> list[tuple[int, float]]:
+    def estimates(self) -> list[tuple[int, float]]:
         """List what is known, by rising number of streams; the steps never fall."""
-        if self._rising is None:
+        if self._monotonic is None:
             rising: list[tuple[int, float]] = []
             shortest = float('inf')
             for streams in sorted(self._estimates, reverse=True):
                 shortest = min(shortest, self._estimates[streams])
                 rising.append((streams, shortest))
             rising.reverse()
-            self._rising = rising
-        return self._rising
+            self._monotonic = rising
+        return self._monotonic
 
     def fastest_ms(self) -> float:
         """Give the fastest step known, 0 for none."""
-        known = self.known()
-        return known[0][1] if known else 0.0
+        estimates = self.estimates()
+        return estimates[0][1] if estimates else 0.0
 
-    def best(self, allowed_ms: float) -> tuple[int, float]:
+    def peak_throughput(self, allowed_ms: float) -> tuple[int, float]:
         """Give the number of streams with the most tokens a millisecond, and that pace.
 
         :param allowed_ms: longest step that counts.
         """
         best_streams, best_throughput = 0, 0.0
-        for streams, step_ms in self.known():
+        for streams, step_ms in self.estimates():
             if step_ms > allowed_ms:
                 break
             pace = streams / step_ms
@@ -81,30 +81,30 @@
                 best_streams, best_throughput = streams, pace
         return best_streams, best_throughput
 
-    def widest(self, allowed_ms: float) -> int:
+    def max_streams(self, allowed_ms: float) -> int:
         """Give the largest number of streams whose step is within ``allowed_ms``."""
-        widest = 0
-        for streams, step_ms in self.known():
+        max_streams = 0
+        for streams, step_ms in self.estimates():
             if step_ms > allowed_ms:
                 break
-            widest = streams
-        return widest
+            max_streams = streams
+        return max_streams
 
-    def first_bad(self, above: int, allowed_ms: float, min_throughput: float) -> int | None:
+    def first_excessive(self, above: int, allowed_ms: float, min_throughput: float) -> int | None:
         """Give the smallest number of streams that is too many, ``None`` for none known.
 
         :param above: only larger numbers are looked at.
         :param min_throughput: tokens a millisecond that must be reached.
         """
-        for streams, step_ms in self.known():
+        for streams, step_ms in self.estimates():
             if streams > above and (step_ms > allowed_ms or streams / step_ms < min_throughput):
                 return streams
         return None
 
-    def _forget(self) -> None:
+    def _drop_unseen(self) -> None:
         horizon = self._count - FORGET_AFTER
         for streams in [each for each, seen in self._last_seen.items() if seen < horizon]:
             del self._samples[streams]
             del self._last_seen[streams]
             self._estimates.pop(streams, None)
-        self._rising = None
+        self._monotonic = None
--- a/citrondyke/decisions/steward.py
+++ b/citrondyke/decisions/steward.py
@@ -146,7 +146,7 @@
             for server_id in self._targets.get(target, ())
             if self._takes_batch(server_id)
         ]
-        return sorted(shares, key=lambda pair: -pair[1].room(now_ms))
+        return sorted(shares, key=lambda pair: -pair[1].free_capacity(now_ms))
 
     def share(self, server_id: ServerId) -> ServerShare | None:
         """Find a server's share."""
@@ -156,7 +156,8 @@
         """Count the batch requests of a target that could start, with as many in reserve."""
         now_ms = self._context.now_ms()
         return sum(
-            max(share.room(now_ms), share.fill_limit(now_ms)) for _, share in self.shares_of(target)
+            max(share.free_capacity(now_ms), share.fill_limit(now_ms))
+            for _, share in self.shares_of(target)
         )
 
     def next_capacity_ms(self, target: TargetName) -> float:
@@ -256,7 +257,7 @@
         return min((each.token_gap_target_ms for each in classes), default=DEFAULT_GAP_TARGET_MS)
 
     def _preempt_for_online(self, share: ServerShare, now_ms: float) -> None:
-        to_cut = share.to_cut(now_ms)
+        to_cut = share.runs_to_preempt(now_ms)
         if to_cut:
             self._on_cut(to_cut)
 
--- a/citrondyke/gateway/accounts/limit_exchange.py
+++ b/citrondyke/gateway/accounts/limit_exchange.py
@@ -18,7 +18,7 @@
 from citrondyke.decisions.accounts.limit_messages import UseAnswered
 from citrondyke.decisions.accounts.overshoot_budget import GRANT_MS
 from citrondyke.decisions.accounts.slot_lease import RENEW_MS
-from citrondyke.decisions.reservations.kept_places import ReservationCounts
+from citrondyke.decisions.reservations.reservations import ReservationCounts
 from citrondyke.gateway.accounts.advance_grant_store import AdvanceGrantStore
 from citrondyke.gateway.peers.peer_codec import (
     LimitText,
@@ -33,7 +33,7 @@
     from citrondyke.decisions.accounts.account import Account
     from citrondyke.decisions.accounts.advance_grant_records import AdvanceGrantStoreCall
     from citrondyke.decisions.accounts.limit_messages import Addressed, LimitMessage, UseNeed
-    from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
+    from citrondyke.decisions.accounts.steward_rate_limiter import StewardRateLimiter
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.forwarding.current_config import CurrentConfig
     from citrondyke.gateway.metrics import Metrics
@@ -50,10 +50,10 @@
 #: between availability zones, a tenth of the time in which an answer is expected.
 ANSWER_MS = 40.0
 #: Datagrams get lost; who was silent is asked once more before a caller is told "unknown".
-ROUNDS = 2
+QUERY_ROUNDS = 2
 DATAGRAM_LIMIT_BYTES = 65_535
 #: Pause between two looks whether some account has a limit by now.
-IDLE_MS = 1_000.0
+IDLE_POLL_MS = 1_000.0
 #: Between two questions for leases in the first seconds of a life, in which requests are refused
 #: until there is a steward.
 STARTUP_RENEW_MS = 50.0
@@ -71,7 +71,7 @@
     def __init__(
         self,
         context: Context,
-        limits: StewardLimits,
+        limits: StewardRateLimiter,
         config: CurrentConfig,
         membership: Membership,
         metrics: Metrics,
@@ -88,10 +88,10 @@
         self._port = peer_port + PORT_AFTER_PEERS
         self._tasks = tasks
         self._socket: socket.socket | None = None
-        self._waiting: dict[int, AsyncResult] = {}
+        self._pending_queries: dict[int, AsyncResult] = {}
         self._held_slots: tuple[int, ...] = ()
-        self._marks = AdvanceGrantStore(table)
-        self._waiters_count = 0
+        self._advance_grant_store = AdvanceGrantStore(table)
+        self._waiting_requests_count = 0
         self._logged_reservations = ReservationCounts()
         self._reservations_logged_ms = float('-inf')
         for name in ('kept', 'taken', 'lapsed'):
@@ -121,44 +121,44 @@
         if not account.has_limit:
             return self._limits.next_step(account, need, set())  # type: ignore[return-value]
         clock = self._context.clock
-        if self._waiters_count >= WAITING_REQUESTS_LIMIT:
+        if self._waiting_requests_count >= WAITING_REQUESTS_LIMIT:
             need = msgspec.structs.replace(need, may_wait_ms=0.0)
         while True:
             asked_ms = clock.fence_ms()
             verdict = self._resolve_verdict(account, need)
             if verdict.start_in_ms > 0.0:
-                self._wait(verdict.start_in_ms - (clock.fence_ms() - asked_ms))
+                self._wait_for_start(verdict.start_in_ms - (clock.fence_ms() - asked_ms))
             late_ms = clock.fence_ms() - asked_ms - verdict.start_in_ms
             if verdict.kind is not VerdictKind.WITHIN or late_ms <= GRANT_MS:
-                return self._counted(account, verdict)
+                return self._record_verdict(account, verdict)
             log.info('limit.grant_lapsed', extra={'account': account.id, 'late_ms': late_ms})
             need = msgspec.structs.replace(need, left_ms=need.left_ms - late_ms, may_wait_ms=0.0)
 
-    def _wait(self, for_ms: float) -> None:
-        self._waiters_count += 1
+    def _wait_for_start(self, for_ms: float) -> None:
+        self._waiting_requests_count += 1
         try:
             gevent.sleep(max(0.0, for_ms) / 1e3)
         finally:
-            self._waiters_count -= 1
+            self._waiting_requests_count -= 1
 
     def _resolve_verdict(self, account: Account, need: UseNeed) -> LimitVerdict:
         tried: set[InstanceId] = set()
         rounds = 1
         while True:
             step = self._limits.next_step(account, need, tried)
-            self._send_all(self._limits.to_send())
+            self._send_all(self._limits.pending_messages())
             self._spawn_store_calls()
             if isinstance(step, QuotaQuery):
                 tried.add(step.receiver)
-                answer = self._ask(step)
+                answer = self._send_query(step)
                 if answer is None:
                     self._limits.record_no_reply(account, step.receiver)
                     log.info('limit.keeper_silent', extra={'peer': step.receiver})
                     continue
-                verdict = self._limits.note_answer(account, step.receiver, answer)
+                verdict = self._limits.apply_answer(account, step.receiver, answer)
                 if verdict is not None:
                     return verdict
-            elif step.kind is VerdictKind.UNKNOWN and rounds < ROUNDS:
+            elif step.kind is VerdictKind.UNKNOWN and rounds < QUERY_ROUNDS:
                 rounds += 1
                 tried.clear()
             else:
@@ -171,7 +171,7 @@
     def _run_store_call(self, call: AdvanceGrantStoreCall) -> None:
         row = None
         try:
-            row = self._marks.run(call)
+            row = self._advance_grant_store.run(call)
         finally:
             self._send_all(self._limits.apply_advance_grant_row(call, row))
 
@@ -179,7 +179,7 @@
         """List the slots whose accounts this instance counts."""
         return self._limits.held_slots()
 
-    def _counted(self, account: Account, verdict: LimitVerdict) -> LimitVerdict:
+    def _record_verdict(self, account: Account, verdict: LimitVerdict) -> LimitVerdict:
         if account.has_limit:
             self._metrics.note_account(account.id, verdict.kind.value)
             if verdict.is_kept:
@@ -188,16 +188,16 @@
                 self._metrics.counters['limit_places_waited_for'] += 1
         return verdict
 
-    def _ask(self, question: QuotaQuery) -> UseAnswered | None:
-        result = self._waiting[question.number] = AsyncResult()
+    def _send_query(self, query: QuotaQuery) -> UseAnswered | None:
+        result = self._pending_queries[query.number] = AsyncResult()
         try:
-            if not self._send(question.receiver, question.message):
+            if not self._send(query.receiver, query.message):
                 return None
             answer = result.get(timeout=ANSWER_MS / 1e3)
         except gevent.Timeout:
             return None
         finally:
-            self._waiting.pop(question.number, None)
+            self._pending_queries.pop(query.number, None)
         return answer if isinstance(answer, UseAnswered) else None
 
     def _run_receive(self) -> None:
@@ -209,22 +209,22 @@
                 log.info('peer.unreadable', extra={'ip': address[0], 'detail': str(error)})
                 continue
             if isinstance(message.text, LimitText):
-                self._take(message.sender, message.text)
+                self._on_message(message.sender, message.text)
 
-    def _take(self, sender: InstanceId, text: LimitText) -> None:
+    def _on_message(self, sender: InstanceId, text: LimitText) -> None:
         message = text.message
         if not isinstance(message, UseAnswered):
-            self._send_all(self._limits.take(sender, message))
+            self._send_all(self._limits.on_message(sender, message))
             self._spawn_store_calls()
             return
-        waiting = self._waiting.get(message.number)
+        waiting = self._pending_queries.get(message.number)
         if waiting is not None:
             waiting.set(message)
 
     def _run_leases(self) -> None:
         while True:
             has_limits = self._config.current.has_limits
-            pause_ms = self._pause_ms() if has_limits else IDLE_MS
+            pause_ms = self._pause_ms() if has_limits else IDLE_POLL_MS
             gevent.sleep(self._context.jittered_ms(pause_ms, share=0.1) / 1e3)
             if has_limits:
                 self._send_all(self._limits.tick())
--- a/citrondyke/gateway/callers/held_answer.py
+++ b/citrondyke/gateway/callers/held_answer.py
@@ -40,7 +40,7 @@
 
 def _wait_for_room(held: HeldBytes, size_bytes: int, clock: Clock, until_ms: float) -> None:
     is_waiting = False
-    while not held.take(size_bytes):
+    while not held.try_acquire(size_bytes):
         if not is_waiting:
             log.info('answer.waits_for_memory', extra={'piece_bytes': size_bytes})
             is_waiting = True
--- a/citrondyke/gateway/callers/request_reader.py
+++ b/citrondyke/gateway/callers/request_reader.py
@@ -137,7 +137,7 @@
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
                 size += len(event.data)
-                if not self._held.take(len(event.data)):
+                if not self._held.try_acquire(len(event.data)):
                     return None
                 if size > limits.body_bytes:
                     raise BadRequestHeadError('body too large', 413)
--- a/citrondyke/gateway/instance.py
+++ b/citrondyke/gateway/instance.py
@@ -12,7 +12,7 @@
 from gevent.event import Event
 from gevent.server import StreamServer
 
-from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
+from citrondyke.decisions.accounts.steward_rate_limiter import StewardRateLimiter
 from citrondyke.decisions.batch.takeover import InstanceLiveness
 from citrondyke.decisions.core.context import Context
 from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry
@@ -134,7 +134,7 @@
             table,
             self._live,
         )
-        limits = StewardLimits(
+        limits = StewardRateLimiter(
             self.context,
             self.membership.everybody,
             self.beliefs.config.account,
--- a/citrondyke/gateway/operator_state.py
+++ b/citrondyke/gateway/operator_state.py
@@ -9,7 +9,7 @@
 from citrondyke.operator.account_report import AccountState, InstanceState, SuspectState
 
 if TYPE_CHECKING:
-    from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
+    from citrondyke.decisions.accounts.steward_rate_limiter import StewardRateLimiter
     from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry
     from citrondyke.decisions.forwarding.current_config import CurrentConfig
     from citrondyke.gateway.metrics import Metrics
@@ -25,7 +25,7 @@
         self,
         instance_id: InstanceId,
         config: CurrentConfig,
-        limits: StewardLimits,
+        limits: StewardRateLimiter,
         suspects: SuspectRegistry,
         metrics: Metrics,
     ) -> None:
--- a/tests/support/limit_world.py
+++ b/tests/support/limit_world.py
@@ -37,17 +37,17 @@
 
 WINDOW_MS = 5_000.0
 DELAY_MS = 1.0
-ASK_MS = 40.0
-ROUNDS = 2
+QUERY_TIMEOUT_MS = 40.0
+QUERY_ROUNDS = 2
 #: A change of the fleet or of the configuration is known everywhere within this.
-LAG_MS = 2_000.0
+PROPAGATION_MS = 2_000.0
 TICK_MS = 200.0
 STORE_MS = 4.0
 STORE_TIMEOUT_MS = 300.0
 #: A call that goes by way of a peer may be carried out much later.
 STORE_LATE_MS = 3_000.0
 
-TOLERANCE = OvershootBudget(window_ms=WINDOW_MS, overshoot=0.1, slack=20.0)
+BUDGET = OvershootBudget(window_ms=WINDOW_MS, overshoot=0.1, slack=20.0)
 
 Make = Callable[
     [
@@ -63,10 +63,10 @@
 def allowed_in_window(account: Account) -> float:
     """The bound of the users' rule on any span of five seconds."""
     uses = account.rate_per_s * WINDOW_MS / 1e3 + account.burst
-    return uses * (1 + TOLERANCE.overshoot) + TOLERANCE.slack
+    return uses * (1 + BUDGET.overshoot) + BUDGET.slack
 
 
-class _NodeClock(Clock):
+class _InstanceClock(Clock):
     def __init__(self, world: LimitWorld) -> None:
         self._world = world
         self.suspended_ms = 0.0
@@ -85,16 +85,16 @@
     """One life of one instance."""
 
     id: InstanceId
-    clock: _NodeClock
+    clock: _InstanceClock
     limits: FleetRateLimiter
     members: tuple[InstanceId, ...]
     accounts: dict[TenantId, Account]
     version: int = 0
-    silent_until_ms: float = 0.0
+    paused_until_ms: float = 0.0
     is_dead: bool = False
 
 
-class _Asking(msgspec.Struct, eq=False):
+class _PendingRequest(msgspec.Struct, eq=False):
     """One request at one instance."""
 
     node: Node
@@ -122,7 +122,7 @@
         self._order = count()
         self.accounts = {account.id: account for account in accounts}
         self.nodes: dict[InstanceId, Node] = {}
-        self.cuts: set[frozenset[InstanceId]] = set()
+        self.cut_links: set[frozenset[InstanceId]] = set()
         self.uses_ms: dict[TenantId, list[float]] = {}
         self.verdicts: Counter[tuple[TenantId, VerdictKind]] = Counter()
         self.waits_ms: list[float] = []
@@ -130,18 +130,20 @@
         #: What requests need of their limit, and what becomes of those that are told a time.
         self.left_ms = 0.0
         self.may_wait_ms = 0.0
-        self.told: Counter[str] = Counter()
+        self.reserved_outcomes: Counter[str] = Counter()
         self._works = count(1)
         #: Rows of marks by slot; they outlive all instances.
         self.rows: dict[int, AdvanceGrantRow] = {}
-        self.is_store_silent = False
+        self.is_store_unresponsive = False
         #: Part of the store's answers that get lost.
-        self.lost_part = 0.0
+        self.lost_share = 0.0
         self.epoch_step_ms = 0.0
-        self.is_deaf: set[InstanceId] = set()
+        self.loses_floors: set[InstanceId] = set()
         self.tick_ms = TICK_MS
         #: What is called with the answer to a question, by asking instance and number.
-        self._waiting: dict[tuple[InstanceId, int], Callable[[UseAnswered | None], None]] = {}
+        self._pending_queries: dict[
+            tuple[InstanceId, int], Callable[[UseAnswered | None], None]
+        ] = {}
         for number in range(instances_count):
             self._start(InstanceId(f'instance-{number}'))
         for node in self.nodes.values():
@@ -172,17 +174,19 @@
             return
         node = self.random.choice(running)
         need = UseNeed(next(self._works), self.left_ms, self.may_wait_ms)
-        self._go_on(_Asking(node, node.accounts[account], need, self.now_ms))
+        self._advance_request(_PendingRequest(node, node.accounts[account], need, self.now_ms))
 
-    def _come_back(self, asking: _Asking) -> None:
+    def _retry(self, request: _PendingRequest) -> None:
         running = [node for node in self.nodes.values() if not node.is_dead]
         if running:
             node = self.random.choice(running)
-            left_ms = self.left_ms - (self.now_ms - asking.began_ms)
-            need = UseNeed(asking.need.work, left_ms, self.may_wait_ms)
-            account = node.accounts[asking.account.id]
-            back = _Asking(node, account, need, self.now_ms, is_back=True, is_kept=asking.is_kept)
-            self._go_on(back)
+            left_ms = self.left_ms - (self.now_ms - request.began_ms)
+            need = UseNeed(request.need.work, left_ms, self.may_wait_ms)
+            account = node.accounts[request.account.id]
+            back = _PendingRequest(
+                node, account, need, self.now_ms, is_back=True, is_kept=request.is_kept
+            )
+            self._advance_request(back)
 
     def kill(self, name: InstanceId, back_ms: float | None) -> None:
         """End an instance; it is back after a while, or for good not."""
@@ -190,17 +194,17 @@
         if back_ms is not None:
             self.at(back_ms, lambda: self._start(name))
         else:
-            self._tell_members(frozenset(self.nodes) - {name})
+            self._publish_members(frozenset(self.nodes) - {name})
 
     def add(self, name: InstanceId) -> None:
         """Add an instance; the others hear of it late."""
         self._start(name)
-        self._tell_members(frozenset(self.nodes))
+        self._publish_members(frozenset(self.nodes))
 
     def pause(self, name: InstanceId, for_ms: float, *, suspended: bool) -> None:
         """Stop an instance for a while; suspended, its steady clock stands still too."""
         node = self.nodes[name]
-        node.silent_until_ms = self.now_ms + for_ms
+        node.paused_until_ms = self.now_ms + for_ms
         if suspended:
             node.clock.suspended_ms += for_ms
 
@@ -216,7 +220,7 @@
                 node.accounts[account.id] = account
 
         for node in self.nodes.values():
-            self.at(self.random.uniform(0, LAG_MS), partial(take, node))
+            self.at(self.random.uniform(0, PROPAGATION_MS), partial(take, node))
 
     def largest_window(self, account: TenantId, from_ms: float = 0.0) -> int:
         """The most uses in any span of the window."""
@@ -227,28 +231,28 @@
         )
 
     def _start(self, name: InstanceId) -> None:
-        clock = _NodeClock(self)
+        clock = _InstanceClock(self)
         context = Context(
             name, AvailabilityZone('zone-a'), clock, random.Random(self.random.random())
         )
         before = self.nodes.get(name)
         members = before.members if before else (*self.nodes, name)
         node = Node(name, clock, None, members, dict(self.accounts), self.version)  # type: ignore[arg-type]
-        node.limits = self._make(context, lambda: node.members, node.accounts.get, TOLERANCE)
+        node.limits = self._make(context, lambda: node.members, node.accounts.get, BUDGET)
         self.nodes[name] = node
         self.at(self.random.uniform(0, self.tick_ms), lambda: self._tick(node))
 
-    def _tell_members(self, names: frozenset[InstanceId]) -> None:
+    def _publish_members(self, names: frozenset[InstanceId]) -> None:
         for node in self.nodes.values():
             self.at(
-                self.random.uniform(0, LAG_MS),
+                self.random.uniform(0, PROPAGATION_MS),
                 lambda node=node: setattr(node, 'members', tuple(sorted(names))),  # type: ignore[misc]
             )
 
     def _tick(self, node: Node) -> None:
         if node.is_dead:
             return
-        if node.silent_until_ms <= self.now_ms:
+        if node.paused_until_ms <= self.now_ms:
             self._send(node, node.limits.tick())
             self._run_store_calls(node)
         self.at(self.tick_ms * self.random.uniform(0.9, 1.1), lambda: self._tick(node))
@@ -256,8 +260,8 @@
     def _send(self, sender: Node, addressed: list[Addressed]) -> None:
         for each in addressed:
             self.messages[sender.id] += 1
-            is_lost = isinstance(each.message, FloorsTold) and each.receiver in self.is_deaf
-            if frozenset((sender.id, each.receiver)) not in self.cuts and not is_lost:
+            is_lost = isinstance(each.message, FloorsTold) and each.receiver in self.loses_floors
+            if frozenset((sender.id, each.receiver)) not in self.cut_links and not is_lost:
                 self.at(
                     DELAY_MS * self.random.uniform(0.5, 2),
                     lambda each=each: self._deliver(sender.id, each),  # type: ignore[misc]
@@ -267,110 +271,116 @@
         node = self.nodes.get(each.receiver)
         if node is None or node.is_dead:
             return
-        if node.silent_until_ms > self.now_ms:
-            wait_ms = node.silent_until_ms - self.now_ms
+        if node.paused_until_ms > self.now_ms:
+            wait_ms = node.paused_until_ms - self.now_ms
             self.at(wait_ms, lambda: self._deliver(sender, each))
         elif isinstance(each.message, UseAnswered):
-            waiting = self._waiting.pop((node.id, each.message.number), None)
+            waiting = self._pending_queries.pop((node.id, each.message.number), None)
             if waiting is not None:
                 waiting(each.message)
         else:
-            self._send(node, node.limits.take(sender, each.message))
+            self._send(node, node.limits.on_message(sender, each.message))
             self._run_store_calls(node)
 
     def _run_store_calls(self, node: Node) -> None:
         for call in node.limits.advance_grant_calls():
-            if self.is_store_silent:
-                self.at(STORE_TIMEOUT_MS, partial(self._marked, node, call, None))
+            if self.is_store_unresponsive:
+                self.at(STORE_TIMEOUT_MS, partial(self._apply_row, node, call, None))
                 continue
             delay_ms = STORE_MS * self.random.uniform(0.5, 4)
-            if self.random.random() < self.lost_part:
+            if self.random.random() < self.lost_share:
                 delay_ms += STORE_LATE_MS
-            self.at(delay_ms / 2, partial(self._at_store, node, call, delay_ms / 2))
+            self.at(delay_ms / 2, partial(self._run_at_store, node, call, delay_ms / 2))
 
-    def _at_store(self, node: Node, call: AdvanceGrantStoreCall, back_ms: float) -> None:
+    def _run_at_store(self, node: Node, call: AdvanceGrantStoreCall, back_ms: float) -> None:
         row = self.rows.get(call.slot, AdvanceGrantRow(frozenset(), 0))
         if call.wanted is not None and call.version == row.version:
             self.rows[call.slot] = AdvanceGrantRow(call.wanted, row.version + 1)
             row = AdvanceGrantRow(call.wanted, row.version + 1, is_written=True)
-        is_lost = self.random.random() < self.lost_part
-        self.at(back_ms, partial(self._marked, node, call, None if is_lost else row))
+        is_lost = self.random.random() < self.lost_share
+        self.at(back_ms, partial(self._apply_row, node, call, None if is_lost else row))
 
-    def _marked(self, node: Node, call: AdvanceGrantStoreCall, row: AdvanceGrantRow | None) -> None:
+    def _apply_row(
+        self, node: Node, call: AdvanceGrantStoreCall, row: AdvanceGrantRow | None
+    ) -> None:
         if node.is_dead:
             return
-        if node.silent_until_ms > self.now_ms:
-            wait_ms = node.silent_until_ms - self.now_ms
-            self.at(wait_ms, partial(self._marked, node, call, row))
+        if node.paused_until_ms > self.now_ms:
+            wait_ms = node.paused_until_ms - self.now_ms
+            self.at(wait_ms, partial(self._apply_row, node, call, row))
             return
         self._send(node, node.limits.apply_advance_grant_row(call, row))
         self._run_store_calls(node)
 
-    def _go_on(self, asking: _Asking) -> None:
-        node = asking.node
+    def _advance_request(self, request: _PendingRequest) -> None:
+        node = request.node
         if node.is_dead:
             return
-        if node.silent_until_ms > self.now_ms:
-            wait_ms = node.silent_until_ms - self.now_ms
-            self.at(wait_ms, lambda: self._go_on(asking))
+        if node.paused_until_ms > self.now_ms:
+            wait_ms = node.paused_until_ms - self.now_ms
+            self.at(wait_ms, lambda: self._advance_request(request))
             return
-        asked_ms = self.now_ms
-        step = node.limits.next_step(asking.account, asking.need, asking.tried)
-        self._send(node, node.limits.to_send())
+        queried_ms = self.now_ms
+        step = node.limits.next_step(request.account, request.need, request.tried)
+        self._send(node, node.limits.pending_messages())
         self._run_store_calls(node)
         if isinstance(step, LimitVerdict):
-            if step.kind is VerdictKind.UNKNOWN and asking.rounds < ROUNDS:
-                asking.tried, asking.rounds = set(), asking.rounds + 1
-                self._go_on(asking)
+            if step.kind is VerdictKind.UNKNOWN and request.rounds < QUERY_ROUNDS:
+                request.tried, request.rounds = set(), request.rounds + 1
+                self._advance_request(request)
             else:
-                self._end(asking, step, asked_ms)
+                self._finish(request, step, queried_ms)
             return
 
         def answered(answer: UseAnswered | None) -> None:
-            if self._waiting.pop((node.id, step.number), None) is None and answer is None:
+            if self._pending_queries.pop((node.id, step.number), None) is None and answer is None:
                 return
             if node.is_dead:
                 return
-            asking.tried.add(step.receiver)
+            request.tried.add(step.receiver)
             verdict = None
             if answer is None:
-                node.limits.record_no_reply(asking.account, step.receiver)
+                node.limits.record_no_reply(request.account, step.receiver)
             else:
-                verdict = node.limits.note_answer(asking.account, step.receiver, answer)
+                verdict = node.limits.apply_answer(request.account, step.receiver, answer)
             if verdict is None:
-                self._go_on(asking)
+                self._advance_request(request)
             else:
-                self._end(asking, verdict, asked_ms)
+                self._finish(request, verdict, queried_ms)
 
-        self._waiting[node.id, step.number] = answered
-        self.at(ASK_MS, lambda: answered(None))
+        self._pending_queries[node.id, step.number] = answered
+        self.at(QUERY_TIMEOUT_MS, lambda: answered(None))
         self._send(node, [Addressed(step.receiver, step.message)])
 
-    def _end(self, asking: _Asking, verdict: LimitVerdict, asked_ms: float) -> None:
+    def _finish(self, request: _PendingRequest, verdict: LimitVerdict, queried_ms: float) -> None:
         if verdict.kind is VerdictKind.WITHIN and verdict.start_in_ms > 0:
-            start_ms = asked_ms + verdict.start_in_ms
+            start_ms = queried_ms + verdict.start_in_ms
             later = msgspec.structs.replace(verdict, start_in_ms=0.0)
-            self.at(max(0.0, start_ms - self.now_ms), lambda: self._end(asking, later, start_ms))
+            self.at(
+                max(0.0, start_ms - self.now_ms), lambda: self._finish(request, later, start_ms)
+            )
             return
-        node = asking.node
+        node = request.node
         if node.is_dead:
             return
-        if verdict.kind is VerdictKind.WITHIN and node.silent_until_ms > self.now_ms:
-            wait_ms = node.silent_until_ms - self.now_ms
-            self.at(wait_ms, lambda: self._end(asking, verdict, asked_ms))
+        if verdict.kind is VerdictKind.WITHIN and node.paused_until_ms > self.now_ms:
+            wait_ms = node.paused_until_ms - self.now_ms
+            self.at(wait_ms, lambda: self._finish(request, verdict, queried_ms))
             return
-        if verdict.kind is VerdictKind.WITHIN and self.now_ms > asked_ms + GRANT_MS:
-            asking.tried, asking.rounds = set(), 1
-            self._go_on(asking)
+        if verdict.kind is VerdictKind.WITHIN and self.now_ms > queried_ms + GRANT_MS:
+            request.tried, request.rounds = set(), 1
+            self._advance_request(request)
             return
-        account = asking.account
-        if asking.is_kept:
-            self.told['served' if verdict.kind is VerdictKind.WITHIN else 'refused'] += 1
+        account = request.account
+        if request.is_kept:
+            self.reserved_outcomes[
+                'served' if verdict.kind is VerdictKind.WITHIN else 'refused'
+            ] += 1
         self.verdicts[account.id, verdict.kind] += 1
-        self.waits_ms.append(self.now_ms - asking.began_ms)
+        self.waits_ms.append(self.now_ms - request.began_ms)
         if verdict.kind is VerdictKind.WITHIN:
             self.uses_ms.setdefault(account.id, []).append(self.now_ms)
-        elif asking.need.left_ms > 0 and not asking.is_back:
-            asking.is_kept = verdict.is_kept
-            back_ms = min(verdict.retry_in_ms, asking.need.left_ms / 3)
-            self.at(back_ms, lambda: self._come_back(asking))
+        elif request.need.left_ms > 0 and not request.is_back:
+            request.is_kept = verdict.is_kept
+            back_ms = min(verdict.retry_in_ms, request.need.left_ms / 3)
+            self.at(back_ms, lambda: self._retry(request))
--- a/tests/test_accounts/test_accounts_limits.py
+++ b/tests/test_accounts/test_accounts_limits.py
@@ -10,7 +10,7 @@
 from citrondyke.decisions.accounts.account import Account
 from citrondyke.decisions.accounts.fleet_rate_limiter import LimitVerdict, VerdictKind
 from citrondyke.decisions.accounts.limit_messages import UseNeed
-from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
+from citrondyke.decisions.accounts.steward_rate_limiter import StewardRateLimiter
 from citrondyke.ids import InstanceId, TenantId
 from tests.support.limit_world import LimitWorld, allowed_in_window
 
@@ -23,7 +23,7 @@
 
 def world(size: int, seed: int = 1) -> LimitWorld:
     """A fleet in which everybody knows everybody and stewards are there."""
-    made = LimitWorld(StewardLimits, size, [LARGE, SMALL], seed)
+    made = LimitWorld(StewardRateLimiter, size, [LARGE, SMALL], seed)
     made.run(3_000.0)
     return made
 
@@ -125,9 +125,9 @@
     for account in (LARGE, SMALL):
         made.load(account.id, account.rate_per_s * 9, 30_000.0)
     made.run(5_000.0)
-    made.cuts = {frozenset((a, b)) for a in names[:10] for b in names[10:]}
+    made.cut_links = {frozenset((a, b)) for a in names[:10] for b in names[10:]}
     made.run(10_000.0)
-    made.cuts = set()
+    made.cut_links = set()
     made.run(15_000.0)
     assert_bounds(made)
     assert len([at for at in made.uses_ms[LARGE.id] if at > 20_000]) >= 0.9 * 54 * 13
@@ -202,5 +202,5 @@
 
 
 def keeps(limits: object, account: Account) -> bool:
-    assert isinstance(limits, StewardLimits)
+    assert isinstance(limits, StewardRateLimiter)
     return limits.is_steward_of(account.id)
--- a/tests/test_accounts/test_accounts_machine.py
+++ b/tests/test_accounts/test_accounts_machine.py
@@ -8,9 +8,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from citrondyke.decisions.accounts.account import Account
-from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
+from citrondyke.decisions.accounts.steward_rate_limiter import StewardRateLimiter
 from citrondyke.ids import InstanceId, TenantId
-from tests.support.limit_world import LAG_MS, WINDOW_MS, LimitWorld, allowed_in_window
+from tests.support.limit_world import PROPAGATION_MS, WINDOW_MS, LimitWorld, allowed_in_window
 
 LARGE = Account(id=TenantId('large'), rate_per_s=40.0, burst=40.0)
 SMALL = Account(id=TenantId('small'), rate_per_s=1.0, burst=1.0)
@@ -24,8 +24,8 @@
     @initialize(seed=st.integers(0, 2**16))
     def start(self, seed: int) -> None:
         """Start a fleet."""
-        self.world = LimitWorld(StewardLimits, FIRST_COUNT, [LARGE, SMALL], seed)
-        self.world.lost_part = 0.02
+        self.world = LimitWorld(StewardRateLimiter, FIRST_COUNT, [LARGE, SMALL], seed)
+        self.world.lost_share = 0.02
         self.world.left_ms, self.world.may_wait_ms = 5_000.0, 240.0
         self.names = list(self.world.nodes)
         self.allowed = {each.id: allowed_in_window(each) for each in (LARGE, SMALL)}
@@ -50,18 +50,18 @@
         """Part some instances from the rest."""
         inside = [self.names[place] for place in parted]
         outside = [name for name in self.world.nodes if name not in inside]
-        self.world.cuts = {frozenset((a, b)) for a in inside for b in outside}
+        self.world.cut_links = {frozenset((a, b)) for a in inside for b in outside}
 
     @rule(place=places, other=places)
     def cut_pair(self, place: int, other: int) -> None:
         """Cut one link."""
         if place != other:
-            self.world.cuts.add(frozenset((self.names[place], self.names[other])))
+            self.world.cut_links.add(frozenset((self.names[place], self.names[other])))
 
     @rule()
     def heal(self) -> None:
         """Mend all links."""
-        self.world.cuts = set()
+        self.world.cut_links = set()
 
     @rule(place=places, back_ms=st.sampled_from([100.0, 700.0, 3_000.0]))
     def kill(self, place: int, back_ms: float) -> None:
@@ -85,12 +85,12 @@
     @rule(parted=st.sets(places, max_size=FIRST_COUNT))
     def deafen(self, parted: set[int]) -> None:
         """Have some instances hear nothing of floors."""
-        self.world.is_deaf = {self.names[place] for place in parted}
+        self.world.loses_floors = {self.names[place] for place in parted}
 
     @rule(is_silent=st.booleans())
     def silence_store(self, is_silent: bool) -> None:
         """Have the store answer nobody, or all again."""
-        self.world.is_store_silent = is_silent
+        self.world.is_store_unresponsive = is_silent
 
     @rule()
     def step_clocks(self) -> None:
@@ -113,7 +113,7 @@
         self.world.change(changed)
         self.check()
         if changed.rate_per_s < before.rate_per_s:
-            self.let_pass(LAG_MS + WINDOW_MS)
+            self.let_pass(PROPAGATION_MS + WINDOW_MS)
             self.since_ms[LARGE.id] = self.world.now_ms
         self.allowed[LARGE.id] = allowed_in_window(changed)
 
--- a/tests/test_accounts/test_accounts_window.py
+++ b/tests/test_accounts/test_accounts_window.py
@@ -8,8 +8,8 @@
 from citrondyke.decisions.accounts.account import Account
 from citrondyke.decisions.accounts.fleet_rate_limiter import VerdictKind
 from citrondyke.decisions.accounts.limit_messages import UseNeed, UseOutcome
-from citrondyke.decisions.accounts.slots import slot_of
-from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
+from citrondyke.decisions.accounts.slot_placement import slot_of
+from citrondyke.decisions.accounts.steward_rate_limiter import StewardRateLimiter
 from citrondyke.ids import InstanceId, TenantId
 from tests.support.limit_world import LimitWorld, Node, allowed_in_window
 
@@ -20,7 +20,7 @@
 
 def world(seed: int = 1, size: int = 10) -> LimitWorld:
     """A fleet in which an account has asked for its usual until its window is known."""
-    made = LimitWorld(StewardLimits, size, [LARGE], seed)
+    made = LimitWorld(StewardRateLimiter, size, [LARGE], seed)
     made.run(1_000.0)
     made.load(LARGE.id, USUAL_PER_S / 2, 8_000.0)
     made.run(8_000.0)
@@ -35,8 +35,8 @@
     return [node for node in made.nodes.values() if not node.is_dead]
 
 
-def limits_of(node: Node) -> StewardLimits:
-    assert isinstance(node.limits, StewardLimits)
+def limits_of(node: Node) -> StewardRateLimiter:
+    assert isinstance(node.limits, StewardRateLimiter)
     return node.limits
 
 
@@ -62,7 +62,7 @@
 def test_nothing_ahead_of_time_while_the_store_is_silent() -> None:
     # After a loss of all instances nobody would know of it.
     made = world()
-    made.is_store_silent = True
+    made.is_store_unresponsive = True
     before_ms = made.now_ms
     made.load(LARGE.id, 9 * USUAL_PER_S, 2_000.0)
     made.run(2_000.0)
@@ -92,7 +92,7 @@
     made = world(seed)
     made.load(LARGE.id, 9 * USUAL_PER_S, 12_000.0)
     made.run(1_500.0)
-    made.is_store_silent = seed % 2 == 0
+    made.is_store_unresponsive = seed % 2 == 0
     for name in list(made.nodes):
         made.kill(name, made.random.uniform(100, 500))
     made.run(10_000.0)
@@ -102,10 +102,10 @@
 def test_loss_of_two_keepers_of_three_passes_no_limit() -> None:
     made = world()
     slot = slot_of(LARGE.id)
-    keepers = limits_of(steward(made))._slots.keepers(slot)
+    replicas = limits_of(steward(made))._placement.replicas(slot)
     made.load(LARGE.id, 9 * USUAL_PER_S, 12_000.0)
     made.run(1_500.0)
-    for name in keepers[:2]:
+    for name in replicas[:2]:
         made.kill(name, 200.0)
     made.run(10_000.0)
     assert made.largest_window(LARGE.id) <= allowed_in_window(LARGE)
@@ -115,7 +115,7 @@
     # Keepers give their word for the lease but miss what they are told of levels. Who followed
     # would start at the old floor, so nobody may have fallen below it.
     made = world()
-    made.is_deaf = set(made.nodes)
+    made.loses_floors = set(made.nodes)
     before_ms = made.now_ms
     made.load(LARGE.id, 9 * USUAL_PER_S, 1_000.0)
     made.run(1_000.0)
@@ -146,18 +146,18 @@
     # been the steward and its witness, of which the third, cut off meanwhile, has heard nothing.
     made = world(seed)
     slot = slot_of(LARGE.id)
-    first, second, third = limits_of(steward(made))._slots.keepers(slot)
-    made.cuts = {frozenset((third, each)) for each in made.nodes if each != third}
+    first, second, third = limits_of(steward(made))._placement.replicas(slot)
+    made.cut_links = {frozenset((third, each)) for each in made.nodes if each != third}
     made.kill(first, 50.0)
     made.kill(second, 50.0)
     made.load(LARGE.id, 9 * USUAL_PER_S, 9_000.0)
     made.run(1_500.0)
     made.kill(first, 9_000.0)
     made.kill(second, 50.0)
-    made.cuts = set()
+    made.cut_links = set()
     made.run(7_000.0)
     follower = limits_of(steward(made))._slot_stewards[slot]
-    assert follower._before is None
+    assert follower._previous_copy is None
     assert made.largest_window(LARGE.id) <= PROMISED * 1.1
 
 
@@ -167,7 +167,7 @@
     def __init__(self) -> None:
         self.made = world()
         # Every wait would end in a place, were its store silent or not.
-        self.made.is_store_silent = True
+        self.made.is_store_unresponsive = True
         self.node = steward(self.made)
         self.slot = limits_of(self.node)._slot_stewards[slot_of(LARGE.id)]
 
@@ -180,7 +180,7 @@
         work = 10_000
         while self.ask(work, left_ms=0.0).outcome is UseOutcome.GRANTED:  # type: ignore[attr-defined]
             work += 1
-            self.made._send(self.node, self.slot.to_tell())
+            self.made._send(self.node, self.slot.pending_floor_messages())
             self.made.run(6.0)
 
 
@@ -216,7 +216,7 @@
     other = Account(id=TenantId('large-2'), rate_per_s=0.001, burst=0.0)
     asking.made.run(told.retry_in_ms)  # type: ignore[attr-defined]
     assert asking.ask(8).outcome is UseOutcome.REFUSED  # type: ignore[attr-defined]
-    asking.slot._of(other).fill(-1e3)
+    asking.slot._quota_of(other).add_remaining(-1e3)
     assert asking.ask(7, other).outcome is UseOutcome.REFUSED  # type: ignore[attr-defined]
     assert asking.ask(7).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
 
@@ -277,14 +277,14 @@
 def test_nine_of_ten_that_were_told_a_time_are_served_then() -> None:
     # For four seconds an account asks for ten times its usual, at instances of which most refuse
     # without asking; who was refused comes back once, anywhere, with a third of its time.
-    made = LimitWorld(StewardLimits, 20, [LARGE], 5)
+    made = LimitWorld(StewardRateLimiter, 20, [LARGE], 5)
     made.run(1_000.0)
     made.left_ms, made.may_wait_ms = 5_000.0, 180.0
     made.load(LARGE.id, USUAL_PER_S, 14_000.0)
     made.run(6_000.0)
     made.load(LARGE.id, 9 * USUAL_PER_S, 4_000.0)
     made.run(8_000.0)
-    told = made.told['served'] + made.told['refused']
+    told = made.reserved_outcomes['served'] + made.reserved_outcomes['refused']
     assert told >= 30
-    assert made.told['served'] >= 0.9 * told
+    assert made.reserved_outcomes['served'] >= 0.9 * told
     assert made.largest_window(LARGE.id) <= allowed_in_window(LARGE)
--- a/tests/test_gateway/test_callers/test_callers_limits.py
+++ b/tests/test_gateway/test_callers/test_callers_limits.py
@@ -10,7 +10,7 @@
 
 from citrondyke.cmd.ctl.accounts import read_states
 from citrondyke.decisions.accounts.overshoot_budget import OvershootBudget
-from citrondyke.decisions.accounts.slots import SLOTS_COUNT
+from citrondyke.decisions.accounts.slot_placement import SLOTS_COUNT
 from citrondyke.decisions.accounts.steward_count import StewardCount
 from citrondyke.gateway.accounts import limit_exchange
 from citrondyke.operator.account_report import (
--- a/tests/test_gateway/test_callers/test_callers_memory.py
+++ b/tests/test_gateway/test_callers/test_callers_memory.py
@@ -12,7 +12,7 @@
     """Hold bodies until there is room for none."""
     others = []
     for size_bytes in (1_000_000, 10_000, 100, 1):
-        while (held := budget.open(kind)).take(size_bytes):
+        while (held := budget.open(kind)).try_acquire(size_bytes):
             others.append(held)
     return others
 
--- a/tests/test_memory/test_memory_byte_budget.py
+++ b/tests/test_memory/test_memory_byte_budget.py
@@ -15,7 +15,7 @@
 def fill(budget: ByteBudget, kind: HeldKind) -> list[HeldBytes]:
     """Hold bodies of one piece until there is no room."""
     bodies = []
-    while (held := budget.open(kind)).take(PIECE_BYTES):
+    while (held := budget.open(kind)).try_acquire(PIECE_BYTES):
         bodies.append(held)
     return bodies
 
@@ -25,7 +25,7 @@
     budget = ByteBudget(LIMIT_BYTES)
     fill(budget, HeldKind.ANSWER)
     assert budget.bytes_of(HeldKind.ANSWER) <= KIND_SHARE * LIMIT_BYTES
-    assert budget.open(HeldKind.REQUEST).take(PIECE_BYTES)
+    assert budget.open(HeldKind.REQUEST).try_acquire(PIECE_BYTES)
 
 
 def test_the_oldest_comes_to_its_end() -> None:
@@ -33,10 +33,10 @@
     # none would end and all callers would be lost.
     budget = ByteBudget(LIMIT_BYTES)
     bodies = fill(budget, HeldKind.ANSWER)
-    assert not bodies[-1].take(PIECE_BYTES)
-    assert bodies[0].take(PIECE_BYTES)
+    assert not bodies[-1].try_acquire(PIECE_BYTES)
+    assert bodies[0].try_acquire(PIECE_BYTES)
     bodies[0].release()
-    assert bodies[1].take(PIECE_BYTES)
+    assert bodies[1].try_acquire(PIECE_BYTES)
 
 
 class BudgetMachine(RuleBasedStateMachine):
@@ -50,14 +50,14 @@
     @rule(kind=st.sampled_from(HeldKind), size=st.integers(1, 300))
     def begin(self, kind: HeldKind, size: int) -> None:
         held = self.budget.open(kind)
-        if held.take(size):
+        if held.try_acquire(size):
             self.sizes[held] = size
 
     @rule(index=st.integers(0, 50), size=st.integers(1, 300))
     def grow(self, index: int, size: int) -> None:
         if self.sizes:
             held = list(self.sizes)[index % len(self.sizes)]
-            self.sizes[held] += size * held.take(size)
+            self.sizes[held] += size * held.try_acquire(size)
 
     @rule(index=st.integers(0, 50))
     def end(self, index: int) -> None:
