--- a/citrondyke/gateway/callers/forwarding.py
+++ b/citrondyke/gateway/callers/forwarded_request.py
@@ -11,10 +11,10 @@
 from citrondyke.decisions.forwarding.route import Route
 from citrondyke.decisions.forwarding.send_history import SendHistory
 from citrondyke.gateway.callers.caller_request import CallerRequest
-from citrondyke.gateway.dialect import CallFacts
+from citrondyke.gateway.dialect import RequestMetadata
 from citrondyke.ids import ConfigVersion
 
-__all__ = ('Forwarding', 'RequestResult')
+__all__ = ('ForwardedRequest', 'RequestResult')
 
 
 class RequestResult(Enum):
@@ -42,13 +42,13 @@
     ON_TRIAL = 'on_trial'
 
 
-class Forwarding(msgspec.Struct):
+class ForwardedRequest(msgspec.Struct):
     """One request on its way."""
 
     request: CallerRequest
     #: What it asks for, whichever attempt this is.
     work: LazyRequestContent
-    facts: CallFacts
+    facts: RequestMetadata
     #: Whose request it is.
     account: Account
     route: Route
