--- a/citrondyke/decisions/batch/__init__.py
+++ b/citrondyke/decisions/batch/__init__.py
@@ -1,3 +1,3 @@
-"""Batch jobs handed in as one request and read by position; without any I/O."""
+"""Decisions on batch jobs submitted in one request and read by position; performs no I/O."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/batch/acceptance_deadline.py
+++ b/citrondyke/decisions/batch/acceptance_deadline.py
@@ -1,4 +1,4 @@
-"""How long a caller with a job is held while the store does not take it."""
+"""How long the caller of a job waits while the store does not accept the job."""
 
 from __future__ import annotations
 
@@ -6,43 +6,45 @@
 
 __all__ = ('AcceptanceDeadline', 'begin_acceptance')
 
-#: A job that cannot be made durable within this time is answered where its caller has to try
-#: elsewhere; of some 5 s that a caller has, that leaves room for two more tries.
+#: Time after which the caller of a job that is not durable yet is told to try another instance.
+#: Callers have about 5 s, so this leaves time for two more attempts.
 REDIRECT_AFTER_MS = 1_500.0
-#: Before the caller's deadline: the last try's answer, the way back, and the caller's own reading.
+#: Reserved before the caller's deadline for the reply to the last attempt, its transfer to the
+#: caller and the caller's reading of it.
 ANSWER_MARGIN_MS = 300.0
 
 
 class AcceptanceDeadline(msgspec.Struct):
-    """One job on its way into the store.
+    """Times at which the caller of one job is answered while the job is being stored.
 
-    Answers a store that is away from everybody for seconds. A caller comes back once or twice, and
-    is gone for good if the outage lasts longer than its tries together; while it is held, the
-    store is asked all the time that it has. Another instance would do no better then: calls went
-    by way of a peer as well.
+    Handles a store that no instance reaches for seconds. A caller retries once or twice, and its
+    job is lost if the outage outlasts these attempts together; while the caller is held, the
+    write is retried until the caller's deadline. Redirecting it to another instance would not
+    help, because the call has also failed through a peer.
     """
 
-    #: When the caller is answered unless the store is found to be away.
+    #: When the caller is answered unless the store is found to be unreachable.
     redirect_at_ms: float
     #: When it is answered in any case.
     latest_answer_ms: float
     is_store_unreachable: bool = False
 
     def record_failed(self) -> None:
-        """Take in that a try failed both directly and by way of a peer."""
+        """Record that an attempt failed both directly and through a peer."""
         self.is_store_unreachable = True
 
     @property
     def answer_at_ms(self) -> float:
-        """Give the time at which the caller is answered."""
+        """Return the time at which the caller is answered."""
         return self.latest_answer_ms if self.is_store_unreachable else self.redirect_at_ms
 
 
 def begin_acceptance(now_ms: float, deadline_ms: float, *, may_hold: bool) -> AcceptanceDeadline:
-    """Begin to make a job durable.
+    """Return the deadlines of a job that is about to be stored.
 
-    :param deadline_ms: of its caller.
-    :param may_hold: whether it states one, and there is memory to hold its items for longer.
+    :param deadline_ms: deadline of the caller.
+    :param may_hold: whether the caller stated a deadline and there is memory to keep the job's
+        items until then.
     """
     redirect_at_ms = now_ms + REDIRECT_AFTER_MS
     latest_answer_ms = (
--- a/citrondyke/decisions/batch/backlog_limit.py
+++ b/citrondyke/decisions/batch/backlog_limit.py
@@ -1,4 +1,4 @@
-"""The fleet-wide bound on the tokens of accepted batch items that wait on a route."""
+"""The fleet-wide limit on the backlog tokens of accepted batch items on a route."""
 
 from __future__ import annotations
 
@@ -26,79 +26,80 @@
     'sum_peer_shares',
 )
 
-#: Part of the tolerated overshoot that all instances together may hold unused, so that an
-#: acceptance far from the bound needs no further call of the store. The rest is for what they
-#: have finished or taken over and not yet written.
+#: Part of the permitted overshoot that all instances together may hold unused, so that an
+#: acceptance far from the limit needs no additional store call. The rest covers items that were
+#: finished or taken over and are not recorded in the store yet.
 HEADROOM_PART = 0.5
-#: Part of the overshoot that is never given out: jobs that change hands are counted late.
+#: Part of the overshoot that is never granted: jobs whose owner changes are counted late.
 OVERSHOOT_RESERVE_PART = 0.1
-#: From this part of the bound on, what leaves the count is written soon: a job that fits by the
-#: count of a second ago must not be turned away.
+#: From this part of the limit on, a shrinking backlog is published soon: a job that would have fit
+#: a second ago must not be rejected.
 NEAR_LIMIT_PART = 0.5
-#: Bounds of the time after which a caller without room is asked back: a look of another instance
-#: takes 300 ms to show that items are finished, and nobody waits longer than seconds.
+#: Bounds of the retry time of a rejected caller: other instances learn of finished items by a poll
+#: every 300 ms, and callers wait no longer than seconds.
 MIN_RETRY_MS = 300.0
 MAX_RETRY_MS = 5_000.0
-#: Stands in a share for the configuration under which nothing is allowed.
+#: Configuration version of a share that allows no acceptance.
 NO_CONFIGURATION = ConfigVersion(0)
-#: Where nothing has left the count yet, there is no rate to go by.
+#: Retry time while the drain rate is unknown, because no item has left the backlog yet.
 UNKNOWN_RATE_RETRY_MS = 1_000.0
 
 
 class TokenShare(msgspec.Struct, frozen=True):
-    """What one life of one instance writes of a route."""
+    """The stored share of one incarnation of one instance in the backlog limit of a route."""
 
     instance: InstanceId
-    #: Tokens up to which it may accept jobs without asking.
+    #: Tokens up to which the instance may accept jobs without a store call.
     held: int
-    #: Tokens of its jobs' items that no server had finished when it wrote.
+    #: Tokens of its jobs' items that no server had finished at the time of the write.
     used: int
-    #: Tokens that have left its count since its start; the rate of it tells when there is room.
+    #: Tokens that have left its backlog since its start; peers compute the drain rate from it.
     left: int = 0
-    #: Configuration under whose bound it was given; it allows nothing under another one, as the
-    #: bound may have been another in between, with others that filled the room. None where all
-    #: shares passed the bound: what jobs leave then is no room to accept others.
+    #: Configuration under whose limit the share was granted. It allows no acceptance under another
+    #: one: the limit may have changed in between, and other instances may have used the capacity.
+    #: ``NO_CONFIGURATION`` if all shares together exceeded the limit; tokens released then do not
+    #: allow further acceptances.
     config_version: ConfigVersion = NO_CONFIGURATION
-    #: Tokens of the finished items of its open jobs. Who counts its jobs by their heads, as wholes,
-    #: needs it to tell what else the share covers.
+    #: Tokens of the finished items of its open jobs. A peer that counts these jobs as a whole, by
+    #: their heads, needs it to find out what else the share covers.
     finished: int = 0
-    #: It stops, as planned: the share only counts, for what it sent to the store last.
+    #: Set at a planned stop: the share is only counted, for the last writes of the instance.
     has_left: bool = False
 
 
 class PeerShares(msgspec.Struct, frozen=True):
-    """What everybody else has on a route, by one read."""
+    """Sum of the shares of all other instances on a route, from one read."""
 
     held: int
     used: int
     left: int
 
     def plus(self, held: int, used: int, left: int) -> PeerShares:
-        """Add one more."""
+        """Return the sum with another share."""
         return PeerShares(self.held + held, self.used + used, self.left + left)
 
 
 class WithinBacklogLimit(msgspec.Struct, frozen=True):
-    """A job fits."""
+    """The job fits within the limit."""
 
-    #: What this instance is to hold from then on.
+    #: Share that this instance is to hold afterwards, in tokens.
     held: int
 
 
 class BacklogFull(msgspec.Struct, frozen=True):
-    """A job does not fit."""
+    """The job does not fit within the limit."""
 
-    #: Tokens that must leave the count first.
+    #: Tokens that must leave the backlog first.
     excess: int
-    #: ``None`` where it never fits.
+    #: ``None`` if the job can never fit.
     retry_in_ms: float | None
 
 
 class ShareValidity(Enum):
-    """How another life's share counts."""
+    """How the share of another incarnation counts."""
 
     ALIVE = 'alive'
-    #: Gone, but what it sent to the store last may still be done.
+    #: Dead, but its last writes may still take effect.
     UNCERTAIN = 'doubtful'
     DEAD = 'gone'
 
@@ -110,16 +111,16 @@
     heads: Iterable[JobHead],
     route: RouteName,
 ) -> PeerShares:
-    """Add up what others have.
+    """Return the sum of the shares of all other incarnations.
 
-    The jobs of a life that is gone are counted by their heads, until somebody has claimed them:
-    its share would count them twice from then on, and for good. Whole jobs are counted then, as
-    nobody knows how far they had come; that errs upwards. For some seconds the rest of its share
-    counts too: an acceptance that it sent before its end may be done late, and with its room
-    given away the bound would be passed.
+    The jobs of a dead incarnation are counted by their heads until they are claimed; its share
+    would count them twice from then on, permanently. They are counted as a whole, because their
+    progress is unknown, so the sum is rather too high. For some seconds the rest of the dead
+    incarnation's share counts as well: an acceptance that it sent before it died may take effect
+    late, and the limit would be exceeded if those tokens had been granted to others.
 
-    :param shares: by life.
-    :param heads: of the open jobs that are known.
+    :param shares: shares by incarnation.
+    :param heads: heads of the known open jobs.
     """
     total = PeerShares(0, 0, 0)
     orphaned: dict[str, int] = {}
@@ -134,61 +135,62 @@
             continue
         validity = validity_of(life, share)
         if validity is ShareValidity.ALIVE:
-            # Its jobs are counted by what it tells.
+            # Its jobs are counted by the share that it publishes.
             orphaned.pop(life, None)
             total = total.plus(max(share.held, share.used), share.used, share.left)
         elif validity is ShareValidity.UNCERTAIN:
             known = orphaned.get(life, 0) + claimed.get(life, 0) - share.finished
             total = total.plus(max(0, share.held - known), max(0, share.used - known), 0)
-    whole = sum(orphaned.values())
-    return total.plus(whole, whole, 0)
+    orphaned_tokens = sum(orphaned.values())
+    return total.plus(orphaned_tokens, orphaned_tokens, 0)
 
 
 class BacklogLimit:
-    """Decides who may accept how much.
-
-    Each instance holds a share of the bound, and accepts within it without asking anybody: ten
-    that accept at the same moment stay within the sum of their shares. A share grows by a write
-    that fails if anybody else's grew since the read that it rests on, so that the sum never
-    passes the bound by more than is tolerated. It shrinks without a condition, as that only
-    makes room. What an instance holds beyond its use is kept small against the tolerance, so
-    that a job which fits is not turned away for what others hold in vain.
+    """Rules by which instances divide the backlog limit of a route.
+
+    Handles concurrent acceptances at many instances. Each instance holds a share of the limit and
+    accepts within it without a store call, so ten that accept at the same time stay within the sum
+    of their shares. A share grows by a conditional write that fails if another share has grown
+    since the read, so the sum exceeds the limit by no more than the permitted overshoot. A share
+    shrinks unconditionally, which only frees tokens. The unused part of a share is small compared
+    with the overshoot, so that a job that fits is not rejected because peers hold unused tokens.
     """
 
     def __init__(self, limit: int, overshoot: float, instances_count: int) -> None:
-        """Use a bound as it is configured.
+        """Divide a configured limit.
 
-        :param limit: of the tokens on the route.
-        :param overshoot: tolerated part of it beyond.
+        :param limit: backlog tokens of the route.
+        :param overshoot: permitted excess, as a fraction of the limit.
         """
         self._limit = limit
         self._ceiling = limit * (1.0 + overshoot * (1.0 - OVERSHOOT_RESERVE_PART))
         self._headroom = int(limit * overshoot * HEADROOM_PART / max(1, instances_count))
 
     def is_headroom_in_range(self, held: int, used: int) -> bool:
-        """Tell whether what an instance holds beyond its use is about what it may hold so."""
+        """Return whether the unused part of a share is within a factor of 2 of its target."""
         return self._headroom / 2 <= held - used <= 2 * self._headroom
 
     def is_near_limit(self, used_by_all: int) -> bool:
-        """Tell whether what leaves the count must be told soon."""
+        """Return whether a shrinking backlog must be published soon."""
         return used_by_all > self._limit * NEAR_LIMIT_PART
 
     def share_to_hold(self, used: int, others: PeerShares) -> int:
-        """Give what to hold besides what is used, as far as there is room."""
-        room = int(self._ceiling) - others.held - used
-        return used + max(0, min(self._headroom, room))
+        """Return the share to hold: the used tokens and as much headroom as the limit allows."""
+        free_tokens = int(self._ceiling) - others.held - used
+        return used + max(0, min(self._headroom, free_tokens))
 
     def is_within_ceiling(self, held: int, others: PeerShares) -> bool:
-        """Tell whether all shares together are within the bound and what is tolerated."""
+        """Return whether all shares together are within the limit and the permitted overshoot."""
         return others.held + held <= int(self._ceiling)
 
     def check(
         self, used: int, tokens: int, others: PeerShares, tokens_per_s: float
     ) -> WithinBacklogLimit | BacklogFull:
-        """Decide on a job that does not fit into this instance's share.
+        """Check a job that does not fit into this instance's share.
 
-        :param used: by this instance, without the job.
-        :param tokens_per_s: by which all leave the count; 0 where that is not known.
+        :param used: tokens used by this instance, without the job.
+        :param tokens: tokens of the job.
+        :param tokens_per_s: drain rate over all instances; 0 if it is unknown.
         """
         excess = others.used + used + tokens - self._limit
         over_ceiling = others.held + used + tokens - int(self._ceiling)
--- a/citrondyke/decisions/batch/batch_demand.py
+++ b/citrondyke/decisions/batch/batch_demand.py
@@ -1,4 +1,4 @@
-"""What an owner of batch items tells of those that wait."""
+"""Demand for capacity that an owner of waiting batch items publishes to its peers."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 
 class CompletionLikelihood(IntEnum):
-    """How likely an item that starts now is done when it is due; the lower the sooner it starts."""
+    """How likely an item that starts now finishes by its due time; lower values start first."""
 
     DOABLE = 0
-    #: It will be late if it is longer than usual.
+    #: Finishes late if it takes longer than the average item.
     DOUBTFUL = 1
     LATE = 2
 
 
 class BatchDemand(msgspec.Struct, frozen=True):
-    """The items of one service that wait at one owner and stand best."""
+    """The waiting items of one service at one owner that have the best completion likelihood."""
 
     service: ServiceName
     prospect: CompletionLikelihood
     waiting_count: int
-    #: When the first of them must start to be done in time, by the monotonic clock of whoever
-    #: holds this.
+    #: Latest time at which the most urgent of them can start and still finish by its due time, on
+    #: the monotonic clock of the instance that holds this object.
     start_by_ms: float
 
 
 class DemandNotice(msgspec.Struct, frozen=True, array_like=True):
-    """A need as instances tell it to each other, whose clocks differ."""
+    """Batch demand as sent to peers; its time is relative, because the clocks differ."""
 
     service: ServiceName
     prospect: int
--- a/citrondyke/decisions/batch/batch_demand_table.py
+++ b/citrondyke/decisions/batch/batch_demand_table.py
@@ -1,4 +1,4 @@
-"""Who else has batch items waiting, and which part of the free places is one's own."""
+"""Batch demand of all instances, and this instance's share of the free capacity."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 
 __all__ = ('BatchDemandTable',)
 
-#: A need is told again so often while items wait, since datagrams get lost ...
+#: Interval at which unchanged demand is published again, since datagrams can be lost.
 RENEW_MS = 250.0
-#: ... and lapses after two of them: an owner that is gone keeps places from the others so long.
+#: Demand expires when two renewals have been missed. For this long a dead owner's demand withholds
+#: capacity from other owners.
 EXPIRY_MS = 600.0
-#: Shortest time between two tellings of needs that change with each start.
+#: Shortest time between two notices; demand changes with each start of an item.
 PUBLISH_EVERY_MS = 100.0
-#: Items that must start within this time of each other are equally urgent: places change hands
-#: every tens of ms, and items run for seconds.
+#: Items whose latest starts lie within this time of each other are equally urgent: capacity becomes
+#: free every few tens of ms, and items run for seconds.
 EQUAL_URGENCY_MS = 500.0
 
 
@@ -31,15 +32,15 @@
 
 
 class BatchDemandTable:
-    """Deals free places to those who have the most urgent items.
+    """Assigns free capacity to the owners of the most urgent items.
 
-    Answers a wave of jobs that is more than the places can do in time. With equal parts for all,
-    owners whose items are late already take as many places as those whose items can still be done,
-    and items become late one and all although half of them could have been in time.
+    Handles a wave of jobs that exceeds what the servers can finish in time. With equal shares,
+    owners whose items are already late would take as much capacity as those whose items can still
+    finish in time, and all items would become late although half of them could have been in time.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start without a need."""
+        """Start without demand."""
         self._context = context
         self._peers: dict[InstanceId, _PeerDemand] = {}
         self._own: dict[ServiceName, BatchDemand] = {}
@@ -48,7 +49,7 @@
         self._published_ms = float('-inf')
 
     def record_own_demand(self, demands: list[BatchDemand]) -> None:
-        """Take in what waits at this instance; services without waiting items are left out."""
+        """Replace this instance's demand; services without waiting items are left out."""
         now_ms = self._context.now_ms()
         self._own = {demand.service: demand for demand in demands}
         self._own_since_ms = {
@@ -56,7 +57,7 @@
         }
 
     def record_peer_demand(self, peer: InstanceId, notices: list[DemandNotice]) -> None:
-        """Take in what waits at a peer."""
+        """Replace a peer's demand."""
         if not notices:
             self._peers.pop(peer, None)
             return
@@ -73,9 +74,9 @@
         self._peers[peer] = _PeerDemand(demands, now_ms + EXPIRY_MS)
 
     def take_due_notices(self) -> list[DemandNotice] | None:
-        """Give the needs that peers are to be told now; ``None`` for no message.
+        """Return the notices to publish now; ``None`` if no message is due.
 
-        An empty list says that nothing waits any more.
+        An empty list states that no items wait any more.
         """
         now_ms = self._context.now_ms()
         own = sorted(self._own.values(), key=lambda demand: demand.service)
@@ -95,12 +96,12 @@
         ]
 
     def is_peer_demand_known(self, service: ServiceName) -> bool:
-        """Tell whether others who have items waiting have had the time to say so."""
+        """Return whether peers with waiting items have had time to publish their demand."""
         since_ms = self._own_since_ms.get(service)
         return since_ms is not None and self._context.now_ms() - since_ms >= RENEW_MS
 
     def peer_demand(self, service: ServiceName) -> list[BatchDemand]:
-        """List the needs of peers."""
+        """List the unexpired demand of peers for a service."""
         now_ms = self._context.now_ms()
         for peer in [each for each, entry in self._peers.items() if entry.until_ms <= now_ms]:
             del self._peers[peer]
@@ -109,10 +110,10 @@
         ]
 
     def own_share_of_capacity(self, service: ServiceName, free_count: float) -> float:
-        """Give this instance's part of some free places, as places.
+        """Return how much of some free capacity this instance may use.
 
-        Those whose items stand better come first, and among them those who must start first; who
-        is equal shares by what waits.
+        Owners with a better completion likelihood come first, and among them those with the
+        earliest latest start. Equally urgent owners share in proportion to their waiting items.
         """
         own = self._own.get(service)
         if own is None:
@@ -135,5 +136,5 @@
 
 
 def _coarse(demand: BatchDemand) -> tuple[ServiceName, CompletionLikelihood, int]:
-    """Leave out what changes nobody's part by much."""
+    """Reduce demand to what changes the shares noticeably."""
     return demand.service, demand.prospect, demand.waiting_count.bit_length()
--- a/citrondyke/decisions/batch/batch_scheduler.py
+++ b/citrondyke/decisions/batch/batch_scheduler.py
@@ -1,4 +1,4 @@
-"""When batch items start, and which of them stop when online requests need their places."""
+"""Starts batch items on free capacity and preempts them when online requests need it."""
 
 from __future__ import annotations
 
@@ -22,43 +22,41 @@
 
 __all__ = ('BatchScheduler', 'RunningItem', 'Urgency', 'urgency')
 
-#: Places that batch items leave free on each server of another availability zone, whose counts are
-#: old.
+#: Capacity that batch items leave free on each server of a remote zone, whose counts are stale.
 REMOTE_HEADROOM = 1
-#: An item that must run from now on, with no more than this to spare, is at risk: a cut costs it
-#: its due time, while a request that waits for a place is still within its target.
+#: An item with no more slack than this is at risk: preempting it would make it miss its due time,
+#: while an online request that waits for capacity can still meet its target.
 AT_RISK_SLACK_MS = 1_500.0
-#: Part of the target of online requests for which one may wait at a full server of a large fleet
-#: before a run is cut: the counts may be behind ...
+#: Part of the online target for which a request may wait at a full server of a large fleet before a
+#: run is preempted, because load counts may be stale.
 ONLINE_WAIT_SHARE = 0.1
-#: ... and where a place is expected within half of the target, as online requests end, it is given
-#: four fifths of that time.
+#: If ending online requests are expected to free the capacity within half of the target, the wait
+#: is four fifths of that time.
 DUE_SOON_SHARE = 0.5
 DUE_SOON_WAIT_SHARE = 0.4
-#: Time that a streamed request stays on a server, about; the wait is bounded by the target in any
-#: case.
+#: Approximate service time of a streamed request; the target limits the wait in any case.
 SERVICE_TIME_MS = 700.0
-#: Longest time over which the least excess of a server is remembered.
+#: Longest gap between two samples of a server's excess; after a longer one the history restarts.
 EXCESS_GAP_MS = 500.0
-#: Servers of the own availability zone are so much likelier: bytes between zones cost money.
+#: Weight of servers in the local zone in the choice: traffic between zones costs money.
 LOCAL_ZONE_WEIGHT = 2.0
 
 
 class Urgency(Enum):
-    """How an item stands to its due time."""
+    """Urgency of an item with respect to its due time."""
 
-    #: It will be late; it takes no place that anything else needs.
+    #: Will miss its due time; uses only capacity that is not needed otherwise.
     LATE = 'late'
-    #: It can wait.
+    #: Can wait.
     PATIENT = 'patient'
-    #: It is done in time only if it runs from now on.
+    #: Meets its due time only if it runs without interruption from now on.
     AT_RISK = 'at_risk'
 
 
 def urgency(due_epoch_ms: float, epoch_ms: float, remaining_ms: float) -> Urgency:
-    """Tell how an item stands.
+    """Return the urgency of an item.
 
-    :param remaining_ms: time that it still runs.
+    :param remaining_ms: its expected remaining run time.
     """
     slack_ms = due_epoch_ms - epoch_ms - remaining_ms
     if slack_ms < LATE_SLACK_MS:
@@ -67,26 +65,27 @@
 
 
 class RunningItem(msgspec.Struct, frozen=True):
-    """A batch item on a server; the number is its owner's."""
+    """A batch item on a server."""
 
+    #: Number that the owner assigned to the run.
     number: int
     life: ServerIncarnation
     started_ms: float
     urgency: Urgency
-    #: Time that it still runs; one that has run for seconds may be nearly done.
+    #: Expected remaining run time; an item that has run for seconds may be nearly finished.
     remaining_ms: float = float('inf')
-    #: Shortest target of the online requests that come to its service.
+    #: Shortest target of the online requests to its service.
     target_ms: float = 0.0
 
 
 class _ExcessHistory(msgspec.Struct):
-    """Requests beyond a server's places, in the order of time."""
+    """Samples of the requests beyond a server's capacity, as time and count."""
 
-    seen: deque[tuple[float, int]]
+    samples: deque[tuple[float, int]]
 
     def remove_excess(self, count: int) -> None:
-        """Take in that runs were cut."""
-        self.seen = deque((at_ms, max(0, excess - count)) for at_ms, excess in self.seen)
+        """Subtract preempted runs from all samples."""
+        self.samples = deque((at_ms, max(0, excess - count)) for at_ms, excess in self.samples)
 
 
 class _Candidate(msgspec.Struct, frozen=True):
@@ -95,18 +94,18 @@
 
 
 class BatchScheduler:
-    """Fills the places that online requests leave, and clears them again.
+    """Runs batch items on capacity that online requests leave free, and preempts them.
 
-    Batch items give way while their due time bears it, as soon as an online request would wait
-    for too long. Those at risk may keep a quarter of each server's places: with none kept, items
-    of a service that is short of servers were late one and all although each of them had given way
-    for nothing.
+    Handles online bursts beside a backlog of batch items. An item is preempted as soon as an online
+    request would wait for too long, as long as the item can still meet its due time. Items at risk
+    may keep a quarter of each server's capacity: without it, all items of a service that was short
+    of servers became late, although each of them had been preempted to no effect.
     """
 
     def __init__(
         self, context: Context, registry: ServerRegistry, rate_limiter: StartRateLimiter
     ) -> None:
-        """Use what is known of the servers."""
+        """Start without running items."""
         self._context = context
         self._registry = registry
         self._rate_limiter = rate_limiter
@@ -116,11 +115,11 @@
 
     @property
     def is_fleet_large(self) -> bool:
-        """Tell whether the fleet is so large that processor time counts for more than places."""
+        """Return whether the fleet is so large that CPU time matters more than capacity."""
         return self._registry.neighbours.is_zoned
 
     def observe_online_load(self, service: ServiceName) -> None:
-        """Follow the online requests of a service whose items wait, in a large fleet."""
+        """Sample the online load of a service with waiting items; only in a large fleet."""
         if not self._registry.neighbours.is_zoned:
             return
         now_ms = self._context.now_ms()
@@ -128,10 +127,10 @@
         self.headroom.observe(service, sum(state.online_count(now_ms) for state in local))
 
     def choose_server(self, service: ServiceName, urgency_now: Urgency) -> ServerState | None:
-        """Choose the server for an item; ``None`` while all places are needed.
+        """Choose the server for an item; ``None`` if no capacity is available to it.
 
-        In a large fleet servers of the own zone come first: an online request that comes to
-        another one hears of the item's owner late.
+        In a large fleet servers of the local zone come first: the load on a remote server is
+        published late, so that online requests there do not take the item into account in time.
         """
         now_ms = self._context.now_ms()
         local, remote = self._split_by_zone(self._registry.usable(service))
@@ -144,7 +143,7 @@
         free_count = sum(candidate.free for candidate in candidates) - self._headroom_count(
             service, len(candidates)
         )
-        # What is kept is of most use where each server has a part of it.
+        # Headroom is most useful if it is spread over the servers.
         candidates = [
             _Candidate(candidate.state, candidate.free - 1)
             for candidate in candidates
@@ -165,7 +164,8 @@
             service, free_count, is_remote=is_remote
         ):
             return None
-        # By chance, the emptier the likelier: the emptiest one looks so to all at once.
+        # Weighted random choice by free capacity: the emptiest server looks so to all owners at
+        # once, and a deterministic choice would overload it.
         weights = [
             candidate.free**2
             / candidate.state.slowness(now_ms)
@@ -175,9 +175,9 @@
         return self._context.random.choices(candidates, weights)[0].state
 
     def _headroom_count(self, service: ServiceName, servers_count: int) -> int:
-        """Count the places to leave free on the servers that have some.
+        """Return the capacity to leave free on the servers that have any.
 
-        Where servers are few, each of them needs its own: there is nowhere else to go.
+        In a small fleet each server needs its own, because there are few servers to use instead.
         """
         if not self._registry.neighbours.is_zoned:
             return servers_count
@@ -186,7 +186,7 @@
     def _split_by_zone(
         self, usable: list[ServerState]
     ) -> tuple[list[ServerState], list[ServerState]]:
-        """Part the servers whose counts are fresh from those of a large fleet's other zones."""
+        """Separate servers with fresh load counts from those in remote zones of a large fleet."""
         if not self._registry.neighbours.is_zoned:
             return usable, []
         zone = self._context.zone
@@ -194,7 +194,7 @@
         return local, [state for state in usable if state.listed.zone != zone]
 
     def overloaded_servers(self, lives: Iterable[ServerIncarnation]) -> set[ServerIncarnation]:
-        """Tell which of some servers have more requests than places, online ones among them."""
+        """Return the servers with more requests than capacity, some of them online."""
         now_ms = self._context.now_ms()
         found = set()
         for life in lives:
@@ -206,11 +206,13 @@
         return found
 
     def items_to_preempt(self, running: Iterable[RunningItem]) -> list[RunningItem]:
-        """Choose the items that stop now, the youngest first.
+        """Choose the items to preempt now.
 
-        The owners of items on a crowded server cut in an order that all of them know, each what
-        those before it do not cover: if all cut all of it, most of the work would be put off for
-        nothing, and if each cut a part by chance, online requests would wait for who does.
+        Late items go first and items at risk last; among equals, those with the longest remaining
+        run time go first, then the youngest. The owners of items on an overloaded server preempt in
+        a common order, each only the excess that the owners before it do not cover. If every owner
+        preempted the whole excess, most of that work would be deferred needlessly; if each
+        preempted a random part, online requests could wait until some owner does.
         """
         now_ms = self._context.now_ms()
         by_server: dict[ServerIncarnation, list[RunningItem]] = {}
@@ -226,15 +228,15 @@
     def _preempt_at(
         self, state: ServerState, items: list[RunningItem], now_ms: float
     ) -> list[RunningItem]:
-        # What the other owners cut is not known yet; cutting again before would be too much.
+        # The preemptions of other owners are not known yet; another one now would be too many.
         if now_ms - self._preempted_ms.get(state.life, float('-inf')) < self._rate_limiter.gap_ms:
             return []
         wait_ms = 0.0
         if self._registry.neighbours.is_zoned:
-            # In a smaller fleet counts are ten ms old at the most.
+            # In a smaller fleet load counts are at most 10 ms old, and no wait is needed.
             wait_ms = _online_wait_limit_ms(state, min(item.target_ms for item in items), now_ms)
         count = self._preemption_count(state, len(items), wait_ms, now_ms)
-        # Those that end soon make room by themselves.
+        # Items that finish within the wait free their capacity without preemption.
         ending_count = sum(item.remaining_ms <= wait_ms for item in items)
         count -= ending_count
         if count <= 0:
@@ -244,13 +246,15 @@
         items.sort(
             key=lambda item: (order.index(item.urgency), -item.remaining_ms, -item.started_ms)
         )
-        cut = items[:count]
-        batch_left = state.batch_count(now_ms) - len(cut)
-        while cut and cut[-1].urgency is Urgency.AT_RISK and batch_left < state.held_limit:
-            cut.pop()
+        preempted = items[:count]
+        batch_left = state.batch_count(now_ms) - len(preempted)
+        while (
+            preempted and preempted[-1].urgency is Urgency.AT_RISK and batch_left < state.held_limit
+        ):
+            preempted.pop()
             batch_left += 1
-        self._excess_history[state.life].remove_excess(len(cut))
-        return cut
+        self._excess_history[state.life].remove_excess(len(preempted))
+        return preempted
 
     def _preemption_count(
         self, state: ServerState, own_count: int, wait_ms: float, now_ms: float
@@ -267,26 +271,26 @@
         return min(own_count, max(0, excess - before))
 
     def _sustained_excess_count(self, state: ServerState, wait_ms: float, now_ms: float) -> int:
-        """Count the requests that were too many all the time for which one may wait.
+        """Return the smallest excess of a server during the last ``wait_ms``.
 
-        Online requests come and go within that time on a server with several of them: what they
-        free themselves needs no run cut.
+        On a server with several online requests some end within that time; the capacity that they
+        free needs no preemption.
         """
         excess = _excess_count(state, now_ms)
         if excess <= 0:
             self._excess_history.pop(state.life, None)
             return 0
-        known = self._excess_history.setdefault(state.life, _ExcessHistory(deque()))
-        seen = known.seen
-        if seen and now_ms - seen[-1][0] > EXCESS_GAP_MS:
-            seen.clear()
-        seen.append((now_ms, excess))
-        # The newest one from before the span still holds at its begin.
-        while len(seen) > 1 and seen[1][0] <= now_ms - wait_ms:
-            seen.popleft()
-        if seen[0][0] > now_ms - wait_ms:
+        history = self._excess_history.setdefault(state.life, _ExcessHistory(deque()))
+        samples = history.samples
+        if samples and now_ms - samples[-1][0] > EXCESS_GAP_MS:
+            samples.clear()
+        samples.append((now_ms, excess))
+        # The last sample before the span is the value at the start of the span.
+        while len(samples) > 1 and samples[1][0] <= now_ms - wait_ms:
+            samples.popleft()
+        if samples[0][0] > now_ms - wait_ms:
             return 0
-        return min(each for _, each in seen)
+        return min(each for _, each in samples)
 
     @staticmethod
     def _rank(instance_id: InstanceId, state: ServerState) -> int:
@@ -307,28 +311,28 @@
 
 
 def _free_capacity(state: ServerState, now_ms: float) -> int:
-    """Count the places of a server that nobody has."""
+    """Return the unused capacity of a server; 0 if it is ejected."""
     if state.is_out(now_ms):
         return 0
     return state.listed.slots_count - state.total_count(now_ms)
 
 
 def _excess_count(state: ServerState, now_ms: float) -> int:
-    """Count the requests beyond the places of a server that batch items would make room for."""
+    """Return the requests beyond a server's capacity that preempting batch items would relieve."""
     online = state.online_count(now_ms)
     batch = state.batch_count(now_ms)
     return min(batch, online + batch - state.listed.slots_count) if online else 0
 
 
 def _online_wait_limit_ms(state: ServerState, target_ms: float, now_ms: float) -> float:
-    """Give the time for which a server may have too many requests before a run is cut."""
+    """Return how long a server may stay overloaded before a run is preempted."""
     ends_per_ms = state.online_count(now_ms) / SERVICE_TIME_MS
     is_due_soon = _excess_count(state, now_ms) <= ends_per_ms * DUE_SOON_SHARE * target_ms
     return (DUE_SOON_WAIT_SHARE if is_due_soon else ONLINE_WAIT_SHARE) * target_ms
 
 
 def _may_run_at_risk(state: ServerState, now_ms: float) -> bool:
-    """Tell whether an item at risk may take a place where online requests wait for none yet."""
+    """Return whether an item at risk may start on a full server that has no overload yet."""
     if state.is_out(now_ms) or state.batch_count(now_ms) >= state.held_limit:
         return False
     return state.total_count(now_ms) <= state.listed.slots_count
--- a/citrondyke/decisions/batch/drain_rate.py
+++ b/citrondyke/decisions/batch/drain_rate.py
@@ -1,39 +1,39 @@
-"""At which rate tokens leave the count of a route, at all instances together."""
+"""Rate at which tokens leave the backlog of a route, over all instances."""
 
 from __future__ import annotations
 
 __all__ = ('DrainRate',)
 
-#: Share of a new measurement in the rate.
+#: Weight of a new measurement in the moving average.
 SMOOTHING = 0.4
-#: Shortest time that is measured over: items end in lumps, and others tell of theirs every 300 ms.
+#: Shortest interval to measure over: items finish in groups, and peers publish every 300 ms.
 MIN_INTERVAL_MS = 300.0
 
 
 class DrainRate:
-    """Learns from how much is accepted, used and left."""
+    """Estimates the drain rate from accepted and used tokens."""
 
     def __init__(self) -> None:
         """Start without a measurement."""
-        #: Tokens that have left this instance's count since its start.
+        #: Tokens that have left this instance's backlog since its start.
         self.left = 0
-        #: At all instances; 0 where nothing has been measured.
+        #: Over all instances; 0 before the first measurement.
         self.tokens_per_s = 0.0
         self._accepted = 0
         self._used_before = 0
         self._all_left: tuple[float, int] | None = None
 
     def record_accepted(self, tokens: int) -> None:
-        """Take in what came into this instance's count; less than 0 where it did not after all."""
+        """Record tokens added to this instance's backlog; negative to undo an acceptance."""
         self._accepted += tokens
 
     def record_used(self, used: int) -> None:
-        """Take in what this instance's count is now."""
+        """Record the current size of this instance's backlog, in tokens."""
         self.left += max(0, self._used_before + self._accepted - used)
         self._used_before, self._accepted = used, 0
 
     def record_peer_usage(self, left: int, now_ms: float) -> None:
-        """Take in what has left the others' counts."""
+        """Record how many tokens have left the backlogs of peers in total."""
         all_left = left + self.left
         if self._all_left is not None:
             before_ms, before = self._all_left
--- a/citrondyke/decisions/batch/item_priority.py
+++ b/citrondyke/decisions/batch/item_priority.py
@@ -1,4 +1,4 @@
-"""Which of the batch items that wait start first."""
+"""Order in which waiting batch items start."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 __all__ = ('LATE_SLACK_MS', 'ItemPriority', 'batch_demand_of', 'count_by_likelihood', 'priority_of')
 
-#: Errors of the estimate of what is left: later than this an item is late whatever is done.
+#: Allowance for errors of the estimated remaining time: below this slack an item is certainly late.
 LATE_SLACK_MS = -300.0
 
 
 class ItemPriority(msgspec.Struct, frozen=True):
-    """How an item stands that would start now."""
+    """Priority of an item if it started now."""
 
     prospect: CompletionLikelihood
-    #: Time that is left when it ends, if it takes as long as usual.
+    #: Time between its expected end and its due time.
     slack_ms: float
-    #: A run of it was cut.
+    #: Whether an earlier run of it was interrupted.
     has_begun: bool = False
 
     @property
     def order(self) -> tuple[CompletionLikelihood, bool, float]:
-        """Give the place in the order of starts.
+        """Return the sort key by which items start.
 
-        What was cut comes first: it needs a place for the shortest time. What will be late if it
-        is longer than usual starts the sooner the likelier it is in time: in the order of due
-        times the places would go to items that become late one and all.
+        Interrupted items come first, because they need capacity for the shortest time. Doubtful
+        items start in descending order of slack, the likeliest to finish in time first: in the
+        order of due times, capacity would go to items that all become late.
         """
         is_doubtful = self.prospect is CompletionLikelihood.DOUBTFUL
         slack_ms = -self.slack_ms if is_doubtful else self.slack_ms
@@ -39,10 +39,10 @@
 
 
 def priority_of(slack_ms: float, margin_ms: float, *, has_begun: bool = False) -> ItemPriority:
-    """Judge an item.
+    """Return the priority of an item.
 
-    :param slack_ms: time that is left if it starts now and takes as long as usual.
-    :param margin_ms: by which items are longer than usual, as the case may be.
+    :param slack_ms: time left before its due time if it starts now and takes the average time.
+    :param margin_ms: time by which items commonly exceed the average.
     """
     if slack_ms < LATE_SLACK_MS:
         return ItemPriority(CompletionLikelihood.LATE, slack_ms, has_begun)
@@ -55,9 +55,9 @@
 def batch_demand_of(
     service: ServiceName, priorities: Iterable[ItemPriority], now_ms: float
 ) -> BatchDemand:
-    """Sum up the items of a service that stand best.
+    """Summarize the waiting items of a service that have the best completion likelihood.
 
-    :param priorities: of all that wait; one at least.
+    :param priorities: of all waiting items; at least one.
     """
     priorities = list(priorities)
     best = min(each.prospect for each in priorities)
@@ -66,5 +66,5 @@
 
 
 def count_by_likelihood(priorities: Iterable[ItemPriority]) -> Counter[CompletionLikelihood]:
-    """Count items by how they stand."""
+    """Count items by completion likelihood."""
     return Counter(each.prospect for each in priorities)
--- a/citrondyke/decisions/batch/online_headroom.py
+++ b/citrondyke/decisions/batch/online_headroom.py
@@ -1,4 +1,4 @@
-"""How many places batch items leave free for online requests, over a service."""
+"""Capacity of a service that batch items leave free for online requests."""
 
 from __future__ import annotations
 
@@ -13,16 +13,19 @@
 
 __all__ = ('OnlineHeadroom',)
 
-#: Until a rise is heard of and runs are cut for it. A run that is cut goes on elsewhere behind its
-#: last event, so that no more need be kept than what comes meanwhile.
+#: Time until a rise of online load is known to the owners of batch items and runs are preempted for
+#: it. A preempted run resumes on another server after its last event, so the headroom need cover
+#: only the requests that arrive within this time.
 RISE_WINDOW_MS = 50.0
-#: Rises are remembered this long, by parts: bursts and calms last seconds, and each needs its own.
+#: Time for which rises are remembered, in buckets: bursts and quiet phases last for seconds, and
+#: each needs a headroom of its own.
 RISE_MEMORY_MS = 2_000.0
 RISE_BUCKET_MS = 1_000.0
-#: Before it has watched so long, the rise is taken for a part of what is there.
+#: During this time after the first sample, the rise is assumed to be a fixed part of the current
+#: online load.
 WARMUP_MS = 1_000.0
 WARMUP_RISE_PART = 0.125
-#: Without a look for this long, what was seen before is no base to measure from.
+#: Longest gap between samples; after a longer one the older samples are no base to compare with.
 SAMPLE_GAP_MS = 500.0
 
 
@@ -34,52 +37,53 @@
 class _LoadHistory(msgspec.Struct):
     since_ms: float
     samples: deque[_Sample]
-    #: Largest rise in each part of the memory.
+    #: Largest rise by bucket number.
     rises: dict[int, int]
 
 
 class OnlineHeadroom:
-    """Follows the bursts of online requests.
+    """Sizes the headroom by recent bursts of online requests.
 
-    Answers bursts beside a backlog of long items. A fixed place on each server is too much over
-    many servers: 45 of 360 places stood free while a wave of items waited for the rest.
+    Handles bursts that arrive while long batch items fill the servers. One unit of capacity on
+    each server is too much headroom over many servers: 45 of 360 stayed unused while a wave of
+    items waited.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start without having watched."""
+        """Start without samples."""
         self._context = context
-        self._watched: dict[ServiceName, _LoadHistory] = {}
-        #: Places kept, as of the last choice of a server.
+        self._histories: dict[ServiceName, _LoadHistory] = {}
+        #: Headroom as of the last choice of a server.
         self.by_service: dict[ServiceName, int] = {}
 
     def observe(self, service: ServiceName, online: int) -> None:
-        """Take in how many online requests are on the servers."""
+        """Record the number of online requests on the servers of a service."""
         now_ms = self._context.now_ms()
-        watched = self._watched.get(service)
-        if watched is None or now_ms - watched.samples[-1].at_ms > SAMPLE_GAP_MS:
-            watched = self._watched[service] = _LoadHistory(now_ms, deque(), {})
-        samples = watched.samples
+        history = self._histories.get(service)
+        if history is None or now_ms - history.samples[-1].at_ms > SAMPLE_GAP_MS:
+            history = self._histories[service] = _LoadHistory(now_ms, deque(), {})
+        samples = history.samples
         samples.append(_Sample(now_ms, online))
         while now_ms - samples[0].at_ms > RISE_WINDOW_MS:
             samples.popleft()
-        part = int(now_ms // RISE_BUCKET_MS)
+        bucket = int(now_ms // RISE_BUCKET_MS)
         for old in [
-            each for each in watched.rises if each < part - RISE_MEMORY_MS / RISE_BUCKET_MS
+            each for each in history.rises if each < bucket - RISE_MEMORY_MS / RISE_BUCKET_MS
         ]:
-            del watched.rises[old]
+            del history.rises[old]
         rise = online - min(each.online for each in samples)
-        watched.rises[part] = max(watched.rises.get(part, 0), rise)
+        history.rises[bucket] = max(history.rises.get(bucket, 0), rise)
 
     def headroom_for(self, service: ServiceName, servers_count: int) -> int:
-        """Count the places to leave free; one on each server at the most, and one in any case."""
+        """Return the capacity to leave free: at least one, at most one for each server."""
         self.by_service[service] = count = self._count(service, servers_count)
         return count
 
     def _count(self, service: ServiceName, servers_count: int) -> int:
-        watched = self._watched.get(service)
-        if watched is None:
+        history = self._histories.get(service)
+        if history is None:
             return servers_count
-        usual = sum(watched.rises.values()) / len(watched.rises)
-        if self._context.now_ms() - watched.since_ms < WARMUP_MS:
-            usual = WARMUP_RISE_PART * watched.samples[-1].online
-        return max(1, min(servers_count, round(usual)))
+        mean_rise = sum(history.rises.values()) / len(history.rises)
+        if self._context.now_ms() - history.since_ms < WARMUP_MS:
+            mean_rise = WARMUP_RISE_PART * history.samples[-1].online
+        return max(1, min(servers_count, round(mean_rise)))
--- a/citrondyke/decisions/batch/owned_job.py
+++ b/citrondyke/decisions/batch/owned_job.py
@@ -1,4 +1,4 @@
-"""A job as its owner runs it: open items, what is finished, what is durable."""
+"""State of a job at its owner: open items, finished results, durable results."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 __all__ = ('ItemProgress', 'OwnedJob', 'RunResult')
 
-#: Pause before an item is tried again after a run that failed, in ms; doubled each time.
+#: Pause before an item is retried after a failed run; doubled with each consecutive break.
 RETRY_MS = 100.0
 MAX_RETRY_PAUSE_MS = 2_000.0
-#: Pause before it is looked again whether an item that was stopped may be sent.
+#: Interval at which a blocked item is checked again for whether it may be sent.
 BLOCKED_PAUSE_MS = 1_000.0
 #: Clocks of instances may differ by some seconds: an item is abandoned this much later than its
-#: job allows, so that it never is too early.
+#: job allows, so that it is never abandoned too early.
 ABANDON_MARGIN_MS = 5_000.0
 #: Items in one commit, and bytes of their texts.
 COMMIT_ITEMS = 40
@@ -25,23 +25,23 @@
 
 
 class RunResult(Enum):
-    """How one run of an item at a server ended."""
+    """Result of one run of an item on a server."""
 
     COMPLETED = 'completed'
-    #: The server says that the item can never be done.
+    #: The server reported that the item can never be completed.
     IMPOSSIBLE = 'impossible'
-    #: The server tried and failed.
+    #: The server ran the item and reported a failure.
     FAILED = 'failed'
-    #: It broke off, was turned away or was cut to make room; it goes on behind its last event.
+    #: The run was aborted, rejected or stopped to free capacity; it resumes after its last event.
     INTERRUPTED = 'broken'
-    #: It was cut to make room for online requests.
+    #: The run was stopped to give its capacity to online requests.
     PREEMPTED = 'gave_way'
-    #: Servers have ended under it; it was not sent.
+    #: The item was not sent, because servers exited while they ran it.
     BLOCKED = 'stopped'
 
 
 class ItemProgress(msgspec.Struct):
-    """What has become of an item so far."""
+    """Progress of an open item."""
 
     item: JobItem
     texts: list[str] = []
@@ -50,19 +50,19 @@
     consecutive_breaks: int = 0
     is_running: bool = False
     not_before_ms: float = 0.0
-    #: When the run that is under way brought its first event; ``None`` before that.
+    #: When the current run produced its first event; ``None`` before that.
     first_event_ms: float | None = None
-    #: The last event that the store has.
+    #: Id of the last event saved in the store.
     saved_event_id: int | None = None
 
     @property
     def events_count(self) -> int:
-        """Count the events that there are."""
+        """Return the number of events received so far."""
         return self.last_event_id or 0
 
 
 class OwnedJob:
-    """One job in the hands of its owner."""
+    """One job and the progress of its items, kept by the job's owner."""
 
     def __init__(
         self,
@@ -71,13 +71,13 @@
         items: Iterable[JobItem],
         results: Iterable[ItemResult] = (),
     ) -> None:
-        """Start with what is durable.
+        """Start from the durable state.
 
-        :param version: of the head's row; every commit needs it unchanged.
+        :param version: version of the head's row; a commit fails if it has changed.
         """
         self.head = head
         self.version = version
-        #: Durable, by position; only these are shown to callers.
+        #: Durable results by position; callers see only these.
         self.results: list[ItemResult] = list(results)
         items = list(items)
         self._bodies = {item.id: item.body for item in items}
@@ -85,27 +85,27 @@
         self.open: dict[str, ItemProgress] = {
             item.id: ItemProgress(item) for item in items if item.id not in done
         }
-        #: Finished, not durable yet, in the order of their positions.
+        #: Finished results that are not durable yet, in the order of their positions.
         self.finished: list[ItemResult] = []
         self._in_commit: list[ItemResult] = []
         self.is_lost = False
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether nothing more is to be done for it."""
+        """Return whether this owner has no more work on the job."""
         return self.is_lost or self.head.is_ended or self.head.is_done
 
     @property
     def backlog_tokens(self) -> int:
-        """Add up the tokens of the items that no server has finished."""
+        """Return the tokens of all items that no server has finished."""
         return sum(progress.item.tokens for progress in self.open.values())
 
     def body(self, item_id: str) -> bytes | None:
-        """Give an item's body; ``None`` when the job has no such item."""
+        """Return an item's body; ``None`` if the job has no such item."""
         return self._bodies.get(item_id)
 
     def waiting_items(self, now_ms: float) -> list[ItemProgress]:
-        """List the items that may start, in the order handed in."""
+        """List the items that may start, in the order of submission."""
         if self.is_closed:
             return []
         return [
@@ -115,7 +115,7 @@
         ]
 
     def next_item(self, now_ms: float) -> ItemProgress | None:
-        """Choose the item to start: one that has begun first, then in the order handed in."""
+        """Return the next item to start: interrupted items first, then by order of submission."""
         waiting = self.waiting_items(now_ms)
         if not waiting:
             return None
@@ -124,7 +124,7 @@
     def end_run(
         self, progress: ItemProgress, end: RunResult, now_ms: float, epoch_ms: float
     ) -> None:
-        """Take in how a run ended."""
+        """Apply the result of a run."""
         progress.is_running = False
         if end is RunResult.COMPLETED:
             self._finish(progress, ItemState.COMPLETED)
@@ -136,7 +136,7 @@
             progress.not_before_ms = now_ms
             return
         if end is RunResult.BLOCKED:
-            # Its trial, its job's end or its time to be abandoned comes.
+            # It stays open until its probe, the end of its job or its abandonment.
             progress.not_before_ms = now_ms + BLOCKED_PAUSE_MS
             return
         if end is RunResult.FAILED:
@@ -152,7 +152,7 @@
         progress.not_before_ms = now_ms + pause_ms
 
     def abandon_overdue(self, epoch_ms: float) -> None:
-        """Give up the items that may be abandoned by now."""
+        """Fail the waiting items whose time to be abandoned has come."""
         if epoch_ms < self.head.abandon_epoch_ms + ABANDON_MARGIN_MS:
             return
         for progress in list(self.open.values()):
@@ -160,10 +160,10 @@
                 self._finish(progress, ItemState.ERRORED)
 
     def next_commit(self) -> list[ItemResult]:
-        """Give the next finished results that go into one commit; the same ones until it is known.
+        """Return the results of the next commit; the same ones until its outcome is known.
 
-        A commit in doubt is tried again as it was: another order in the same positions could
-        show a reader two results at one position.
+        A commit with an uncertain outcome is retried unchanged: with other results at the same
+        positions, a reader could see two results at one position.
         """
         if self._in_commit:
             return self._in_commit
@@ -177,9 +177,9 @@
         return chosen
 
     def record_committed(self, results: list[ItemResult], version: int | None) -> None:
-        """Take note that results are durable.
+        """Record that results are durable.
 
-        :param version: of the head's row, where the commit wrote it.
+        :param version: new version of the head's row; ``None`` if the commit did not write it.
         """
         self.results.extend(results)
         del self.finished[: len(results)]
@@ -191,7 +191,7 @@
     def restore(
         self, item_id: str, last_event_id: int | None, text: str, failures_count: int
     ) -> None:
-        """Take in how far an earlier owner had brought an item."""
+        """Restore the progress that an earlier owner made on an item."""
         progress = self.open.get(item_id)
         if progress is not None:
             progress.texts = [text] if last_event_id is not None else []
@@ -199,7 +199,7 @@
             progress.failures_count = failures_count
 
     def completes_job(self, results: list[ItemResult]) -> bool:
-        """Tell whether a commit of these results completes the job."""
+        """Return whether a commit of these results completes the job."""
         return len(self.results) + len(results) >= self.head.items_count
 
     def _finish(self, progress: ItemProgress, state: ItemState) -> None:
--- a/citrondyke/decisions/batch/run_length.py
+++ b/citrondyke/decisions/batch/run_length.py
@@ -1,4 +1,4 @@
-"""How long items still run, by what items of the same route took."""
+"""Estimated remaining run time of items, from earlier items of the same route."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 __all__ = ('RunLengthEstimator',)
 
-#: Before anything was measured: an item of 160 events, one each 30 ms.
+#: Assumption before the first measurement: items of 160 events, one event every 30 ms ...
 INITIAL_EVENTS = 160.0
 INITIAL_EVENT_MS = 30.0
-#: ... and lengths that differ by a quarter.
+#: ... with lengths that deviate by a quarter.
 INITIAL_DEVIATION = 40.0
-#: Share of a new measurement in the means.
+#: Weight of a new measurement in the moving averages.
 SMOOTHING = 0.1
-#: Bounds of the margin: counts and ways take some time, and a few odd items must not have the
-#: rest of their route put off.
+#: Bounds of the margin: load counts and transfers are delayed, which sets the lower one. The upper
+#: one keeps a few unusually long items from deferring the rest of their route.
 MIN_MARGIN_MS = 300.0
 MAX_MARGIN_MS = 2_000.0
 
@@ -31,31 +31,31 @@
 
 
 class RunLengthEstimator:
-    """Mean number of events, how far items are from it, and mean pace, by route."""
+    """Moving averages of item length, its deviation and the time per event, by route."""
 
     def __init__(self) -> None:
-        """Start with an assumption."""
+        """Start with the initial assumptions."""
         self._lengths: dict[RouteName, _Length] = {}
 
     def record_complete_run(self, route: RouteName, events_count: int) -> None:
-        """Take in an item that was completed."""
+        """Record the number of events of a completed item."""
         length = self._lengths.setdefault(route, _Length())
         length.deviation += SMOOTHING * (abs(events_count - length.events) - length.deviation)
         length.events += SMOOTHING * (events_count - length.events)
 
     def record_event_interval(self, route: RouteName, events_count: int, took_ms: float) -> None:
-        """Take in a run of some events."""
+        """Record the duration of a run that produced some events."""
         if events_count > 0:
             length = self._lengths.setdefault(route, _Length())
             length.event_ms += SMOOTHING * (took_ms / events_count - length.event_ms)
 
     def remaining_ms(self, route: RouteName, events_count: int) -> float:
-        """Give the time that an item still runs, behind some events."""
+        """Return the expected remaining run time of an item after some events."""
         length = self._lengths.get(route) or _Length()
         return max(1.0, length.events - events_count) * length.event_ms
 
     def margin_ms(self, route: RouteName) -> float:
-        """Give the time by which most items are at most longer than usual."""
+        """Return the time by which most items exceed the mean run time at most."""
         length = self._lengths.get(route) or _Length()
         margin_ms = length.deviation * length.event_ms
         return min(MAX_MARGIN_MS, max(MIN_MARGIN_MS, margin_ms))
--- a/citrondyke/decisions/batch/start_rate_limiter.py
+++ b/citrondyke/decisions/batch/start_rate_limiter.py
@@ -1,4 +1,4 @@
-"""How many items an owner starts before it hears what the others started."""
+"""Limit on the items that an owner starts before it learns of the starts of its peers."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 __all__ = ('StartRateLimiter',)
 
-#: Shortest time in which peers hear of a start: a datagram's way and the look at it.
+#: Shortest time in which peers learn of a start: transfer and processing of a datagram.
 MIN_GAP_MS = 5.0
-#: A datagram's way between two availability zones.
+#: Transfer time of a datagram between two availability zones.
 ONE_WAY_DELAY_MS = 1.0
 
 
@@ -28,37 +28,38 @@
 
 
 class StartRateLimiter:
-    """Shares the free places of a service between all who want them.
+    """Divides the free capacity of a service among the owners of waiting items.
 
-    Counts of neighbours are as old as the gap between notices, 1 ms for each of them, and those of
-    other zones in a large fleet up to half a second. If every owner took each place that looks
-    free, 69 instances filled the queues of 45 servers again and again: 31,606 of 41,114 sends were
-    turned away and no item came to its end. Until an owner has heard who else has items waiting,
-    it shares with all who may have.
+    Handles a wave of items at many owners whose load counts are stale: counts of local peers are as
+    old as the interval between notices, 1 ms for each peer, and those of remote zones in a large
+    fleet up to half a second. When every owner used all capacity that looked free, 69 instances
+    repeatedly filled the queues of 45 servers: 31,606 of 41,114 sends were rejected and no item
+    finished. Until an owner knows the demand of its peers, it assumes that all of them have items.
     """
 
     def __init__(self, context: Context, topology: PeerTopology) -> None:
-        """Start without a start taken."""
+        """Start with empty budgets."""
         self._context = context
         self._topology = topology
-        #: Who has items waiting.
+        #: Demand by instance.
         self.demand = BatchDemandTable(context)
         self._budgets: dict[tuple[ServiceName, bool], _Budget] = {}
 
     @property
     def gap_ms(self) -> float:
-        """Give the time after which what was started is known to all neighbours."""
+        """Return the time after which all local peers know of a start."""
         return max(MIN_GAP_MS, self._topology.gap_ms + ONE_WAY_DELAY_MS)
 
     def try_start(self, service: ServiceName, free_count: int, *, is_remote: bool = False) -> bool:
-        """Ask for one start.
+        """Take one start from the budget if it allows it.
 
-        :param free_count: places that look free at the servers that come into question.
-        :param is_remote: whether they are in other zones of a large fleet, shared with everybody.
+        :param free_count: capacity that looks free on the candidate servers.
+        :param is_remote: whether these are in remote zones of a large fleet, where instances of
+            all zones use them.
         """
         now_ms = self._context.now_ms()
         share = self._share(service, free_count, is_remote=is_remote)
-        # What looks free far away at first may only not have been told yet.
+        # Remote capacity that looks free at first may be in use by requests not yet published.
         first = 0.0 if is_remote else share
         budget = self._budgets.setdefault((service, is_remote), _Budget(first, now_ms))
         gap_ms = TOTALS_EVERY_MS if is_remote else self.gap_ms
@@ -68,15 +69,16 @@
         if budget.starts >= 1.0:
             budget.starts -= 1.0
             return True
-        # Parts of a start are played for rather than saved: saved ones would be spent by all at
-        # the same moment, when places become free after a burst.
+        # A fraction of a start is granted with that probability instead of being saved: all owners
+        # would spend saved fractions at the same moment, when capacity becomes free after a burst.
         chance, budget.starts = budget.starts, 0.0
         return self._context.random.random() < chance
 
     def _share(self, service: ServiceName, free_count: int, *, is_remote: bool) -> float:
-        """Give the part of the free places that is this instance's.
+        """Return this instance's share of the free capacity.
 
-        Owners in other zones are not heard of one by one: each zone is taken to have as many.
+        The demand of single owners in remote zones is not known: each zone is assumed to have as
+        much as the local one.
         """
         topology = self._topology
         if not self.demand.is_peer_demand_known(service):
--- a/citrondyke/decisions/batch/takeover.py
+++ b/citrondyke/decisions/batch/takeover.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to take a job over from an instance that is gone."""
+"""Which instance takes over the jobs of a dead instance, and when."""
 
 from __future__ import annotations
 
@@ -15,31 +15,32 @@
 
 __all__ = ('InstanceLiveness', 'TakeoverSchedule')
 
-#: Silence after which an instance is taken for gone: three heartbeats, one of which may be late.
+#: Time without a heartbeat after which an instance counts as dead: three intervals, so that one
+#: heartbeat may be late.
 HEARTBEAT_TIMEOUT_MS = 3_000.0
-#: Time that the instance whose turn it is has before the next one may claim too; it may be out
-#: of the store's reach without knowing it.
+#: Time for which one instance alone may claim a job before the next one may, too. The first one may
+#: be cut off from the store without knowing it.
 ROTATION_MS = 600.0
-#: Longer than an acceptance is tried for, so that it is not claimed in the middle of it.
+#: Longer than an acceptance is retried, so that a job is not claimed during its acceptance.
 OWN_CLAIM_DELAY_MS = 2_500.0
-#: From an instance's first look at the others until it claims anything: after a stop of all of
-#: them they start within 300 ms of each other and are seen by the next read, a second later.
+#: Time from an instance's first poll of heartbeats until it claims jobs. After a restart of the
+#: whole fleet, instances start within 300 ms of each other and appear in the next poll, one second
+#: later.
 SETTLE_MS = 700.0
-#: Longest time between two written heartbeats that is no gap: one is written every 900 ms, and
-#: the store can take 300 ms for it.
+#: Longest regular interval between two own heartbeats: one is written every 900 ms, and the write
+#: may take 300 ms.
 HEARTBEAT_GAP_MS = 1_700.0
-#: Longest time between two reads of the others' heartbeats that is no gap; they are read every
-#: second.
+#: Longest regular interval between two polls of the heartbeats; they are polled every second.
 POLL_GAP_MS = 2_000.0
-#: Lives that are remembered after their rows were taken away: all of a large fleet, twice.
+#: Incarnations remembered after the removal of their rows: twice the size of a large fleet.
 REMOVED_LIMIT = 2_000
 
 
-class _Seen(msgspec.Struct):
+class _Heartbeat(msgspec.Struct):
     life: str
     version: int
     renewed_ms: float
-    #: When this life was first seen.
+    #: When this incarnation was first seen.
     since_ms: float
 
 
@@ -50,38 +51,38 @@
 
 
 class InstanceLiveness:
-    """Instances by their heartbeats in the store, judged on this instance's own clock.
+    """Liveness of instances by their heartbeats in the store, on this instance's own clock.
 
-    Only time in which this instance's own heartbeats were written counts. The store may refuse
-    them while it shows the rows, for all instances or for the part that holds them: nobody could
-    renew anything then, and all would take over from all, again and again.
+    Timeouts run only while this instance's own heartbeats are written. The store may reject writes
+    and still serve reads, for all rows or for the part that holds the heartbeats. No instance could
+    renew its heartbeat then, and all instances would repeatedly take over each other's jobs.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start knowing nobody."""
+        """Start without known instances."""
         self._context = context
-        self._seen: dict[InstanceId, _Seen] = {}
-        #: Since when lives are gone whose rows were taken away, in that order.
+        self._seen: dict[InstanceId, _Heartbeat] = {}
+        #: Times of death of incarnations whose rows were removed, in the order of removal.
         self._removed: dict[str, float] = {}
         self._heartbeat_ms = float('-inf')
         self._polled_ms = float('-inf')
         self._first_poll_ms = 0.0
-        #: By how much heartbeats and looks are rarer than in a small fleet; silences grow with it.
+        #: Factor by which heartbeat intervals and timeouts exceed those of a small fleet.
         self.timeout_factor = 1.0
 
     def record_row(self, instance_id: InstanceId, incarnation: str, version: int) -> bool:
-        """Take in a heartbeat's row; tell whether it is a new one."""
+        """Record the row of a heartbeat; return whether its version is new."""
         seen = self._seen.get(instance_id)
         if seen is not None and version <= seen.version:
             return False
         now_ms = self._context.now_ms()
         is_known_incarnation = seen is not None and seen.life == incarnation
         since_ms = seen.since_ms if seen is not None and is_known_incarnation else now_ms
-        self._seen[instance_id] = _Seen(incarnation, version, now_ms, since_ms)
+        self._seen[instance_id] = _Heartbeat(incarnation, version, now_ms, since_ms)
         return True
 
     def record_removed(self, instance_id: InstanceId) -> None:
-        """Take in that an instance's row was taken away, by itself or after a long silence."""
+        """Record that a row was removed, by its instance or after a long time without renewal."""
         seen = self._seen.pop(instance_id, None)
         if seen is None:
             return
@@ -93,14 +94,14 @@
             del self._removed[next(iter(self._removed))]
 
     def record_own_heartbeat(self) -> None:
-        """Take note that an own heartbeat was written; after a gap all silences begin anew."""
+        """Record that an own heartbeat was written; restart all timeouts after a gap."""
         now_ms = self._context.now_ms()
         if not self.is_own_heartbeat_fresh:
             self._restart_timeouts(now_ms)
         self._heartbeat_ms = now_ms
 
     def record_poll(self) -> None:
-        """Take note that the others' heartbeats were read; a gap counts as one between own ones."""
+        """Record that the heartbeats were polled; restart all timeouts after a gap."""
         now_ms = self._context.now_ms()
         if not self._is_polling:
             self._first_poll_ms = now_ms
@@ -109,65 +110,66 @@
 
     @property
     def is_own_heartbeat_fresh(self) -> bool:
-        """Tell whether this instance's own heartbeats are written."""
+        """Return whether this instance's own heartbeats are being written."""
         return self._context.now_ms() - self._heartbeat_ms <= HEARTBEAT_GAP_MS * self.timeout_factor
 
     def is_dead(
         self, owner: InstanceId, incarnation: str, row_version: int, since_ms: float
     ) -> bool:
-        """Tell whether the owner of a job is certainly gone, or silent for too long.
+        """Return whether the owner of a job is known dead or has exceeded the heartbeat timeout.
 
-        :param row_version: of the row in which the owner is named.
-        :param since_ms: when this instance first saw that version of it.
+        :param row_version: version of the row that names the owner.
+        :param since_ms: when this instance first saw that version.
         """
         return self.dead_for_ms(owner, incarnation, row_version, since_ms) is not None
 
     def dead_for_ms(
         self, owner: InstanceId, incarnation: str, row_version: int, since_ms: float
     ) -> float | None:
-        """Give the time for which it is known that an owner is gone; ``None`` if it is not.
+        """Return for how long an owner has been dead; ``None`` if it is not known to be.
 
-        :param row_version: of the row in which the owner is named.
-        :param since_ms: when this instance first saw that version of it.
+        :param row_version: version of the row that names the owner.
+        :param since_ms: when this instance first saw that version.
         """
         if not owner:
             return float('inf')
         now_ms = self._context.now_ms()
         seen = self._seen.get(owner)
         if seen is not None and seen.life != incarnation and seen.version > row_version:
-            # Another life of it began after that row was written.
+            # A later incarnation of the owner started after that row was written.
             return now_ms - seen.since_ms
         if seen is None and incarnation in self._removed:
-            # Not since its row in question was seen: it ran on, and what it sent last may come.
+            # Counts from the removal rather than from since_ms: the owner ran on until then, and
+            # its last writes may still take effect.
             return now_ms - self._removed[incarnation]
-        # A life that is not known here may have begun a moment ago and claimed the job before its
-        # first heartbeat was read; if that counted as gone, all would claim from each other.
-        # And a head that was written a moment ago shows that its owner was alive then.
-        shown_ms = since_ms
+        # An unknown incarnation may have just started and claimed the job before its first
+        # heartbeat was polled here; if it counted as dead, instances would claim jobs from each
+        # other. A recently written head also shows that its owner was alive at that time.
+        last_alive_ms = since_ms
         if seen is not None and seen.life == incarnation:
-            shown_ms = max(since_ms, seen.renewed_ms)
-        overdue_ms = now_ms - shown_ms - HEARTBEAT_TIMEOUT_MS * self.timeout_factor
+            last_alive_ms = max(since_ms, seen.renewed_ms)
+        overdue_ms = now_ms - last_alive_ms - HEARTBEAT_TIMEOUT_MS * self.timeout_factor
         return overdue_ms if overdue_ms >= 0 else None
 
     @property
     def has_polled(self) -> bool:
-        """Tell whether the others' heartbeats were ever read."""
+        """Return whether the heartbeats were polled at least once."""
         return self._polled_ms > float('-inf')
 
     @property
     def count(self) -> int:
-        """Count the instances whose rows are there, this one's included."""
+        """Return the number of instances that have a row, this one included."""
         return max(1, len(self._seen))
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether all who run had the time to show it since this instance began to look."""
+        """Return whether all running instances had time to appear since polling began."""
         if not self.is_own_heartbeat_fresh or not self._is_polling:
             return False
         return self._context.now_ms() - self._first_poll_ms >= SETTLE_MS
 
     def unresponsive(self, longest_ms: float) -> list[InstanceId]:
-        """List the instances that were silent for longer, while that could be judged."""
+        """List the peers without a heartbeat for ``longest_ms``; none before the state settles."""
         if not self.is_settled:
             return []
         now_ms = self._context.now_ms()
@@ -186,7 +188,7 @@
             seen.renewed_ms = now_ms
 
     def live_instances(self) -> list[InstanceId]:
-        """List the instances that are alive, this one included."""
+        """List the live instances, this one included, in sorted order."""
         now_ms = self._context.now_ms()
         found = {
             instance_id
@@ -201,9 +203,9 @@
     """Decides when this instance claims a job."""
 
     def __init__(self, context: Context, incarnation: str, instances: InstanceLiveness) -> None:
-        """Use what is known of the instances.
+        """Start without known jobs.
 
-        :param incarnation: names this life of this instance.
+        :param incarnation: id of this incarnation of this instance.
         """
         self._context = context
         self._incarnation = incarnation
@@ -212,26 +214,28 @@
 
     @property
     def has_polled_instances(self) -> bool:
-        """Tell whether the others' heartbeats were ever read."""
+        """Return whether the heartbeats of instances were polled at least once."""
         return self._instances.has_polled
 
     def is_due(self, head: JobHead, version: int) -> bool:
-        """Tell whether this instance claims a job that it does not run.
+        """Return whether this instance is to claim a job that it does not run.
 
-        The instances take turns in an order of their own for each job, so that after the loss of
-        many the work is spread and two seldom claim the same.
+        Instances may claim a job one after another, in an order that differs from job to job. After
+        the loss of many instances this spreads the jobs over the rest, and two instances seldom
+        claim the same job.
 
-        :param version: of the head's row.
+        :param version: version of the head's row.
         """
         now_ms = self._context.now_ms()
         seen = self._seen.get(head.job_id)
         if seen is None or seen.version != version:
             seen = self._seen[head.job_id] = _SeenHead(version, now_ms)
         if head.owner_life == self._incarnation:
-            # An acceptance whose reply never came: nobody else takes it while this instance lives.
+            # The reply to its acceptance was lost; no other instance claims it while this one
+            # is alive.
             return now_ms - seen.since_ms >= OWN_CLAIM_DELAY_MS
         if head.owner == self._context.instance_id:
-            # An earlier life of this very instance: nobody knows better that it is over.
+            # Owned by an earlier incarnation of this instance, which is certainly dead.
             return True
         if not self._instances.is_settled or not self._instances.is_dead(
             head.owner, head.owner_life, version, seen.since_ms
@@ -245,9 +249,9 @@
             key=lambda name: rendezvous_weight(name, head.job_id),
             reverse=True,
         )
-        turn = order.index(self._context.instance_id)
-        return now_ms - seen.dead_since_ms >= turn * ROTATION_MS
+        rank = order.index(self._context.instance_id)
+        return now_ms - seen.dead_since_ms >= rank * ROTATION_MS
 
     def forget(self, job_id: JobId) -> None:
-        """Drop what is known of a job that is over."""
+        """Drop the state of a finished job."""
         self._seen.pop(job_id, None)
