--- a/citrondyke/cmd/citrondykectl.py
+++ b/citrondyke/cmd/citrondykectl.py
@@ -27,8 +27,8 @@
 from citrondyke.cmd.ctl.losses import draw_losses, losses_of, losses_tables, read_losses
 from citrondyke.cmd.ctl.options import Options
 from citrondyke.cmd.ctl.show import console, show
-from citrondyke.decisions.evidence.record import OutcomeRecord
-from citrondyke.decisions.evidence.report import EvidenceReport
+from citrondyke.decisions.audit.record import OutcomeRecord
+from citrondyke.decisions.audit.report import AuditReport
 from citrondyke.driver.virtual.replay import replay as run_trace
 from citrondyke.driver.virtual.trace import events_of_records, read_trace
 from citrondyke.driver.virtual.trace_outcome import TraceOutcome
@@ -96,7 +96,7 @@
     With --verify it ends with code 1 when a record is missing or was altered.
     """
     query = urlencode({'class': class_name or '', **_span(from_, to)})
-    found = OperatorClient(options).get(f'/operator/v1/report?{query}', EvidenceReport)
+    found = OperatorClient(options).get(f'/operator/v1/report?{query}', AuditReport)
     show(options, found, tables.report_tables)
     if verify and found.faults:
         raise CtlError(ExitCode.FAILED, f'{len(found.faults)} faults in the records')
--- a/citrondyke/cmd/ctl/tables.py
+++ b/citrondyke/cmd/ctl/tables.py
@@ -9,6 +9,7 @@
 from rich.progress_bar import ProgressBar
 from rich.table import Table
 
+from citrondyke.decisions.audit.report import AuditReport
 from citrondyke.decisions.configuration.change import ConfigChange
 from citrondyke.decisions.configuration.configuration import ConfigSnapshot
 from citrondyke.decisions.configuration.entries import (
@@ -20,7 +21,6 @@
     TenantEntry,
     entry_name,
 )
-from citrondyke.decisions.evidence.report import EvidenceReport
 from citrondyke.driver.virtual.trace_outcome import TraceOutcome
 from citrondyke.entry.operator_shapes import JobSummary, JobView, StatusReport
 from citrondyke.operator.histogram import HistogramData, SparseHistogram
@@ -135,7 +135,7 @@
         )
 
 
-def report_tables(report: EvidenceReport) -> Iterator[Table | str]:
+def report_tables(report: AuditReport) -> Iterator[Table | str]:
     """Show what was kept, what was not, and whether the records are all there."""
     table = _table(
         f'{report.objects_count} sealed objects',
--- a/citrondyke/daemon.py
+++ b/citrondyke/daemon.py
@@ -143,7 +143,7 @@
             'open_connections': self._server.open_connections,
             'refused_connections': self._server.refused_connections,
             'held_segments': self.instance.worker.held_count,
-            'config_version': self.instance.keeper.current.version,
+            'config_version': self.instance.config_replica.current.version,
             'peer_bytes_sent': self._peers.traffic.sent_bytes,
             'peer_bytes_received': self._peers.traffic.received_bytes,
             'peer_rejected': self._peers.traffic.rejected_count,
--- a/citrondyke/decisions/at_most_once/group_committer.py
+++ b/citrondyke/decisions/at_most_once/group_committer.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from citrondyke.decisions.core.commit import (
-    CommitUncertain,
-    CommitUncertainReason,
+    CommitFailure,
+    CommitFailureReason,
     commit,
     commit_once,
     transaction,
@@ -20,7 +20,7 @@
 from citrondyke.storage.table_service import Committed, Row
 
 if TYPE_CHECKING:
-    from citrondyke.decisions.at_most_once.transaction_pace import TransactionPace
+    from citrondyke.decisions.at_most_once.transaction_rate_limiter import TransactionRateLimiter
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
     from citrondyke.storage.table_service import Conflict
@@ -32,11 +32,11 @@
 #: Writes that may wait at once; more are refused, as each holds a caller.
 WAITING_LIMIT = 10_000
 #: Writes that arrive within this time of the first go with it.
-GATHER_MS = 3.0
+COALESCE_MS = 3.0
 #: How long an ambiguous answer is followed up before the writers are told.
-NEXT_GROUP_DELAY_MS = 2000.0
+RESOLUTION_TIMEOUT_MS = 2000.0
 #: After a failure one group in this time tries the table service; the rest is refused at once.
-BREAK_MS = 500.0
+BREAKER_OPEN_MS = 500.0
 
 
 class GroupConflict(msgspec.Struct, frozen=True):
@@ -50,7 +50,7 @@
         return False
 
 
-GroupResult: TypeAlias = Committed | GroupConflict | CommitUncertain
+GroupResult: TypeAlias = Committed | GroupConflict | CommitFailure
 
 
 class _Write(msgspec.Struct, eq=False):
@@ -67,13 +67,13 @@
     and the others go again without it.
     """
 
-    def __init__(self, context: Context, pace: TransactionPace) -> None:
+    def __init__(self, context: Context, rate_limiter: TransactionRateLimiter) -> None:
         """Start with nothing waiting."""
         self._context = context
-        self._pace = pace
+        self._rate_limiter = rate_limiter
         self._waiting: deque[_Write] = deque()
         self._filled: Signal[None] = Signal()
-        self._broken_until_ms = float('-inf')
+        self._breaker_open_until_ms = float('-inf')
 
     def submit(
         self, key: RowKey, expected_version: int | None, value: msgspec.Struct
@@ -83,9 +83,9 @@
         :param expected_version: ``None`` where the row must not exist.
         """
         result: Signal[GroupResult] = Signal()
-        is_broken = self._context.now_ms() < self._broken_until_ms
+        is_broken = self._context.now_ms() < self._breaker_open_until_ms
         if is_broken or len(self._waiting) >= WAITING_LIMIT:
-            result.fire(CommitUncertain(CommitUncertainReason.NOT_WRITTEN))
+            result.fire(CommitFailure(CommitFailureReason.NOT_WRITTEN))
             return result
         self._waiting.append(_Write(key, expected_version, value, result))
         self._filled.fire(None)
@@ -96,7 +96,7 @@
         while True:
             yield from wait_for(self._filled, None)
             now_ms = self._context.now_ms()
-            yield from sleep_until(max(now_ms + GATHER_MS, self._pace.next_ms(now_ms)))
+            yield from sleep_until(max(now_ms + COALESCE_MS, self._rate_limiter.next_ms(now_ms)))
             group = self._take_group()
             if not self._waiting:
                 self._filled = Signal()
@@ -117,11 +117,11 @@
 
     def _commit_group(self, group: list[_Write]) -> Workflow[None]:
         while group:
-            self._pace.spend(self._context.now_ms())
+            self._rate_limiter.spend(self._context.now_ms())
             result = yield from self._commit(group)
-            if isinstance(result, (Committed, CommitUncertain)):
-                if isinstance(result, CommitUncertain):
-                    self._broken_until_ms = self._context.now_ms() + BREAK_MS
+            if isinstance(result, (Committed, CommitFailure)):
+                if isinstance(result, CommitFailure):
+                    self._breaker_open_until_ms = self._context.now_ms() + BREAKER_OPEN_MS
                 for write in group:
                     write.result.fire(result)
                 return
@@ -130,19 +130,16 @@
                     write.result.fire(GroupConflict(result.rows.get(write.key)))
             group = [write for write in group if write.key not in result.broken]
 
-    def _commit(self, group: list[_Write]) -> Workflow[Committed | Conflict | CommitUncertain]:
+    def _commit(self, group: list[_Write]) -> Workflow[Committed | Conflict | CommitFailure]:
         wanted = transaction(
             self._context,
             [(write.key, write.expected_version) for write in group],
             [(write.key, write.value) for write in group],
         )
         result = yield from commit_once(wanted)
-        if (
-            isinstance(result, CommitUncertain)
-            and result.reason is CommitUncertainReason.MAYBE_WRITTEN
-        ):
-            until_ms = self._context.now_ms() + NEXT_GROUP_DELAY_MS
-            followed = yield from commit(self._context, wanted, until_ms)
+        if isinstance(result, CommitFailure) and result.reason is CommitFailureReason.MAYBE_WRITTEN:
+            until_ms = self._context.now_ms() + RESOLUTION_TIMEOUT_MS
+            resolved = yield from commit(self._context, wanted, until_ms)
             # What was in doubt once stays so until there is a verdict.
-            return result if isinstance(followed, CommitUncertain) else followed
+            return result if isinstance(resolved, CommitFailure) else resolved
         return result
--- a/citrondyke/decisions/at_most_once/once_executor.py
+++ b/citrondyke/decisions/at_most_once/once_executor.py
@@ -14,7 +14,7 @@
     intent_row_key,
 )
 from citrondyke.decisions.at_most_once.once_result import OnceResult, OnceResultKind
-from citrondyke.decisions.core.commit import MAYBE_WRITTEN, CommitUncertain
+from citrondyke.decisions.core.commit import MAYBE_WRITTEN, CommitFailure
 from citrondyke.decisions.core.ops import Spawn, read_rows, sleep_until, wait_for
 from citrondyke.decisions.core.signal import Signal
 from citrondyke.decisions.membership.session_row import (
@@ -32,9 +32,9 @@
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
     from citrondyke.decisions.membership.lease_watch import LeaseWatch
-    from citrondyke.decisions.membership.session_renewer import SessionRenewer
-    from citrondyke.decisions.online.desk import OnlineDispatcher
-    from citrondyke.decisions.online.refusal import Refusal
+    from citrondyke.decisions.membership.session_lease import SessionLease
+    from citrondyke.decisions.online.online_dispatcher import OnlineDispatcher
+    from citrondyke.decisions.online.rejection import Rejection
     from citrondyke.decisions.online.request import OnlineRequest, OnlineResult
     from citrondyke.ids import RowKey
     from citrondyke.storage.table_service import Row
@@ -42,9 +42,9 @@
 __all__ = ('OnceExecutor',)
 
 #: How long a claim may wait for the table service before the caller is turned away.
-CLAIM_LIMIT_MS = 4000.0
+CLAIM_TIMEOUT_MS = 4000.0
 #: How long an outcome may wait for the table service before the caller is told so.
-OUTCOME_LIMIT_MS = 4000.0
+OUTCOME_TIMEOUT_MS = 4000.0
 FIRST_POLL_MS = 50.0
 LONGEST_POLL_MS = 500.0
 #: Pause between two tries to store what the caller was told already.
@@ -61,7 +61,7 @@
     def __init__(
         self,
         context: Context,
-        session: SessionRenewer,
+        session: SessionLease,
         committer: GroupCommitter,
         leases: LeaseWatch,
         online: OnlineDispatcher,
@@ -78,27 +78,27 @@
         """Bring a request to its one outcome."""
         key = intent_row_key(request.tenant_id, idempotency_key)
         digest = digest_hex(request.method.encode(), request.path.encode(), request.body)
-        expected: int | None = None
+        expected_version: int | None = None
         while True:
-            if not self._session.began.is_fired or not self._session.is_sure():
+            if not self._session.began.is_fired or not self._session.is_lease_valid():
                 return OnceResult(OnceResultKind.PLATFORM_DOWN)
             claim = self._new_row(digest, IntentState.INTENT)
-            result = yield from self._claim(key, expected, claim, request)
+            result = yield from self._claim(key, expected_version, claim, request)
             if isinstance(result, Committed):
                 return (yield from self._dispatch(request, key, claim, result.version))
-            if isinstance(result, CommitUncertain):
+            if isinstance(result, CommitFailure):
                 yield Spawn(self._withdraw(key, claim))
                 return OnceResult(OnceResultKind.PLATFORM_DOWN)
             followed = yield from self._follow(request, key, digest, result.row)
             if isinstance(followed, OnceResult):
                 return followed
-            expected = followed.version
+            expected_version = followed.version
 
     def _claim(
-        self, key: RowKey, expected: int | None, claim: IntentRow, request: OnlineRequest
+        self, key: RowKey, expected_version: int | None, claim: IntentRow, request: OnlineRequest
     ) -> Workflow[GroupResult]:
-        signal = self._committer.submit(key, expected, claim)
-        until_ms = min(request.deadline_ms, self._context.now_ms() + CLAIM_LIMIT_MS)
+        signal = self._committer.submit(key, expected_version, claim)
+        until_ms = min(request.deadline_ms, self._context.now_ms() + CLAIM_TIMEOUT_MS)
         if (yield from wait_for(signal, until_ms)):
             return signal.value
         return MAYBE_WRITTEN
@@ -109,7 +109,7 @@
         done: Signal[None] = Signal()
         self._running[key] = done
         try:
-            if not self._session.is_sure():
+            if not self._session.is_lease_valid():
                 # Frozen between the claim and now: another instance may have closed the intent
                 # as unknown already, and a dispatch would make that answer a poor one.
                 return (yield from self._close(key, claim, version, IntentState.NOT_RUN))
@@ -131,7 +131,9 @@
         if end.may_have_run:
             return (yield from self._close(key, claim, version, IntentState.UNKNOWN))
         return (
-            yield from self._close(key, claim, version, IntentState.NOT_RUN, refusal=end.refusal)
+            yield from self._close(
+                key, claim, version, IntentState.NOT_RUN, rejection=end.rejection
+            )
         )
 
     def _close(
@@ -142,28 +144,28 @@
         state: IntentState,
         *,
         reply: StoredReply | None = None,
-        refusal: Refusal | None = None,
+        rejection: Rejection | None = None,
     ) -> Workflow[OnceResult]:
         """Store the outcome, then tell it."""
         row = msgspec.structs.replace(
             claim, state=state, reply=reply, changed_at_epoch_ms=self._context.epoch_ms()
         )
         signal = self._committer.submit(key, version, row)
-        fired = yield from wait_for(signal, self._context.now_ms() + OUTCOME_LIMIT_MS)
+        fired = yield from wait_for(signal, self._context.now_ms() + OUTCOME_TIMEOUT_MS)
         result = signal.value if fired else MAYBE_WRITTEN
         if isinstance(result, Committed):
-            return _end_of(row, refusal=refusal)
+            return _result_of(row, rejection=rejection)
         if isinstance(result, GroupConflict):
             if result.row is not None:
                 stored = msgspec.json.decode(result.row.value, type=IntentRow)
                 if stored.claim_id == claim.claim_id and stored.state is state:
-                    return _end_of(row, refusal=refusal)
+                    return _result_of(row, rejection=rejection)
             # Another instance took this one for dead and closed the intent; its word stands.
             return OnceResult(OnceResultKind.UNKNOWN)
         yield Spawn(self._persist(key, row))
         if state is IntentState.DONE:
             return OnceResult(OnceResultKind.NOT_DURABLE)
-        return _end_of(row, refusal=refusal)
+        return _result_of(row, rejection=rejection)
 
     def _persist(self, key: RowKey, row: IntentRow) -> Workflow[None]:
         """Store an outcome once the table service answers again."""
@@ -200,27 +202,27 @@
                 value = msgspec.json.decode(stored.value, type=IntentRow)
                 if value.claim_id != claim.claim_id or value.state is not IntentState.INTENT:
                     return
-            expected = None if stored is None else stored.version
-            signal = self._committer.submit(key, expected, closed)
+            expected_version = None if stored is None else stored.version
+            signal = self._committer.submit(key, expected_version, closed)
             yield from wait_for(signal, None)
             if isinstance(signal.value, Committed):
                 return
 
     def _follow(
         self, request: OnlineRequest, key: RowKey, digest: str, row: Row | None
-    ) -> Workflow[OnceResult | _Free]:
+    ) -> Workflow[OnceResult | _ClaimableKey]:
         """Learn what became of a request whose key was claimed before."""
         poll_ms = FIRST_POLL_MS
         while True:
             if row is None:
-                return _Free(None)
+                return _ClaimableKey(None)
             stored = msgspec.json.decode(row.value, type=IntentRow)
             if stored.digest != digest:
                 return OnceResult(OnceResultKind.CONFLICT)
             if stored.state is IntentState.NOT_RUN:
-                return _Free(row.version)
+                return _ClaimableKey(row.version)
             if stored.state is not IntentState.INTENT:
-                return _end_of(stored, is_replay=True)
+                return _result_of(stored, is_replay=True)
             now_ms = self._context.now_ms()
             if now_ms >= request.deadline_ms:
                 return OnceResult(OnceResultKind.IN_PROGRESS)
@@ -231,11 +233,13 @@
             else:
                 yield from wait_for(local, resume_ms)
             poll_ms = min(poll_ms * 2, LONGEST_POLL_MS)
-            looked = yield from self._look(key, row, stored)
-            if looked is not None:
-                row = looked.row
+            polled = yield from self._poll_intent(key, row, stored)
+            if polled is not None:
+                row = polled.row
 
-    def _look(self, key: RowKey, row: Row, stored: IntentRow) -> Workflow[GroupConflict | None]:
+    def _poll_intent(
+        self, key: RowKey, row: Row, stored: IntentRow
+    ) -> Workflow[GroupConflict | None]:
         """Read the intent again; close it where its owner is gone.
 
         :returns: the row as it stands, ``None`` where nothing could be learned.
@@ -252,13 +256,13 @@
         session = (
             None if owner_row is None else msgspec.json.decode(owner_row.value, type=SessionRow)
         )
-        if not self._leases.is_gone(stored.owner, session, self._context.now_ms()):
+        if not self._leases.has_expired(stored.owner, session, self._context.now_ms()):
             return None
         closed = msgspec.structs.replace(
             stored, state=IntentState.UNKNOWN, changed_at_epoch_ms=self._context.epoch_ms()
         )
         signal = self._committer.submit(key, row.version, closed)
-        yield from wait_for(signal, self._context.now_ms() + OUTCOME_LIMIT_MS)
+        yield from wait_for(signal, self._context.now_ms() + OUTCOME_TIMEOUT_MS)
         return None
 
     def _new_row(self, digest: str, state: IntentState) -> IntentRow:
@@ -271,17 +275,17 @@
         )
 
 
-class _Free(msgspec.Struct, frozen=True):
+class _ClaimableKey(msgspec.Struct, frozen=True):
     """The key can be claimed, at this version of its row."""
 
     version: int | None
 
 
-def _end_of(
-    row: IntentRow, *, refusal: Refusal | None = None, is_replay: bool = False
+def _result_of(
+    row: IntentRow, *, rejection: Rejection | None = None, is_replay: bool = False
 ) -> OnceResult:
     if row.state is IntentState.DONE:
         return OnceResult(OnceResultKind.ANSWERED, row.reply, is_replay=is_replay)
     if row.state is IntentState.NOT_RUN:
-        return OnceResult(OnceResultKind.NOT_RUN, refusal=refusal)
+        return OnceResult(OnceResultKind.NOT_RUN, rejection=rejection)
     return OnceResult(OnceResultKind.UNKNOWN)
--- a/citrondyke/decisions/at_most_once/once_result.py
+++ b/citrondyke/decisions/at_most_once/once_result.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from citrondyke.decisions.at_most_once.intent_row import StoredReply
-from citrondyke.decisions.online.refusal import Refusal
+from citrondyke.decisions.online.rejection import Rejection
 
 __all__ = ('OnceResult', 'OnceResultKind')
 
@@ -34,6 +34,6 @@
 
     kind: OnceResultKind
     reply: StoredReply | None = None
-    refusal: Refusal | None = None
+    rejection: Rejection | None = None
     #: Whether the answer was stored before and is given again.
     is_replay: bool = False
--- a/citrondyke/decisions/at_most_once/transaction_pace.py
+++ b/citrondyke/decisions/at_most_once/transaction_rate_limiter.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable
 
-__all__ = ('TransactionPace',)
+__all__ = ('TransactionRateLimiter',)
 
 #: Transactions that can be saved up while there is little to do.
 BURST = 8.0
 
 
-class TransactionPace:
+class TransactionRateLimiter:
     """A token bucket whose rate is this instance's part of the fleet's allowance."""
 
     def __init__(self, fleet_per_s: float, live_count: Callable[[], int]) -> None:
@@ -21,26 +21,26 @@
         """
         self._fleet_per_s = fleet_per_s
         self._live_count = live_count
-        self._saved = BURST
-        self._counted_at_ms: float | None = None
+        self._tokens = BURST
+        self._refilled_ms: float | None = None
 
     def next_ms(self, now_ms: float) -> float:
         """Give the time from which the next transaction may go."""
         self._refill(now_ms)
-        if self._saved >= 1.0:
+        if self._tokens >= 1.0:
             return now_ms
-        return now_ms + (1.0 - self._saved) / self._rate_per_ms()
+        return now_ms + (1.0 - self._tokens) / self._rate_per_ms()
 
     def spend(self, now_ms: float) -> None:
         """Count a transaction."""
         self._refill(now_ms)
-        self._saved -= 1.0
+        self._tokens -= 1.0
 
     def _refill(self, now_ms: float) -> None:
-        if self._counted_at_ms is not None:
-            gained = (now_ms - self._counted_at_ms) * self._rate_per_ms()
-            self._saved = min(BURST, self._saved + gained)
-        self._counted_at_ms = now_ms
+        if self._refilled_ms is not None:
+            gained = (now_ms - self._refilled_ms) * self._rate_per_ms()
+            self._tokens = min(BURST, self._tokens + gained)
+        self._refilled_ms = now_ms
 
     def _rate_per_ms(self) -> float:
         return self._fleet_per_s / max(1, self._live_count()) / 1000
--- a/citrondyke/decisions/evidence/journal.py
+++ b/citrondyke/decisions/audit/journal.py
@@ -8,17 +8,17 @@
 import msgspec
 import zstandard
 
+from citrondyke.decisions.audit.record import OutcomeRecord, SealHeader
 from citrondyke.decisions.core.ops import put_object, sleep_until, wait_for
-from citrondyke.decisions.evidence.record import OutcomeRecord, SealHeader
 from citrondyke.ids import ObjectKey
 from citrondyke.util.hashing import digest_hex
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
-    from citrondyke.decisions.membership.session_renewer import SessionRenewer
+    from citrondyke.decisions.membership.session_lease import SessionLease
 
-__all__ = ('EVIDENCE_PREFIX', 'EvidenceJournal', 'evidence_key')
+__all__ = ('EVIDENCE_PREFIX', 'AuditJournal', 'evidence_key')
 
 EVIDENCE_PREFIX = 'evidence/'
 RETRY_PAUSE_MS = 1000.0
@@ -29,7 +29,7 @@
     return ObjectKey(f'{EVIDENCE_PREFIX}{int(epoch_ms):015d}/{instance_id}/{number:08d}')
 
 
-class _Seal(msgspec.Struct, frozen=True, kw_only=True):
+class _SealedSegment(msgspec.Struct, frozen=True, kw_only=True):
     key: ObjectKey
     body: bytes
     number: int
@@ -37,7 +37,7 @@
     dropped_count: int
 
 
-class EvidenceJournal:
+class AuditJournal:
     """One object in a while, with a bound on what waits during an outage.
 
     The number and digest of the newest object also go into the instance's lease row, so that
@@ -45,7 +45,7 @@
     """
 
     def __init__(
-        self, context: Context, session: SessionRenewer, every_ms: float, records_limit: int
+        self, context: Context, session: SessionLease, every_ms: float, records_limit: int
     ) -> None:
         """Start with no records.
 
@@ -61,7 +61,7 @@
         self._dropped_since_seal = 0
         self._is_sealing = False
         #: An object that may be stored already, as its reply is not there.
-        self._pending: _Seal | None = None
+        self._pending: _SealedSegment | None = None
 
     def add(self, record: OutcomeRecord) -> None:
         """Take in a record; one that does not fit is counted, and the count is shown."""
@@ -90,17 +90,17 @@
             return False
         self._is_sealing = True
         try:
-            return (yield from self._store())
+            return (yield from self._store_segment())
         finally:
             self._is_sealing = False
 
-    def _store(self) -> Workflow[bool]:
+    def _store_segment(self) -> Workflow[bool]:
         """Store the object under way, or the next one.
 
         After a lost reply the very same object is stored again. Made anew it would have another
         name, and its records would be there twice.
         """
-        self._pending = self._pending or self._next_seal()
+        self._pending = self._pending or self._next_segment()
         pending = self._pending
         if pending is None:
             return True
@@ -115,7 +115,7 @@
         self._session.record_sealed(pending.number, digest_hex(pending.body))
         return not self._records
 
-    def _next_seal(self) -> _Seal | None:
+    def _next_segment(self) -> _SealedSegment | None:
         if not self._records and not self._dropped_since_seal:
             return None
         number, previous = self._session.sealed
@@ -128,7 +128,7 @@
             is_after_crash=self._session.is_after_crash and not self._session.has_sealed,
         )
         body = zstandard.compress(b'\n'.join([msgspec.json.encode(header), *self._records]) + b'\n')
-        return _Seal(
+        return _SealedSegment(
             key=evidence_key(self._context.epoch_ms(), self._context.instance_id, number + 1),
             body=body,
             number=number + 1,
--- a/citrondyke/decisions/evidence/report.py
+++ b/citrondyke/decisions/audit/report.py
@@ -8,9 +8,9 @@
 import msgspec
 import zstandard
 
+from citrondyke.decisions.audit.journal import EVIDENCE_PREFIX
+from citrondyke.decisions.audit.record import OutcomeRecord, RecordKind, SealHeader
 from citrondyke.decisions.core.ops import get_object, list_objects, scan_rows
-from citrondyke.decisions.evidence.journal import EVIDENCE_PREFIX
-from citrondyke.decisions.evidence.record import OutcomeRecord, RecordKind, SealHeader
 from citrondyke.decisions.membership.session_row import SESSION_PREFIX, SessionRow
 from citrondyke.storage.failure import PlatformFailure
 from citrondyke.util.hashing import digest_hex
@@ -19,14 +19,14 @@
     from citrondyke.decisions.core.ops import Workflow
     from citrondyke.ids import ObjectKey
 
-__all__ = ('ClassReport', 'EvidenceFault', 'EvidenceReport', 'build_report', 'read_records')
+__all__ = ('AuditFault', 'AuditReport', 'ClassReport', 'build_report', 'read_records')
 
 SCAN_LIMIT = 1000
 #: Plain text of one object at the most; a forged one must not fill the memory.
 OBJECT_LIMIT_BYTES = 256 * 1024 * 1024
 
 
-class EvidenceFault(msgspec.Struct, frozen=True):
+class AuditFault(msgspec.Struct, frozen=True):
     """Something that is missing or was altered."""
 
     instance_id: str
@@ -51,34 +51,34 @@
     items_with_outcome_count: int = 0
 
 
-class EvidenceReport(msgspec.Struct, kw_only=True):
+class AuditReport(msgspec.Struct, kw_only=True):
     """What a regulator is shown."""
 
     from_epoch_ms: float
     to_epoch_ms: float
     objects_count: int = 0
     classes: dict[str, ClassReport] = msgspec.field(default_factory=dict)
-    faults: list[EvidenceFault] = msgspec.field(default_factory=list)
+    faults: list[AuditFault] = msgspec.field(default_factory=list)
 
 
 def read_records(
     from_epoch_ms: float, to_epoch_ms: float, limit: int
 ) -> Workflow[list[OutcomeRecord] | PlatformFailure]:
     """Read the sealed records of a span of time, at most ``limit``."""
-    seals = yield from _read_seals()
-    if isinstance(seals, PlatformFailure):
-        return seals
+    segments = yield from _read_segments()
+    if isinstance(segments, PlatformFailure):
+        return segments
     found = [
         record
-        for _, seal in seals
-        if seal is not None
-        for record in seal.records
+        for _, segment in segments
+        if segment is not None
+        for record in segment.records
         if from_epoch_ms <= record.at_epoch_ms < to_epoch_ms
     ]
     return found[:limit]
 
 
-class _Seal(msgspec.Struct, frozen=True):
+class _SealedSegment(msgspec.Struct, frozen=True):
     header: SealHeader
     digest: str
     records: list[OutcomeRecord]
@@ -86,26 +86,26 @@
 
 def build_report(
     class_name: str | None, from_epoch_ms: float, to_epoch_ms: float
-) -> Workflow[EvidenceReport | PlatformFailure]:
+) -> Workflow[AuditReport | PlatformFailure]:
     """Read every object, check the chains, and add up the records of a span of time.
 
     :param class_name: only this class; ``None`` for all.
     """
-    report = EvidenceReport(from_epoch_ms=from_epoch_ms, to_epoch_ms=to_epoch_ms)
-    seals = yield from _read_seals()
-    if isinstance(seals, PlatformFailure):
-        return seals
+    report = AuditReport(from_epoch_ms=from_epoch_ms, to_epoch_ms=to_epoch_ms)
+    segments = yield from _read_segments()
+    if isinstance(segments, PlatformFailure):
+        return segments
     sessions = yield from scan_rows(SESSION_PREFIX, '', SCAN_LIMIT)
     if isinstance(sessions, PlatformFailure):
         return sessions
-    chains: dict[str, dict[int, _Seal]] = {}
-    for key, seal in seals:
+    chains: dict[str, dict[int, _SealedSegment]] = {}
+    for key, segment in segments:
         report.objects_count += 1
-        if seal is None:
+        if segment is None:
             _, instance_id, number = key.rsplit('/', 2)
-            report.faults.append(EvidenceFault(instance_id, int(number), 'unreadable'))
+            report.faults.append(AuditFault(instance_id, int(number), 'unreadable'))
             continue
-        chains.setdefault(seal.header.instance_id, {})[seal.header.number] = seal
+        chains.setdefault(segment.header.instance_id, {})[segment.header.number] = segment
     newest = {
         row.key[len(SESSION_PREFIX) :]: msgspec.json.decode(row.value, type=SessionRow)
         for row in sessions
@@ -113,26 +113,26 @@
     for instance_id in sorted(set(chains) | set(newest)):
         _check_chain(report, instance_id, chains.get(instance_id, {}), newest.get(instance_id))
     for chain in chains.values():
-        for seal in chain.values():
-            _add_up(report, seal, class_name)
+        for segment in chain.values():
+            _add_counts(report, segment, class_name)
     return report
 
 
-def _read_seals() -> Workflow[list[tuple[ObjectKey, _Seal | None]] | PlatformFailure]:
+def _read_segments() -> Workflow[list[tuple[ObjectKey, _SealedSegment | None]] | PlatformFailure]:
     """Read every sealed object; ``None`` stands for one that cannot be read."""
     keys = yield from list_objects(EVIDENCE_PREFIX)
     if isinstance(keys, PlatformFailure):
         return keys
-    seals: list[tuple[ObjectKey, _Seal | None]] = []
+    segments: list[tuple[ObjectKey, _SealedSegment | None]] = []
     for key in keys:
         body = yield from get_object(key)
         if isinstance(body, PlatformFailure):
             return body
-        seals.append((key, _open(body)))
-    return seals
+        segments.append((key, _decode_segment(body)))
+    return segments
 
 
-def _open(body: bytes) -> _Seal | None:
+def _decode_segment(body: bytes) -> _SealedSegment | None:
     try:
         text = zstandard.ZstdDecompressor().decompress(body, max_output_size=OBJECT_LIMIT_BYTES)
         first, *rest = text.splitlines()
@@ -140,13 +140,13 @@
         records = [msgspec.json.decode(line, type=OutcomeRecord) for line in rest]
     except (zstandard.ZstdError, msgspec.DecodeError, ValueError):
         return None
-    return _Seal(header, digest_hex(body), records)
+    return _SealedSegment(header, digest_hex(body), records)
 
 
 def _check_chain(
-    report: EvidenceReport,
+    report: AuditReport,
     instance_id: str,
-    chain: dict[int, _Seal],
+    chain: dict[int, _SealedSegment],
     session: SessionRow | None,
 ) -> None:
     """Find holes and alterations; every object vouches for the one before it."""
@@ -154,34 +154,34 @@
     if session is not None and session.sealed_number > last_number:
         last_number = session.sealed_number
     if session is not None and session.sealed_number in chain:
-        _compare(report, chain[session.sealed_number], session.sealed_digest)
+        _check_digest(report, chain[session.sealed_number], session.sealed_digest)
     for number in range(1, last_number + 1):
-        seal = chain.get(number)
-        if seal is None:
-            report.faults.append(EvidenceFault(instance_id, number, 'missing'))
+        segment = chain.get(number)
+        if segment is None:
+            report.faults.append(AuditFault(instance_id, number, 'missing'))
             continue
         before = chain.get(number - 1)
         if before is not None:
-            _compare(report, before, seal.header.previous_digest)
-        if len(seal.records) != seal.header.records_count:
-            report.faults.append(EvidenceFault(instance_id, number, 'altered', 'record count'))
-        if seal.header.dropped_count:
-            detail = f'{seal.header.dropped_count} records'
-            report.faults.append(EvidenceFault(instance_id, number, 'dropped', detail))
-        if seal.header.is_after_crash:
-            report.faults.append(EvidenceFault(instance_id, number, 'after_crash'))
-
-
-def _compare(report: EvidenceReport, seal: _Seal, digest: str) -> None:
-    if seal.digest == digest:
+            _check_digest(report, before, segment.header.previous_digest)
+        if len(segment.records) != segment.header.records_count:
+            report.faults.append(AuditFault(instance_id, number, 'altered', 'record count'))
+        if segment.header.dropped_count:
+            detail = f'{segment.header.dropped_count} records'
+            report.faults.append(AuditFault(instance_id, number, 'dropped', detail))
+        if segment.header.is_after_crash:
+            report.faults.append(AuditFault(instance_id, number, 'after_crash'))
+
+
+def _check_digest(report: AuditReport, segment: _SealedSegment, digest: str) -> None:
+    if segment.digest == digest:
         return
-    fault = EvidenceFault(seal.header.instance_id, seal.header.number, 'altered', 'digest')
+    fault = AuditFault(segment.header.instance_id, segment.header.number, 'altered', 'digest')
     if fault not in report.faults:
         report.faults.append(fault)
 
 
-def _add_up(report: EvidenceReport, seal: _Seal, class_name: str | None) -> None:
-    for record in seal.records:
+def _add_counts(report: AuditReport, segment: _SealedSegment, class_name: str | None) -> None:
+    for record in segment.records:
         if not report.from_epoch_ms <= record.at_epoch_ms < report.to_epoch_ms:
             continue
         if class_name is not None and record.class_name != class_name:
--- a/citrondyke/decisions/configuration/keeper.py
+++ b/citrondyke/decisions/configuration/config_replica.py
@@ -18,9 +18,9 @@
 from citrondyke.decisions.configuration.proposal import (
     ConfigConflict,
     ConfigProposal,
-    ConfigRefusal,
+    ConfigRejection,
 )
-from citrondyke.decisions.core.commit import CommitUncertain, commit, transaction
+from citrondyke.decisions.core.commit import CommitFailure, commit, transaction
 from citrondyke.decisions.core.ops import (
     get_object,
     put_object,
@@ -49,9 +49,9 @@
 RECENT_CHANGES = 256
 SCAN_LIMIT = 500
 #: Time that a proposal may take before the operator is told that its fate is open.
-PROPOSAL_LIMIT_MS = 5000.0
+PROPOSAL_TIMEOUT_MS = 5000.0
 
-ProposalResult: TypeAlias = ConfigChange | ConfigConflict | ConfigRefusal | CommitUncertain
+ProposalResult: TypeAlias = ConfigChange | ConfigConflict | ConfigRejection | CommitFailure
 
 
 class SnapshotRow(msgspec.Struct, frozen=True):
@@ -76,26 +76,26 @@
         self._context = context
         self._poll_every_ms = poll_every_ms
         self._recent: deque[ConfigChange] = deque(maxlen=RECENT_CHANGES)
-        self._early: dict[ConfigVersion, ConfigChange] = {}
+        self._out_of_order: dict[ConfigVersion, ConfigChange] = {}
 
-    def offer(self, changes: Iterable[ConfigChange]) -> bool:
+    def merge_changes(self, changes: Iterable[ConfigChange]) -> bool:
         """Take changes from wherever they come; tell whether any was new.
 
         A change that is ahead of its predecessor waits for it.
         """
         for change in changes:
-            if change.version > self.current.version and len(self._early) < RECENT_CHANGES:
-                self._early[change.version] = change
+            if change.version > self.current.version and len(self._out_of_order) < RECENT_CHANGES:
+                self._out_of_order[change.version] = change
         applied = False
         while True:
-            following = self._early.pop(ConfigVersion(self.current.version + 1), None)
-            if following is None:
+            next_change = self._out_of_order.pop(ConfigVersion(self.current.version + 1), None)
+            if next_change is None:
                 break
-            self.current.apply(following)
-            self._recent.append(following)
+            self.current.apply(next_change)
+            self._recent.append(next_change)
             applied = True
         if applied:
-            self._announce()
+            self._notify_changed()
         return applied
 
     def changes_after(self, version: ConfigVersion) -> list[ConfigChange]:
@@ -115,7 +115,7 @@
             self.is_loaded = yield from self._load()
             if not self.is_loaded:
                 yield from self._pause()
-        self._announce()
+        self._notify_changed()
         while True:
             yield from self._pause()
             yield from self.catch_up()
@@ -127,8 +127,8 @@
             rows = yield from scan_rows(LOG_PREFIX, after, SCAN_LIMIT)
             if isinstance(rows, PlatformFailure):
                 return False
-            changes = _readable(rows)
-            self.offer(changes)
+            changes = _decode_readable(rows)
+            self.merge_changes(changes)
             if len(changes) < len(rows):
                 return False
             if len(rows) < SCAN_LIMIT:
@@ -143,20 +143,20 @@
         reached = yield from self.catch_up()
         if proposal.expect_version != self.current.version:
             return self._conflict(proposal.expect_version)
-        refusal = self._refusal(proposal)
-        if refusal is not None:
-            return refusal
+        rejection = self._find_error(proposal)
+        if rejection is not None:
+            return rejection
         change = self._change(proposal, who)
         key = log_row_key(change.version)
-        until_ms = self._context.now_ms() + (PROPOSAL_LIMIT_MS if reached else 0.0)
+        until_ms = self._context.now_ms() + (PROPOSAL_TIMEOUT_MS if reached else 0.0)
         wanted = transaction(self._context, [(key, None)], [(key, change)])
         result = yield from commit(self._context, wanted, until_ms)
-        if isinstance(result, CommitUncertain):
+        if isinstance(result, CommitFailure):
             return result
         if isinstance(result, Conflict):
             yield from self.catch_up()
             return self._conflict(proposal.expect_version)
-        self.offer([change])
+        self.merge_changes([change])
         if change.version % SNAPSHOT_EVERY == 0:
             yield from self._store_snapshot()
         return change
@@ -166,7 +166,7 @@
         rows = yield from scan_rows(LOG_PREFIX, log_row_key(after), limit)
         if isinstance(rows, PlatformFailure):
             return None
-        return _readable(rows)
+        return _decode_readable(rows)
 
     def _load(self) -> Workflow[bool]:
         found = yield from read_rows(SNAPSHOT_ROW)
@@ -200,29 +200,29 @@
         version = None if row is None else row.version
         pointer = SnapshotRow(snapshot.version, key)
         wanted = transaction(self._context, [(SNAPSHOT_ROW, version)], [(SNAPSHOT_ROW, pointer)])
-        yield from commit(self._context, wanted, self._context.now_ms() + PROPOSAL_LIMIT_MS)
+        yield from commit(self._context, wanted, self._context.now_ms() + PROPOSAL_TIMEOUT_MS)
 
     def _pause(self) -> Workflow[None]:
         pause_ms = self._context.jittered_ms(self._poll_every_ms)
         yield from sleep_until(self._context.now_ms() + pause_ms)
 
-    def _announce(self) -> None:
+    def _notify_changed(self) -> None:
         fired, self.changed = self.changed, Signal()
         fired.fire(None)
 
     def _conflict(self, expected: ConfigVersion) -> ConfigConflict:
         return ConfigConflict(self.current.version, tuple(self.changes_after(expected)))
 
-    def _refusal(self, proposal: ConfigProposal) -> ConfigRefusal | None:
+    def _find_error(self, proposal: ConfigProposal) -> ConfigRejection | None:
         if not proposal.edits:
-            return ConfigRefusal('edits', 'at least one edit')
+            return ConfigRejection('edits', 'at least one edit')
         future = Configuration()
         future.restore(ConfigSnapshot(ConfigVersion(1), tuple(self.current.entries().values())))
         for edit in proposal.edits:
             if edit.after is not None and entry_name(edit.after) != edit.name:
-                return ConfigRefusal(edit.name, f'the name {entry_name(edit.after)}')
+                return ConfigRejection(edit.name, f'the name {entry_name(edit.after)}')
             if edit.after is None and self.current.entry(edit.name) is None:
-                return ConfigRefusal(edit.name, 'the name of an entry that exists')
+                return ConfigRejection(edit.name, 'the name of an entry that exists')
         edits = tuple(EntryEdit(edit.name, None, edit.after) for edit in proposal.edits)
         future.apply(
             ConfigChange(
@@ -232,7 +232,7 @@
                 accepted_at_epoch_ms=0.0,
             )
         )
-        return _broken_reference(future)
+        return _find_conflict(future)
 
     def _change(self, proposal: ConfigProposal, who: str) -> ConfigChange:
         edits = tuple(
@@ -247,7 +247,7 @@
         )
 
 
-def _readable(rows: Iterable[Row]) -> list[ConfigChange]:
+def _decode_readable(rows: Iterable[Row]) -> list[ConfigChange]:
     """Read changes up to the first that this version does not understand.
 
     During an upgrade a newer instance may accept a change with a kind of entry that older ones do
@@ -262,15 +262,15 @@
     return changes
 
 
-def _broken_reference(future: Configuration) -> ConfigRefusal | None:
+def _find_conflict(future: Configuration) -> ConfigRejection | None:
     owner_by_key: dict[str, str] = {}
     for name, entry in future.entries().items():
         missing = future.missing_reference(entry)
         if missing is not None:
-            return ConfigRefusal(missing.name, f'an existing {missing.missing}')
+            return ConfigRejection(missing.name, f'an existing {missing.missing}')
         if not isinstance(entry, TenantEntry):
             continue
         for digest in entry.key_hashes:
             if owner_by_key.setdefault(digest, name) != name:
-                return ConfigRefusal(name, f'a key that {owner_by_key[digest]} does not have')
+                return ConfigRejection(name, f'a key that {owner_by_key[digest]} does not have')
     return None
--- a/citrondyke/decisions/configuration/proposal.py
+++ b/citrondyke/decisions/configuration/proposal.py
@@ -8,10 +8,10 @@
 from citrondyke.decisions.configuration.entries import ConfigEntry
 from citrondyke.ids import ConfigVersion
 
-__all__ = ('ConfigConflict', 'ConfigProposal', 'ConfigRefusal', 'WantedEdit')
+__all__ = ('ConfigConflict', 'ConfigProposal', 'ConfigRejection', 'RequestedEdit')
 
 
-class WantedEdit(msgspec.Struct, frozen=True):
+class RequestedEdit(msgspec.Struct, frozen=True):
     """Set an entry, or with ``None`` remove it."""
 
     name: str
@@ -22,7 +22,7 @@
     """A change on top of a version that the operator has seen."""
 
     expect_version: ConfigVersion
-    edits: tuple[WantedEdit, ...]
+    edits: tuple[RequestedEdit, ...]
 
 
 class ConfigConflict(msgspec.Struct, frozen=True):
@@ -37,7 +37,7 @@
         return False
 
 
-class ConfigRefusal(msgspec.Struct, frozen=True):
+class ConfigRejection(msgspec.Struct, frozen=True):
     """Stands in the place of an acceptance: the change itself is wrong."""
 
     field: str
--- a/citrondyke/decisions/core/commit.py
+++ b/citrondyke/decisions/core/commit.py
@@ -22,8 +22,8 @@
 __all__ = (
     'MAYBE_WRITTEN',
     'NOT_WRITTEN',
-    'CommitUncertain',
-    'CommitUncertainReason',
+    'CommitFailure',
+    'CommitFailureReason',
     'commit',
     'commit_once',
     'encode_row',
@@ -34,7 +34,7 @@
 LONGEST_PAUSE_MS = 1000.0
 
 
-class CommitUncertainReason(Enum):
+class CommitFailureReason(Enum):
     """Why there is no verdict."""
 
     #: Nothing was written and nothing will be.
@@ -43,18 +43,18 @@
     MAYBE_WRITTEN = 'maybe_written'
 
 
-class CommitUncertain(msgspec.Struct, frozen=True):
+class CommitFailure(msgspec.Struct, frozen=True):
     """Stands in the place of a verdict that the table service did not give."""
 
-    reason: CommitUncertainReason
+    reason: CommitFailureReason
 
     def __bool__(self) -> bool:
         """Count as no verdict."""
         return False
 
 
-MAYBE_WRITTEN = CommitUncertain(CommitUncertainReason.MAYBE_WRITTEN)
-NOT_WRITTEN = CommitUncertain(CommitUncertainReason.NOT_WRITTEN)
+MAYBE_WRITTEN = CommitFailure(CommitFailureReason.MAYBE_WRITTEN)
+NOT_WRITTEN = CommitFailure(CommitFailureReason.NOT_WRITTEN)
 
 
 def encode_row(value: msgspec.Struct | None) -> msgspec.Raw:
@@ -79,7 +79,7 @@
     )
 
 
-def commit_once(wanted: Transaction) -> Workflow[Committed | Conflict | CommitUncertain]:
+def commit_once(wanted: Transaction) -> Workflow[Committed | Conflict | CommitFailure]:
     """Try a transaction once and sort the answer."""
     result = yield from transact_once(wanted)
     if isinstance(result, Committed):
@@ -93,7 +93,7 @@
 
 def commit(
     context: Context, wanted: Transaction, until_ms: float
-) -> Workflow[Committed | Conflict | CommitUncertain]:
+) -> Workflow[Committed | Conflict | CommitFailure]:
     """Try a transaction until there is a verdict or the time is up.
 
     A reply can be lost after the write took effect. Trying the same transaction again is safe:
@@ -101,16 +101,16 @@
     the conflict then shows this write's own id, which is the lost reply.
     """
     pause_ms = FIRST_PAUSE_MS
-    reason = CommitUncertainReason.NOT_WRITTEN
+    reason = CommitFailureReason.NOT_WRITTEN
     while True:
         result = yield from commit_once(wanted)
-        if not isinstance(result, CommitUncertain):
+        if not isinstance(result, CommitFailure):
             return result
-        if result.reason is CommitUncertainReason.MAYBE_WRITTEN:
+        if result.reason is CommitFailureReason.MAYBE_WRITTEN:
             reason = result.reason
         resume_ms = context.now_ms() + context.jittered_ms(pause_ms)
         if resume_ms >= until_ms:
-            return CommitUncertain(reason)
+            return CommitFailure(reason)
         yield from sleep_until(resume_ms)
         pause_ms = min(pause_ms * 2, LONGEST_PAUSE_MS)
 
--- a/citrondyke/decisions/core/context.py
+++ b/citrondyke/decisions/core/context.py
@@ -31,7 +31,7 @@
         self.zone = zone
         self.clock = clock
         self.random = random
-        self._life = f'{random.getrandbits(64):016x}'
+        self._incarnation = f'{random.getrandbits(64):016x}'
         self._writes_count = 0
 
     def now_ms(self) -> float:
@@ -45,7 +45,7 @@
     def new_write_id(self) -> WriteId:
         """Give a write id that no other life of any instance gives."""
         self._writes_count += 1
-        return WriteId(f'{self.instance_id}.{self._life}.{self._writes_count}')
+        return WriteId(f'{self.instance_id}.{self._incarnation}.{self._writes_count}')
 
     def jittered_ms(self, base_ms: float, share: float = 0.2) -> float:
         """Spread a pause, so that many instances do not act at the same moment."""
--- a/citrondyke/decisions/core/runner.py
+++ b/citrondyke/decisions/core/runner.py
@@ -58,7 +58,7 @@
         self._waiting: dict[OpToken, tuple[Workflow[Any], OpToken | None]] = {}
         self._subscriptions: dict[OpToken, tuple[Signal[Any], Callable[[], None]]] = {}
         self._effects: list[Effect] = []
-        self._stepping = False
+        self._is_stepping = False
         self._ready: list[tuple[Workflow[Any], OpToken | None, Any]] = []
 
     def start(self, workflow: Workflow[Any]) -> tuple[OpToken, list[Effect]]:
@@ -79,14 +79,14 @@
 
     def _drain(self) -> list[Effect]:
         """Step whatever is ready; signals fired on the way make more ready."""
-        if self._stepping:
+        if self._is_stepping:
             return []
-        self._stepping = True
+        self._is_stepping = True
         try:
             while self._ready:
                 self._step(*self._ready.pop(0))
         finally:
-            self._stepping = False
+            self._is_stepping = False
         effects, self._effects = self._effects, []
         return effects
 
--- a/citrondyke/decisions/crashes/content.py
+++ b/citrondyke/decisions/crashes/request_fingerprint.py
@@ -9,14 +9,14 @@
 from citrondyke.ids import ContentDigest
 from citrondyke.util.hashing import content_bucket, digest_hex
 
-__all__ = ('LazyRequestContent', 'RequestContent', 'content_of')
+__all__ = ('LazyRequestFingerprint', 'RequestFingerprint', 'fingerprint_of')
 
 #: Hexadecimal digits of a digest: 80 bits, so that nobody finds a request that another one's
 #: verdict would hold up.
 DIGEST_DIGITS = 20
 
 
-class RequestContent(msgspec.Struct, frozen=True):
+class RequestFingerprint(msgspec.Struct, frozen=True):
     """Names what a request asks for, whoever's attempt it is."""
 
     digest: ContentDigest
@@ -24,17 +24,17 @@
     target: int
 
 
-def content_of(method: bytes, host: bytes, target: bytes, body: bytes) -> RequestContent:
+def fingerprint_of(method: bytes, host: bytes, target: bytes, body: bytes) -> RequestFingerprint:
     """Name a request by what does not change when it comes again.
 
     Headers are left out: callers make request ids, deadlines and resume positions anew for each
     attempt, and a name that changed with them would begin each attempt from nothing.
     """
     digest = digest_hex(method, host, target, body)[:DIGEST_DIGITS]
-    return RequestContent(ContentDigest(digest), _target_bucket(method, host, target))
+    return RequestFingerprint(ContentDigest(digest), _target_bucket(method, host, target))
 
 
-class LazyRequestContent:
+class LazyRequestFingerprint:
     """What one request asks for, named as far as that is wanted, which it seldom is."""
 
     def __init__(self, method: bytes, host: str, target: bytes, body: bytes) -> None:
@@ -47,9 +47,9 @@
         return _target_bucket(*self._parts[:3])
 
     @cached_property
-    def content(self) -> RequestContent:
+    def fingerprint(self) -> RequestFingerprint:
         """Name it."""
-        return content_of(*self._parts)
+        return fingerprint_of(*self._parts)
 
 
 def _target_bucket(method: bytes, host: bytes, target: bytes) -> int:
--- a/citrondyke/decisions/crashes/server_exit_detector.py
+++ b/citrondyke/decisions/crashes/server_exit_detector.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.decisions.crashes.content import RequestContent
+from citrondyke.decisions.crashes.request_fingerprint import RequestFingerprint
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
@@ -27,7 +27,7 @@
 class InterruptedRequest(msgspec.Struct, frozen=True):
     """A request that broke off at a server."""
 
-    content: RequestContent
+    content: RequestFingerprint
     #: Whether its answer had not been coming for long.
     is_fresh: bool
     at_ms: float
@@ -44,36 +44,38 @@
     def __init__(self, context: Context) -> None:
         """Start without a server."""
         self._context = context
-        self._broken: dict[int, list[InterruptedRequest]] = {}
-        self._ended_ms: dict[int, float] = {}
+        self._interrupted: dict[int, list[InterruptedRequest]] = {}
+        self._exited_ms: dict[int, float] = {}
 
-    def note_broken(self, server: int, content: RequestContent, *, is_fresh: bool) -> bool:
+    def record_interrupted(
+        self, server: int, content: RequestFingerprint, *, is_fresh: bool
+    ) -> bool:
         """Keep what broke off; tell whether the server is known to have ended."""
         self._forget_old()
-        if server in self._ended_ms:
+        if server in self._exited_ms:
             return True
-        kept = self._broken.setdefault(server, [])
+        kept = self._interrupted.setdefault(server, [])
         if len(kept) < PER_SERVER_LIMIT:
             kept.append(InterruptedRequest(content, is_fresh, self._context.now_ms()))
         return False
 
-    def record_server_ended(self, server: int) -> list[InterruptedRequest]:
+    def record_server_exited(self, server: int) -> list[InterruptedRequest]:
         """Take in a server's end; give what it counts against."""
         self._forget_old()
-        self._ended_ms.setdefault(server, self._context.now_ms())
-        return self._broken.pop(server, [])
+        self._exited_ms.setdefault(server, self._context.now_ms())
+        return self._interrupted.pop(server, [])
 
-    def note_gone(self, server: int) -> list[InterruptedRequest]:
+    def record_unlisted(self, server: int) -> list[InterruptedRequest]:
         """Take in that a server is off the list; give what that counts against.
 
         It may go on serving what it has: only what broke off there before is told by it.
         """
         self._forget_old()
-        return self._broken.pop(server, [])
+        return self._interrupted.pop(server, [])
 
-    def has_ended(self, server: int) -> bool:
+    def has_exited(self, server: int) -> bool:
         """Tell whether a server is known to have ended."""
-        return server in self._ended_ms
+        return server in self._exited_ms
 
     def record_server_alive(self, server: int, asked_ms: float) -> bool:
         """Take in that a server took a connection; tell whether more broke off since.
@@ -82,22 +84,22 @@
         """
         kept = [
             each
-            for each in self._broken.pop(server, [])
+            for each in self._interrupted.pop(server, [])
             if not 0.0 <= asked_ms - each.at_ms <= ALIVE_WITHIN_MS
         ]
         if kept:
-            self._broken[server] = kept
+            self._interrupted[server] = kept
         return any(each.at_ms > asked_ms for each in kept)
 
     def _forget_old(self) -> None:
         oldest_ms = self._context.now_ms() - KEPT_MS
-        for server, kept in list(self._broken.items()):
+        for server, kept in list(self._interrupted.items()):
             fresh = [each for each in kept if each.at_ms >= oldest_ms]
             if fresh:
-                self._broken[server] = fresh
+                self._interrupted[server] = fresh
             else:
-                del self._broken[server]
-        for server in [each for each, ms in self._ended_ms.items() if ms < oldest_ms]:
-            del self._ended_ms[server]
-        while len(self._broken) > SERVERS_LIMIT:
-            del self._broken[next(iter(self._broken))]
+                del self._interrupted[server]
+        for server in [each for each, ms in self._exited_ms.items() if ms < oldest_ms]:
+            del self._exited_ms[server]
+        while len(self._interrupted) > SERVERS_LIMIT:
+            del self._interrupted[next(iter(self._interrupted))]
--- a/citrondyke/decisions/crashes/suspect_registry.py
+++ b/citrondyke/decisions/crashes/suspect_registry.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from citrondyke.decisions.crashes.content import RequestContent
+from citrondyke.decisions.crashes.request_fingerprint import RequestFingerprint
 from citrondyke.decisions.crashes.suspect import (
     BEGUN_WEIGHT,
     FRESH_WEIGHT,
@@ -22,12 +22,12 @@
 
     from citrondyke.decisions.core.context import Context
 
-__all__ = ('SuspectRegistry', 'SuspectVerdict')
+__all__ = ('SuspectRegistry', 'SuspectStatus')
 
 #: Servers that may end under a request before it is stopped. With two, requests that stood beside
 #: a culprit at its first two servers would be stopped with it; each one more costs everybody on
 #: another server their answers.
-ENDS_LIMIT = 3.0
+EXITS_LIMIT = 3.0
 #: Sends beyond the limit, one at a time in the whole fleet: who was there by chance is cleared by
 #: the first; who is not stays stopped. More would lose a server each.
 PROBES_LIMIT = 3
@@ -51,16 +51,16 @@
 STORED_SCORE = 2.0
 
 
-class SuspectVerdict(Enum):
+class SuspectStatus(Enum):
     """What may be done with a request."""
 
     FREE = 'free'
     #: It goes where few others and no other suspects are.
     SUSPECTED = 'suspected'
     #: It may be sent once if nobody else in the fleet does.
-    TRIAL_DUE = 'trial_due'
+    PROBE_DUE = 'trial_due'
     #: Its trial is under way somewhere.
-    ON_TRIAL = 'on_trial'
+    PROBE_RUNNING = 'on_trial'
     STOPPED = 'stopped'
 
 
@@ -84,25 +84,27 @@
         """Count the suspects."""
         return len(self._by_digest)
 
-    def contents(self) -> list[RequestContent]:
+    def contents(self) -> list[RequestFingerprint]:
         """List the suspects."""
-        return [suspect.content for suspect in self._by_digest.values() if suspect.lives]
+        return [suspect.content for suspect in self._by_digest.values() if suspect.exit_weights]
 
-    def trials(self, content: RequestContent) -> int:
+    def probes_count(self, content: RequestFingerprint) -> int:
         """Count the trials of a request."""
         suspect = self._by_digest.get(content.digest)
-        return 0 if suspect is None else suspect.trials
+        return 0 if suspect is None else suspect.probes_count
 
-    def concerns(self, target: int) -> bool:
+    def has_suspects_for(self, target: int) -> bool:
         """Tell whether a request for a target may be a suspect."""
         return target in self._targets
 
-    def score(self, content: RequestContent) -> float:
+    def score(self, content: RequestFingerprint) -> float:
         """Give the servers that have ended under a request, weighed."""
         suspect = self._by_digest.get(content.digest)
         return 0.0 if suspect is None else suspect.score
 
-    def record_server_exit(self, content: RequestContent, server: int, *, is_fresh: bool) -> bool:
+    def record_server_exit(
+        self, content: RequestFingerprint, server: int, *, is_fresh: bool
+    ) -> bool:
         """Count a server's end against a request; tell whether that is news.
 
         :param server: digest of the server's life.
@@ -111,65 +113,65 @@
         weight = FRESH_WEIGHT if is_fresh else BEGUN_WEIGHT
         return self._suspect(content).count(server, weight, self._context.epoch_ms())
 
-    def record_survived(self, content: RequestContent) -> bool:
+    def record_survived(self, content: RequestFingerprint) -> bool:
         """Take in a whole answer; tell whether the request had been suspected."""
         suspect = self._by_digest.get(content.digest)
-        if suspect is None or not suspect.lives:
+        if suspect is None or not suspect.exit_weights:
             return False
         suspect.clear(self._context.epoch_ms())
         return True
 
-    def join(self, row: SuspectRow) -> bool:
+    def merge(self, row: SuspectRow) -> bool:
         """Take in what another instance or the store knows; tell whether that is news."""
         if row.changed_epoch_ms < self._context.epoch_ms() - KEPT_MS:
             return False
-        content = RequestContent(ContentDigest(row.digest), row.target)
-        return self._suspect(content).join(row)
+        content = RequestFingerprint(ContentDigest(row.digest), row.target)
+        return self._suspect(content).merge(row)
 
-    def standing(self, content: RequestContent, *, is_item: bool = False) -> SuspectVerdict:
+    def status_of(self, content: RequestFingerprint, *, is_item: bool = False) -> SuspectStatus:
         """Tell what may be done with a request."""
         suspect = self._by_digest.get(content.digest)
-        if suspect is None or not suspect.lives:
-            return SuspectVerdict.FREE
-        if suspect.score < ENDS_LIMIT:
-            return SuspectVerdict.SUSPECTED
+        if suspect is None or not suspect.exit_weights:
+            return SuspectStatus.FREE
+        if suspect.score < EXITS_LIMIT:
+            return SuspectStatus.SUSPECTED
         epoch_ms = self._context.epoch_ms()
-        if _is_trial_due(suspect, epoch_ms, is_item=is_item):
-            return SuspectVerdict.TRIAL_DUE
-        is_undecided = suspect.score <= suspect.score_at_trial
-        if is_undecided and epoch_ms < suspect.tried_epoch_ms + PROBE_TIMEOUT_MS:
-            return SuspectVerdict.ON_TRIAL
-        return SuspectVerdict.STOPPED
-
-    def row(self, content: RequestContent) -> SuspectRow | None:
+        if _is_probe_due(suspect, epoch_ms, is_item=is_item):
+            return SuspectStatus.PROBE_DUE
+        is_undecided = suspect.score <= suspect.score_at_probe
+        if is_undecided and epoch_ms < suspect.probed_epoch_ms + PROBE_TIMEOUT_MS:
+            return SuspectStatus.PROBE_RUNNING
+        return SuspectStatus.STOPPED
+
+    def row(self, content: RequestFingerprint) -> SuspectRow | None:
         """Give what is known of a request."""
         suspect = self._by_digest.get(content.digest)
         return None if suspect is None else suspect.row()
 
-    def probe_row(self, content: RequestContent) -> SuspectRow:
+    def probe_row(self, content: RequestFingerprint) -> SuspectRow:
         """Give what the store must hold before a trial begins."""
         suspect = self._suspect(content)
         return msgspec.structs.replace(
             suspect.row(),
-            trials=suspect.trials + 1,
+            trials=suspect.probes_count + 1,
             tried_epoch_ms=self._context.epoch_ms(),
             score_at_trial=suspect.score,
             changed_epoch_ms=self._context.epoch_ms(),
             claim=self._context.new_write_id(),
         )
 
-    def record_probe_refused(self, content: RequestContent) -> None:
+    def record_probe_refused(self, content: RequestFingerprint) -> None:
         """Take note that no server ran a trial."""
         suspect = self._by_digest.get(content.digest)
         if suspect is not None:
-            suspect.refused += 1
+            suspect.refused_probes_count += 1
 
     def stored_rows(self) -> list[SuspectRow]:
         """Give what a newcomer should know."""
         return [
             suspect.row()
             for suspect in self._by_digest.values()
-            if suspect.score >= STORED_SCORE or suspect.era
+            if suspect.score >= STORED_SCORE or suspect.generation
         ]
 
     def forget_old(self) -> Iterable[ContentDigest]:
@@ -184,7 +186,7 @@
             self._drop(digest)
         return gone
 
-    def _suspect(self, content: RequestContent) -> Suspect:
+    def _suspect(self, content: RequestFingerprint) -> Suspect:
         suspect = self._by_digest.get(content.digest)
         if suspect is None:
             if len(self._by_digest) >= SUSPECTS_LIMIT:
@@ -204,12 +206,12 @@
             del self._targets[target]
 
 
-def _is_trial_due(suspect: Suspect, epoch_ms: float, *, is_item: bool) -> bool:
-    if suspect.trials >= PROBES_LIMIT + suspect.refused:
+def _is_probe_due(suspect: Suspect, epoch_ms: float, *, is_item: bool) -> bool:
+    if suspect.probes_count >= PROBES_LIMIT + suspect.refused_probes_count:
         return False
-    ran = suspect.trials - suspect.refused
+    ran = suspect.probes_count - suspect.refused_probes_count
     if ran <= 0:
         is_retry_due = epoch_ms >= suspect.changed_epoch_ms + FIRST_PROBE_PAUSE_MS
-        return is_retry_due and suspect.refused < REFUSED_LIMIT
+        return is_retry_due and suspect.refused_probes_count < REFUSED_LIMIT
     pause_ms = ITEM_PROBE_PAUSE_MS if is_item else PROBE_PAUSE_MS
-    return epoch_ms >= suspect.tried_epoch_ms + pause_ms * 2.0 ** (ran - 1)
+    return epoch_ms >= suspect.probed_epoch_ms + pause_ms * 2.0 ** (ran - 1)
--- a/citrondyke/decisions/instance.py
+++ b/citrondyke/decisions/instance.py
@@ -6,9 +6,10 @@
 
 from citrondyke.decisions.at_most_once.group_committer import GroupCommitter
 from citrondyke.decisions.at_most_once.once_executor import OnceExecutor
-from citrondyke.decisions.at_most_once.transaction_pace import TransactionPace
+from citrondyke.decisions.at_most_once.transaction_rate_limiter import TransactionRateLimiter
+from citrondyke.decisions.audit.journal import AuditJournal
 from citrondyke.decisions.configuration.change import ConfigChange
-from citrondyke.decisions.configuration.keeper import ConfigReplica
+from citrondyke.decisions.configuration.config_replica import ConfigReplica
 from citrondyke.decisions.core.ops import (
     SendPeer,
     Spawn,
@@ -18,7 +19,6 @@
     wait_for,
 )
 from citrondyke.decisions.core.signal import Signal
-from citrondyke.decisions.evidence.journal import EvidenceJournal
 from citrondyke.decisions.instance_limits import InstanceLimits
 from citrondyke.decisions.jobs.acceptance import JobAcceptance
 from citrondyke.decisions.jobs.segment_claimer import SegmentClaimer
@@ -34,19 +34,19 @@
     Ping,
     ServerState,
 )
-from citrondyke.decisions.membership.session_renewer import SessionRenewer
-from citrondyke.decisions.notices import Notices
+from citrondyke.decisions.membership.session_lease import SessionLease
+from citrondyke.decisions.notices import OnlineLoadNotices
 from citrondyke.decisions.online.admission import Admission
-from citrondyke.decisions.online.desk import OnlineDispatcher
 from citrondyke.decisions.online.fleet import Fleet
+from citrondyke.decisions.online.online_dispatcher import OnlineDispatcher
 from citrondyke.decisions.online.router import Router
-from citrondyke.decisions.steward import SERVICE_PREFIX, Steward, StewardLimits
+from citrondyke.decisions.steward import SERVICE_PREFIX, Steward, StewardTimings
 from citrondyke.storage.failure import PlatformFailure
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from citrondyke.decisions.configuration.keeper import ProposalResult
+    from citrondyke.decisions.configuration.config_replica import ProposalResult
     from citrondyke.decisions.configuration.proposal import ConfigProposal
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
@@ -66,7 +66,7 @@
 __all__ = ('Instance',)
 
 #: Looks further apart than this many lease times do not prove that a holder is gone.
-LEASE_POLL_GAP = 0.75
+MAX_POLL_GAP_SHARE = 0.75
 #: Pause between two pulls of the configuration from peers.
 PULL_PAUSE_MS = 200.0
 
@@ -86,13 +86,13 @@
         """
         self.context = context
         self.limits = limits
-        self.keeper = ConfigReplica(context, limits.config_poll_every_ms)
+        self.config_replica = ConfigReplica(context, limits.config_poll_every_ms)
         self.members = Members(context)
-        self.session = SessionRenewer(context, limits.lease_renew_every_ms, limits.lease_ms)
-        self.journal = EvidenceJournal(
+        self.session = SessionLease(context, limits.lease_renew_every_ms, limits.lease_ms)
+        self.journal = AuditJournal(
             context, self.session, limits.evidence_every_ms, limits.evidence_records_limit
         )
-        self.leases = LeaseWatch(limits.lease_ms, limits.lease_ms * LEASE_POLL_GAP)
+        self.leases = LeaseWatch(limits.lease_ms, limits.lease_ms * MAX_POLL_GAP_SHARE)
         self.fleet = Fleet(limits.first_online_limit)
         self.router = Router(context, self.fleet)
         self.admission = Admission(context, self.fleet, limits.waiting_limit)
@@ -100,38 +100,40 @@
             context,
             self.fleet,
             self.members,
-            self.keeper,
-            _steward_limits(limits),
-            on_cut=self._cut,
-            on_room=self._wake,
+            self.config_replica,
+            _steward_timings(limits),
+            on_preempt=self._preempt,
+            on_free_capacity=self._wake,
             new_share=new_share,
         )
-        self.notices = Notices(context, self.fleet, self.steward)
+        self.notices = OnlineLoadNotices(context, self.fleet, self.steward)
         self.online = OnlineDispatcher(
             context, self.router, self.admission, self.notices.on_load_change
         )
-        pace = TransactionPace(
+        rate_limiter = TransactionRateLimiter(
             limits.fleet_intent_transactions_per_s, lambda: len(self.members.live())
         )
-        self.committer = GroupCommitter(context, pace)
+        self.committer = GroupCommitter(context, rate_limiter)
         self.once = OnceExecutor(context, self.session, self.committer, self.leases, self.online)
-        self.acceptance = JobAcceptance(context, lambda: self.keeper.current, self.journal.add)
+        self.acceptance = JobAcceptance(
+            context, lambda: self.config_replica.current, self.journal.add
+        )
         self.sweeper = Sweeper(context, self.acceptance, self.journal.add)
         self.worker = self._new_worker(context, limits)
         self._lists_read: Signal[None] = Signal()
         self._members_revision = -1
         self._running_targets: set[TargetName] = set()
         self._pull_from: InstanceId | None = None
-        self._pull: Signal[None] = Signal()
+        self._pull_requested: Signal[None] = Signal()
 
     @property
     def is_ready(self) -> bool:
         """Tell whether the configuration and the lists are there."""
-        return self.keeper.is_loaded and self._lists_read.is_fired
+        return self.config_replica.is_loaded and self._lists_read.is_fired
 
     def run(self) -> Workflow[None]:
         """Start all that an instance does by itself."""
-        yield Spawn(self.keeper.run(), is_essential=True)
+        yield Spawn(self.config_replica.run(), is_essential=True)
         yield Spawn(self.session.run(), is_essential=True)
         yield Spawn(self.committer.run(), is_essential=True)
         yield Spawn(self.notices.run(), is_essential=True)
@@ -139,18 +141,18 @@
         yield Spawn(self._gossip(), is_essential=True)
         yield Spawn(self._pull_configs(), is_essential=True)
         yield Spawn(self.journal.run(), is_essential=True)
-        yield Spawn(self._work(), is_essential=True)
+        yield Spawn(self._run_batch_work(), is_essential=True)
 
     def is_repeatable(self, target: TargetName) -> bool:
         """Tell whether a target's requests may be sent again; an unknown service's may not."""
         if not target.startswith(SERVICE_PREFIX):
             return True
-        service = self.keeper.current.service_entry(target[len(SERVICE_PREFIX) :])
+        service = self.config_replica.current.service_entry(target[len(SERVICE_PREFIX) :])
         return service is not None and service.is_repeatable
 
     def propose(self, proposal: ConfigProposal, who: str) -> Workflow[ProposalResult]:
         """Accept a configuration change and tell every peer before the operator hears of it."""
-        result = yield from self.keeper.propose(proposal, who)
+        result = yield from self.config_replica.propose(proposal, who)
         if isinstance(result, ConfigChange):
             for peer in self.members.peers():
                 yield SendPeer(peer.id, ConfigPush(result))
@@ -167,9 +169,9 @@
 
     def on_peer_version(self, sender: InstanceId, version: ConfigVersion) -> None:
         """Take in which configuration a peer has; a newer one is fetched from it."""
-        if version > self.keeper.current.version and self.keeper.is_loaded:
+        if version > self.config_replica.current.version and self.config_replica.is_loaded:
             self._pull_from = sender
-            self._pull.fire(None)
+            self._pull_requested.fire(None)
 
     def on_peer_message(self, sender: InstanceId, message: PeerMessage) -> PeerMessage | None:
         """Take in a peer's message; give the answer to send back, if any."""
@@ -184,8 +186,8 @@
                 self.notices.on_state(message)
             case ConfigPush():
                 # Before the log was read it would be applied on top of nothing.
-                if self.keeper.is_loaded:
-                    self.keeper.offer([message.change])
+                if self.config_replica.is_loaded:
+                    self.config_replica.merge_changes([message.change])
             case JobStopped():
                 self.worker.stop_job(message.job_id)
         return None
@@ -194,7 +196,7 @@
         """Stop taking batch work and hand back what is held; calls are still served."""
         self.members.leave()
         for peer in self.members.peers():
-            ping = self.members.farewell()
+            ping = self.members.leaving_ping()
             yield SendPeer(peer.id, ping)
         yield from self.worker.leave(until_ms)
 
@@ -224,7 +226,7 @@
         )
         return Worker(context, claimer, self.sweeper, self.steward, worker_limits)
 
-    def _cut(self, request_ids: list[RequestId]) -> None:
+    def _preempt(self, request_ids: list[RequestId]) -> None:
         self.worker.cut(request_ids)
 
     def _wake(self, target: TargetName) -> None:
@@ -237,7 +239,7 @@
             if not isinstance(snapshot, PlatformFailure):
                 self.members.update_list(snapshot.instances)
                 changed = self.fleet.update_list(snapshot.servers)
-                yield from self._reassign_workers(is_forced=changed)
+                yield from self._refresh_stewardship(is_forced=changed)
                 self._lists_read.fire(None)
             yield from self._pause(self.limits.lists_poll_every_ms)
 
@@ -246,10 +248,10 @@
             ping = self.members.next_ping()
             if ping is not None:
                 yield SendPeer(*ping)
-            yield from self._reassign_workers(is_forced=False)
+            yield from self._refresh_stewardship(is_forced=False)
             yield from self._pause(self.limits.gossip_every_ms)
 
-    def _reassign_workers(self, *, is_forced: bool) -> Workflow[None]:
+    def _refresh_stewardship(self, *, is_forced: bool) -> Workflow[None]:
         """Take up the servers that fall to this instance now."""
         if not is_forced and self.members.revision == self._members_revision:
             return
@@ -261,7 +263,7 @@
         if self.session.began.is_fired:
             yield from self._start_targets()
 
-    def _work(self) -> Workflow[None]:
+    def _run_batch_work(self) -> Workflow[None]:
         """Begin batch work once there is a session to claim with."""
         yield from wait_for(self.session.began, None)
         yield from wait_for(self._lists_read, None)
@@ -282,21 +284,23 @@
 
     def _pull_configs(self) -> Workflow[None]:
         while True:
-            yield from wait_for(self._pull, None)
-            self._pull = Signal()
+            yield from wait_for(self._pull_requested, None)
+            self._pull_requested = Signal()
             if self._pull_from is not None:
-                changes = yield from pull_config(self._pull_from, self.keeper.current.version)
-                self.keeper.offer(changes)
+                changes = yield from pull_config(
+                    self._pull_from, self.config_replica.current.version
+                )
+                self.config_replica.merge_changes(changes)
             yield from self._pause(PULL_PAUSE_MS)
 
     def _pause(self, pause_ms: float) -> Workflow[None]:
         yield from sleep_until(self.context.now_ms() + self.context.jittered_ms(pause_ms))
 
 
-def _steward_limits(limits: InstanceLimits) -> StewardLimits:
-    return StewardLimits(
+def _steward_timings(limits: InstanceLimits) -> StewardTimings:
+    return StewardTimings(
         poll_every_ms=limits.load_poll_every_ms,
         poll_timeout_ms=limits.load_poll_timeout_ms,
-        fleet_looks_per_s=limits.fleet_looks_per_s,
-        shortest_look_ms=limits.shortest_look_ms,
+        fleet_polls_per_s=limits.fleet_looks_per_s,
+        min_poll_interval_ms=limits.shortest_look_ms,
     )
--- a/citrondyke/decisions/jobs/acceptance.py
+++ b/citrondyke/decisions/jobs/acceptance.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
+from citrondyke.decisions.audit.record import OutcomeRecord, RecordKind
 from citrondyke.decisions.core.commit import (
-    CommitUncertain,
-    CommitUncertainReason,
+    CommitFailure,
+    CommitFailureReason,
     commit,
     transaction,
 )
 from citrondyke.decisions.core.ops import read_rows
-from citrondyke.decisions.evidence.record import OutcomeRecord, RecordKind
 from citrondyke.decisions.jobs.job_facts import (
     ROWS_PER_TRANSACTION,
     job_digest,
@@ -98,7 +98,7 @@
         )
         wanted = transaction(self._context, [(key, None)], [(key, row)])
         result = yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS)
-        if isinstance(result, CommitUncertain):
+        if isinstance(result, CommitFailure):
             return _refusal_of(result)
         if isinstance(result, Conflict):
             return file_id, msgspec.json.decode(result.rows[key].value, type=FileRow)
@@ -144,7 +144,7 @@
         job_id = job_id_of(wish, file.digest)
         job = self._new_job(wish, file, wanted_class)
         result = yield from self._write(job_id, job)
-        if isinstance(result, CommitUncertain):
+        if isinstance(result, CommitFailure):
             return _refusal_of(result)
         if isinstance(result, Committed):
             self._on_outcome(job_record(RecordKind.JOB_ACCEPTED, job_id, job))
@@ -166,20 +166,20 @@
             if isinstance(found, JobRefusal) or found.row.state is not JobState.RUNNING:
                 return found
             stopped = yield from self.stop(found, JobState.CANCELLING, until_ms)
-            if isinstance(stopped, CommitUncertain):
+            if isinstance(stopped, CommitFailure):
                 return _refusal_of(stopped)
             if isinstance(stopped, AcceptedJob):
                 return stopped
 
     def stop(
         self, job: AcceptedJob, state: JobState, until_ms: float
-    ) -> Workflow[AcceptedJob | Conflict | CommitUncertain]:
+    ) -> Workflow[AcceptedJob | Conflict | CommitFailure]:
         """Write that a job accepts no more outcomes of work."""
         key = job_row_key(job.job_id)
         open_key = open_row_key(job.row.target, job.row.deadline_epoch_ms, job.job_id)
         found = yield from read_rows(open_key)
         if isinstance(found, PlatformFailure):
-            return CommitUncertain(CommitUncertainReason.NOT_WRITTEN)
+            return CommitFailure(CommitFailureReason.NOT_WRITTEN)
         row = msgspec.structs.replace(
             job.row, state=state, stopped_epoch_ms=self._context.epoch_ms()
         )
@@ -196,9 +196,7 @@
             return AcceptedJob(job.job_id, row, result.version)
         return result
 
-    def _write(
-        self, job_id: JobId, job: JobRow
-    ) -> Workflow[Committed | Conflict | CommitUncertain]:
+    def _write(self, job_id: JobId, job: JobRow) -> Workflow[Committed | Conflict | CommitFailure]:
         key = job_row_key(job_id)
         rows = todo_rows(job_id, job, 0, ROWS_PER_TRANSACTION)
         opened = OpenRow(
@@ -256,7 +254,7 @@
     return url.startswith('/services/') and url.startswith(endpoint)
 
 
-def _refusal_of(doubt: CommitUncertain) -> JobRefusal:
-    if doubt.reason is CommitUncertainReason.NOT_WRITTEN:
+def _refusal_of(doubt: CommitFailure) -> JobRefusal:
+    if doubt.reason is CommitFailureReason.NOT_WRITTEN:
         return JobRefusal(JobRefusalReason.PLATFORM_DOWN)
     return JobRefusal(JobRefusalReason.IN_DOUBT)
--- a/citrondyke/decisions/jobs/job_facts.py
+++ b/citrondyke/decisions/jobs/job_facts.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from citrondyke.decisions.evidence.record import OutcomeRecord, RecordKind
+from citrondyke.decisions.audit.record import OutcomeRecord, RecordKind
 from citrondyke.decisions.jobs.item_set import ItemSet
 from citrondyke.decisions.jobs.rows import JobRow, JobState, TodoRow, todo_row_key
 from citrondyke.ids import JobId
--- a/citrondyke/decisions/jobs/outcome_committer.py
+++ b/citrondyke/decisions/jobs/outcome_committer.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.decisions.core.commit import CommitUncertain, commit, transaction
+from citrondyke.decisions.core.commit import CommitFailure, commit, transaction
 from citrondyke.decisions.core.ops import put_object, read_rows, sleep_until
 from citrondyke.decisions.jobs.item_set import ItemSet
 from citrondyke.decisions.jobs.rows import PartKind, PartRow, TodoRow, job_row_key, part_row_key
@@ -67,7 +67,7 @@
             if isinstance(result, Conflict):
                 self._on_lost(held)
                 return False
-            if isinstance(result, CommitUncertain):
+            if isinstance(result, CommitFailure):
                 settled = yield from self._settle(held, wanted.write_id)
                 if settled is not None:
                     held.committed(row, settled, positions)
--- a/citrondyke/decisions/jobs/segment_claimer.py
+++ b/citrondyke/decisions/jobs/segment_claimer.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.decisions.core.commit import CommitUncertain, commit, transaction
+from citrondyke.decisions.core.commit import CommitFailure, commit, transaction
 from citrondyke.decisions.core.ops import get_object, read_rows, scan_rows
 from citrondyke.decisions.jobs.held_segment import HeldSegment
 from citrondyke.decisions.jobs.item_set import ItemSet
@@ -39,7 +39,7 @@
     from citrondyke.decisions.core.ops import Workflow
     from citrondyke.decisions.jobs.sweeper import Sweeper
     from citrondyke.decisions.membership.lease_watch import LeaseWatch
-    from citrondyke.decisions.membership.session_renewer import SessionRenewer
+    from citrondyke.decisions.membership.session_lease import SessionLease
     from citrondyke.ids import TargetName
     from citrondyke.storage.table_service import Row
 
@@ -58,7 +58,7 @@
     def __init__(
         self,
         context: Context,
-        session: SessionRenewer,
+        session: SessionLease,
         leases: LeaseWatch,
         sweeper: Sweeper,
         is_repeatable: Callable[[TargetName], bool],
@@ -156,7 +156,7 @@
             return not self._is_held(key)
         row = found.get(session_row_key(split_session_id(owner)[0]))
         session = None if row is None else msgspec.json.decode(row.value, type=SessionRow)
-        return self._leases.is_gone(owner, session, self._context.now_ms())
+        return self._leases.has_expired(owner, session, self._context.now_ms())
 
     def _take(self, job: AcceptedJob, row: Row, todo: TodoRow) -> Workflow[HeldSegment | None]:
         """Write the claim: it raises the fence, so that the holder before can commit no more."""
@@ -167,7 +167,7 @@
             [(row.key, claimed)],
         )
         result = yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS)
-        if isinstance(result, CommitUncertain) or not isinstance(result, Committed):
+        if isinstance(result, CommitFailure) or not isinstance(result, Committed):
             return None
         held = HeldSegment(
             job.job_id,
--- a/citrondyke/decisions/jobs/sweeper.py
+++ b/citrondyke/decisions/jobs/sweeper.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from citrondyke.decisions.core.commit import CommitUncertain, commit, transaction
+from citrondyke.decisions.audit.record import RecordKind
+from citrondyke.decisions.core.commit import CommitFailure, commit, transaction
 from citrondyke.decisions.core.ops import read_rows, scan_rows
-from citrondyke.decisions.evidence.record import RecordKind
 from citrondyke.decisions.jobs.item_set import ItemSet
 from citrondyke.decisions.jobs.job_facts import job_record, todo_rows
 from citrondyke.decisions.jobs.job_request import AcceptedJob, JobRefusal
@@ -31,9 +31,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
+    from citrondyke.decisions.audit.record import OutcomeRecord
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
-    from citrondyke.decisions.evidence.record import OutcomeRecord
     from citrondyke.decisions.jobs.acceptance import JobAcceptance
     from citrondyke.ids import JobId, RowKey
     from citrondyke.storage.table_service import Row
@@ -171,7 +171,7 @@
             if not rows:
                 return True
             result = yield from self._close_rows(job, rows)
-            if isinstance(result, CommitUncertain):
+            if isinstance(result, CommitFailure):
                 return False
 
     def _close_rows(self, job: AcceptedJob, rows: list[Row]) -> Workflow[Committed | object]:
@@ -211,7 +211,7 @@
                 self._context, [(open_key, found[open_key].version)], [(open_key, moved), *rows]
             )
             result = yield from commit(self._context, wanted, self._until_ms())
-            if isinstance(result, CommitUncertain):
+            if isinstance(result, CommitFailure):
                 return False
 
     def _until_ms(self) -> float:
--- a/citrondyke/decisions/membership/lease_watch.py
+++ b/citrondyke/decisions/membership/lease_watch.py
@@ -27,7 +27,7 @@
     counter: int
     #: When the counter was first seen at this value, in an unbroken run of looks.
     since_ms: float
-    looked_ms: float
+    polled_ms: float
 
 
 class LeaseWatch:
@@ -43,7 +43,7 @@
         self._longest_gap_ms = longest_gap_ms
         self._seen: OrderedDict[InstanceId, _Observation] = OrderedDict()
 
-    def is_gone(self, session: SessionId, row: SessionRow | None, now_ms: float) -> bool:
+    def has_expired(self, session: SessionId, row: SessionRow | None, now_ms: float) -> bool:
         """Look at the holder's lease row and judge whether this life of it is over.
 
         After an outage of the table service every counter has stood still, as nobody could renew.
@@ -60,12 +60,12 @@
             seen is None
             or seen.epoch != row.epoch
             or seen.counter != row.counter
-            or now_ms - seen.looked_ms > self._longest_gap_ms
+            or now_ms - seen.polled_ms > self._longest_gap_ms
         ):
             self._seen[instance_id] = _Observation(row.epoch, row.counter, now_ms, now_ms)
             self._seen.move_to_end(instance_id)
             if len(self._seen) > WATCHED_LIMIT:
                 self._seen.popitem(last=False)
             return False
-        seen.looked_ms = now_ms
+        seen.polled_ms = now_ms
         return now_ms - seen.since_ms >= self._lease_ms
--- a/citrondyke/decisions/membership/members.py
+++ b/citrondyke/decisions/membership/members.py
@@ -51,13 +51,13 @@
         self.revision = 0
         self._context = context
         self._members: dict[InstanceId, _Member] = {}
-        self._rumours: dict[InstanceId, _MemberUpdate] = {}
-        self._turns: list[InstanceId] = []
+        self._updates: dict[InstanceId, _MemberUpdate] = {}
+        self._ping_order: list[InstanceId] = []
         self._number = 0
         #: Whom the last ping was sent to, while it is not answered.
         self._awaited: InstanceId | None = None
         #: Who did not answer one ping.
-        self._doubted: InstanceId | None = None
+        self._missed_once: InstanceId | None = None
 
     def update_list(self, instances: Iterable[ListedInstance]) -> None:
         """Take in the platform's list, which may be old."""
@@ -73,7 +73,7 @@
                 self.revision += 1
         for instance_id in [each for each in self._members if each not in listed]:
             del self._members[instance_id]
-            self._rumours.pop(instance_id, None)
+            self._updates.pop(instance_id, None)
             self.revision += 1
 
     def next_ping(self) -> tuple[InstanceId, Ping] | None:
@@ -81,19 +81,19 @@
 
         Call once a round.
         """
-        silent = self._awaited
+        unresponsive = self._awaited
         self._awaited = None
-        if silent is not None and silent in self._members:
-            if silent == self._doubted:
-                self._doubted = None
-                self._learn_suspect(silent)
-                silent = None
+        if unresponsive is not None and unresponsive in self._members:
+            if unresponsive == self._missed_once:
+                self._missed_once = None
+                self._mark_suspect(unresponsive)
+                unresponsive = None
             else:
                 # One lost datagram must not move servers to another steward: ask once more.
-                self._doubted = silent
+                self._missed_once = unresponsive
         else:
-            silent = self._doubted = None
-        target = silent or self._next_turn()
+            unresponsive = self._missed_once = None
+        target = unresponsive or self._next_target()
         if target is None:
             return None
         self._number += 1
@@ -102,16 +102,16 @@
 
     def on_ping(self, sender: InstanceId, ping: Ping) -> Ack:
         """Answer a ping."""
-        self._heard_from(sender)
-        self._take(ping.facts)
+        self._record_contact(sender)
+        self._apply_facts(ping.facts)
         return Ack(ping.number, self._facts_to_send(sender))
 
     def on_ack(self, sender: InstanceId, ack: Ack) -> None:
         """Take in an answer."""
         if sender == self._awaited and ack.number == self._number:
             self._awaited = None
-        self._heard_from(sender)
-        self._take(ack.facts)
+        self._record_contact(sender)
+        self._apply_facts(ack.facts)
 
     def leave(self) -> None:
         """Tell all that this instance takes on nothing more."""
@@ -119,7 +119,7 @@
         self.incarnation += 1
         self._spread(self._own_fact())
 
-    def farewell(self) -> Ping:
+    def leaving_ping(self) -> Ping:
         """Make a ping that tells one peer directly that this instance leaves."""
         self._number += 1
         return Ping(self._number, (self._own_fact(),))
@@ -159,16 +159,16 @@
             found.append((self._context.instance_id, self._context.zone))
         return found
 
-    def _next_turn(self) -> InstanceId | None:
-        while self._turns:
-            candidate = self._turns.pop()
+    def _next_target(self) -> InstanceId | None:
+        while self._ping_order:
+            candidate = self._ping_order.pop()
             if candidate in self._members:
                 return candidate
-        self._turns = sorted(self._members)
-        self._context.random.shuffle(self._turns)
-        return self._turns.pop() if self._turns else None
+        self._ping_order = sorted(self._members)
+        self._context.random.shuffle(self._ping_order)
+        return self._ping_order.pop() if self._ping_order else None
 
-    def _heard_from(self, sender: InstanceId) -> None:
+    def _record_contact(self, sender: InstanceId) -> None:
         """Believe in a peer that speaks, until it says itself that it leaves."""
         member = self._members.get(sender)
         if member is None or member.state is not MemberState.SUSPECT:
@@ -176,7 +176,7 @@
         member.state = MemberState.ALIVE
         self.revision += 1
 
-    def _learn_suspect(self, instance_id: InstanceId) -> None:
+    def _mark_suspect(self, instance_id: InstanceId) -> None:
         member = self._members.get(instance_id)
         if member is None or member.state is not MemberState.ALIVE:
             return
@@ -184,12 +184,12 @@
         self.revision += 1
         self._spread(MemberFact(instance_id, MemberState.SUSPECT, member.incarnation))
 
-    def _take(self, facts: Iterable[MemberFact]) -> None:
+    def _apply_facts(self, facts: Iterable[MemberFact]) -> None:
         for fact in facts:
             if fact.instance_id == self._context.instance_id:
                 self._refute(fact)
                 continue
-            self._learn(fact)
+            self._apply_fact(fact)
 
     def _refute(self, fact: MemberFact) -> None:
         """Answer a rumour of one's own death; after a freeze it is how stewardship comes back."""
@@ -200,7 +200,7 @@
         self.incarnation = fact.incarnation + 1
         self._spread(self._own_fact())
 
-    def _learn(self, fact: MemberFact) -> None:
+    def _apply_fact(self, fact: MemberFact) -> None:
         member = self._members.get(fact.instance_id)
         if member is None or fact.incarnation < member.incarnation:
             return
@@ -220,17 +220,17 @@
 
     def _spread(self, fact: MemberFact) -> None:
         doublings = max(1, len(self._members)).bit_length()
-        self._rumours[fact.instance_id] = _MemberUpdate(fact, REPEATS_PER_DOUBLING * doublings)
+        self._updates[fact.instance_id] = _MemberUpdate(fact, REPEATS_PER_DOUBLING * doublings)
 
     def _facts_to_send(self, receiver: InstanceId) -> tuple[MemberFact, ...]:
         """Choose what rides along; a suspect is always told, so that it can refute."""
-        chosen = sorted(self._rumours.values(), key=lambda rumour: -rumour.repeats_left)
+        chosen = sorted(self._updates.values(), key=lambda update: -update.repeats_left)
         chosen = chosen[:FACTS_PER_MESSAGE]
-        for rumour in chosen:
-            rumour.repeats_left -= 1
-            if rumour.repeats_left <= 0:
-                del self._rumours[rumour.fact.instance_id]
-        facts = [rumour.fact for rumour in chosen]
+        for update in chosen:
+            update.repeats_left -= 1
+            if update.repeats_left <= 0:
+                del self._updates[update.fact.instance_id]
+        facts = [update.fact for update in chosen]
         member = self._members.get(receiver)
         if member is not None and member.state is MemberState.SUSPECT:
             facts.append(MemberFact(receiver, MemberState.SUSPECT, member.incarnation))
--- a/citrondyke/decisions/membership/session_renewer.py
+++ b/citrondyke/decisions/membership/session_lease.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.decisions.core.commit import CommitUncertain, commit, commit_once, transaction
+from citrondyke.decisions.core.commit import CommitFailure, commit, commit_once, transaction
 from citrondyke.decisions.core.ops import read_rows, sleep_until
 from citrondyke.decisions.core.signal import Signal
 from citrondyke.decisions.membership.session_row import (
@@ -23,13 +23,13 @@
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
 
-__all__ = ('SessionRenewer',)
+__all__ = ('SessionLease',)
 
 #: Time that one attempt to begin or to end a session may take.
-COMMIT_LIMIT_MS = 5000.0
+COMMIT_TIMEOUT_MS = 5000.0
 
 
-class SessionRenewer:
+class SessionLease:
     """Begins a session, renews it while the instance lives, and releases it."""
 
     def __init__(self, context: Context, renew_every_ms: float, lease_ms: float) -> None:
@@ -70,7 +70,7 @@
         """Count the lives of this instance up to this one."""
         return self._epoch
 
-    def is_sure(self) -> bool:
+    def is_lease_valid(self) -> bool:
         """Tell whether no other instance can have taken this one for dead.
 
         A process that was frozen past its lease wakes up here with an old time of confirmation.
@@ -97,10 +97,10 @@
         self._is_released = True
         row = SessionRow(self._epoch, self._counter + 1, SessionState.RELEASED, *self.sealed)
         wanted = transaction(self._context, [(self._key, self._version)], [(self._key, row)])
-        yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS)
+        yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_TIMEOUT_MS)
 
     def _begin(self) -> Workflow[bool]:
-        asked_ms = self._context.now_ms()
+        requested_ms = self._context.now_ms()
         found = yield from read_rows(self._key)
         if isinstance(found, PlatformFailure):
             return False
@@ -113,25 +113,27 @@
             self.is_after_crash = before.state is SessionState.HELD
         value = SessionRow(self._epoch, 1, SessionState.HELD, *self.sealed)
         wanted = transaction(self._context, [(self._key, self._version)], [(self._key, value)])
-        result = yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_LIMIT_MS)
+        result = yield from commit(
+            self._context, wanted, self._context.now_ms() + COMMIT_TIMEOUT_MS
+        )
         if not isinstance(result, Committed):
             return False
         self._counter = 1
         self._version = result.version
-        self._confirmed_ms = asked_ms
+        self._confirmed_ms = requested_ms
         return True
 
     def _renew(self) -> Workflow[None]:
-        asked_ms = self._context.now_ms()
+        requested_ms = self._context.now_ms()
         value = SessionRow(self._epoch, self._counter + 1, SessionState.HELD, *self.sealed)
         wanted = transaction(self._context, [(self._key, self._version)], [(self._key, value)])
         result = yield from commit_once(wanted)
         if isinstance(result, Committed):
             self._counter += 1
             self._version = result.version
-            self._confirmed_ms = asked_ms
+            self._confirmed_ms = requested_ms
             return
-        if isinstance(result, CommitUncertain):
+        if isinstance(result, CommitFailure):
             return
         # Only this instance writes the row, so a conflict is an earlier renewal of its own whose
         # reply was lost, or a second process with the same id, which then has a higher epoch.
--- a/citrondyke/decisions/notices.py
+++ b/citrondyke/decisions/notices.py
@@ -16,17 +16,17 @@
     from citrondyke.decisions.steward import Steward
     from citrondyke.ids import ServerId
 
-__all__ = ('Notices',)
+__all__ = ('OnlineLoadNotices',)
 
 #: Changes within this time of each other travel together.
-GATHER_MS = 2.0
+COALESCE_MS = 2.0
 #: What is not zero is said again after this time, in case a notice was lost. At the target a node
 #: has over a hundred answers under way; to say each again every second would be most of its
 #: traffic.
-REPEAT_MS = 30_000.0
+REPEAT_EVERY_MS = 30_000.0
 
 
-class Notices:
+class OnlineLoadNotices:
     """Sends absolute numbers, so that one lost notice is made good by the next."""
 
     def __init__(self, context: Context, fleet: Fleet, steward: Steward) -> None:
@@ -51,14 +51,14 @@
 
     def run(self) -> Workflow[None]:
         """Send what changed, for good."""
-        repeat_at_ms = self._context.now_ms() + REPEAT_MS
+        repeat_at_ms = self._context.now_ms() + REPEAT_EVERY_MS
         while True:
             fired = yield from wait_for(self._wake, repeat_at_ms)
             if fired:
-                yield from sleep_until(self._context.now_ms() + GATHER_MS)
+                yield from sleep_until(self._context.now_ms() + COALESCE_MS)
             if self._context.now_ms() >= repeat_at_ms:
-                repeat_at_ms = self._context.now_ms() + REPEAT_MS
-                self._repeat()
+                repeat_at_ms = self._context.now_ms() + REPEAT_EVERY_MS
+                self._requeue_all()
             self._wake = Signal()
             changed, self._changed = self._changed, {}
             for server_id in changed:
@@ -77,9 +77,9 @@
         """Take in a steward's answer."""
         view = self._fleet.view(state.server_id)
         if view is not None:
-            view.report(state, self._context.now_ms())
+            view.apply_report(state, self._context.now_ms())
 
-    def _repeat(self) -> None:
+    def _requeue_all(self) -> None:
         for view in self._fleet.views():
             if view.own_online:
                 self._changed[view.listed.id] = None
--- a/citrondyke/decisions/online/fleet.py
+++ b/citrondyke/decisions/online/fleet.py
@@ -88,7 +88,7 @@
             del self._views[server_id]
             changed = True
         if changed:
-            self._group()
+            self._group_by_target()
         return changed
 
     def view(self, server_id: ServerId) -> ServerView | None:
@@ -113,7 +113,7 @@
         if view is not None:
             view.is_leaving = True
 
-    def _group(self) -> None:
+    def _group_by_target(self) -> None:
         grouped: dict[TargetName, list[ServerView]] = {}
         for view in self._views.values():
             grouped.setdefault(view.listed.target, []).append(view)
--- a/citrondyke/decisions/online/desk.py
+++ b/citrondyke/decisions/online/online_dispatcher.py
@@ -8,8 +8,8 @@
 
 from citrondyke.decisions.core.ops import call_server, wait_for
 from citrondyke.decisions.core.server_call import ReplyKind, ServerCall
-from citrondyke.decisions.online.admission import WaitingForCapacity
-from citrondyke.decisions.online.refusal import Refusal, RefusalReason
+from citrondyke.decisions.online.admission import QueuedRequest
+from citrondyke.decisions.online.rejection import Rejection, RejectionReason
 from citrondyke.decisions.online.request import OnlineResult, OnlineResultKind
 from citrondyke.decisions.online.retry_budget import RetryBudget
 
@@ -19,7 +19,7 @@
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
     from citrondyke.decisions.core.server_call import ServerReply
-    from citrondyke.decisions.online.admission import Admission, Place
+    from citrondyke.decisions.online.admission import Admission, Permit
     from citrondyke.decisions.online.request import OnlineRequest
     from citrondyke.decisions.online.router import Router
     from citrondyke.decisions.online.server_view import ServerView
@@ -41,7 +41,7 @@
     first_frame_ms: float | None = None
     tried: tuple[ServerId, ...] = ()
     #: Those of them that cut it.
-    cut: tuple[ServerId, ...] = ()
+    interrupted: tuple[ServerId, ...] = ()
 
 
 class OnlineDispatcher:
@@ -66,22 +66,22 @@
 
     def serve(self, request: OnlineRequest) -> Workflow[OnlineResult]:
         """Bring a request to its one outcome."""
-        place = yield from self._enter(request)
-        if isinstance(place, Refusal):
-            return OnlineResult(kind=OnlineResultKind.REFUSED, refusal=place)
+        permit = yield from self._acquire_permit(request)
+        if isinstance(permit, Rejection):
+            return OnlineResult(kind=OnlineResultKind.REFUSED, rejection=permit)
         try:
             return (yield from self._attempt_all(request))
         finally:
-            self._admission.leave(place)
+            self._admission.release(permit)
 
-    def _enter(self, request: OnlineRequest) -> Workflow[Place | Refusal]:
-        answer = self._admission.enter(
+    def _acquire_permit(self, request: OnlineRequest) -> Workflow[Permit | Rejection]:
+        answer = self._admission.acquire(
             request.target,
             request.tenant_id,
             request.first_token_target_ms,
             request.deadline_ms,
         )
-        if not isinstance(answer, WaitingForCapacity):
+        if not isinstance(answer, QueuedRequest):
             return answer
         is_settled = False
         try:
@@ -91,42 +91,44 @@
             # Also when the caller went away in the queue: a place handed to nobody would be
             # lost for good.
             if not is_settled:
-                refusal = self._admission.give_up(request.target, answer)
-        return answer.outcome.value if fired else refusal
+                rejection = self._admission.abandon(request.target, answer)
+        return answer.outcome.value if fired else rejection
 
     def _attempt_all(self, request: OnlineRequest) -> Workflow[OnlineResult]:
         progress = _Progress()
         budget = self._budgets.setdefault(request.target, RetryBudget())
         while True:
             if request.deadline_ms <= self._context.now_ms():
-                return self._deadline_exceeded(progress)
+                return self._deadline_result(progress)
             view = self._choose(request, progress)
-            if isinstance(view, Refusal):
-                return self._abandon(progress, view)
+            if isinstance(view, Rejection):
+                return self._rejected_result(progress, view)
             reply = yield from self._attempt(request, view, progress)
             if reply.kind is ReplyKind.COMPLETE:
                 budget.deposit()
-                return self._end(OnlineResultKind.ANSWERED, progress, reply)
+                return self._result(OnlineResultKind.ANSWERED, progress, reply)
             if reply.kind is ReplyKind.LATE:
-                return self._deadline_exceeded(progress)
+                return self._deadline_result(progress)
             if reply.kind in (ReplyKind.CANCELLED, ReplyKind.CALLER_GONE):
-                return self._end(OnlineResultKind.CALLER_GONE, progress)
+                return self._result(OnlineResultKind.CALLER_GONE, progress)
             if progress.may_have_run and not request.is_repeatable:
-                return self._end(OnlineResultKind.BROKEN, progress, reply)
+                return self._result(OnlineResultKind.BROKEN, progress, reply)
             if progress.attempts >= ATTEMPTS_LIMIT or not budget.withdraw():
-                refusal = Refusal(RefusalReason.RETRY_BUDGET, reply.retry_in_ms or 1000.0)
-                return self._abandon(progress, refusal)
+                rejection = Rejection(RejectionReason.RETRY_BUDGET, reply.retry_in_ms or 1000.0)
+                return self._rejected_result(progress, rejection)
 
-    def _choose(self, request: OnlineRequest, progress: _Progress) -> ServerView | Refusal:
+    def _choose(self, request: OnlineRequest, progress: _Progress) -> ServerView | Rejection:
         """Choose a server that did not fail this request yet, if there is one.
 
         A server that cut the request may be tried again when all others were; one that took
         nothing would only be asked again by every caller at once.
         """
         view = self._router.choose(request.target, request.prefix_bucket, progress.tried)
-        if isinstance(view, Refusal) and progress.cut:
-            progress.tried = tuple(each for each in progress.tried if each not in progress.cut)
-            progress.cut = ()
+        if isinstance(view, Rejection) and progress.interrupted:
+            progress.tried = tuple(
+                each for each in progress.tried if each not in progress.interrupted
+            )
+            progress.interrupted = ()
             return self._router.choose(request.target, request.prefix_bucket, progress.tried)
         return view
 
@@ -155,13 +157,13 @@
             reply = yield from call_server(call)
         finally:
             self._router.record_end(view)
-            if view.probe == request.request_id:
-                view.probe = None
+            if view.sampled_request == request.request_id:
+                view.sampled_request = None
             self._on_load_change(view)
-        self._note(reply, view, progress, began_ms)
+        self._record_reply(reply, view, progress, began_ms)
         return reply
 
-    def _note(
+    def _record_reply(
         self, reply: ServerReply, view: ServerView, progress: _Progress, began_ms: float
     ) -> None:
         progress.frames_count += reply.frames_count
@@ -180,29 +182,29 @@
             return
         progress.tried = (*progress.tried, view.listed.id)
         if reply.kind is ReplyKind.CUT:
-            progress.cut = (*progress.cut, view.listed.id)
+            progress.interrupted = (*progress.interrupted, view.listed.id)
         self._router.record_failure(view)
 
-    def _deadline_exceeded(self, progress: _Progress) -> OnlineResult:
+    def _deadline_result(self, progress: _Progress) -> OnlineResult:
         if not progress.may_have_run:
-            refusal = Refusal(RefusalReason.DEADLINE, 0.0)
+            rejection = Rejection(RejectionReason.DEADLINE, 0.0)
             return OnlineResult(
-                kind=OnlineResultKind.REFUSED, refusal=refusal, attempts=progress.attempts
+                kind=OnlineResultKind.REFUSED, rejection=rejection, attempts=progress.attempts
             )
-        return self._end(OnlineResultKind.LATE, progress)
+        return self._result(OnlineResultKind.LATE, progress)
 
-    def _abandon(self, progress: _Progress, refusal: Refusal) -> OnlineResult:
+    def _rejected_result(self, progress: _Progress, rejection: Rejection) -> OnlineResult:
         """End a request that no server took; "not run" only where none can have run it."""
         kind = OnlineResultKind.BROKEN if progress.may_have_run else OnlineResultKind.REFUSED
         return OnlineResult(
             kind=kind,
-            refusal=refusal,
+            rejection=rejection,
             may_have_run=progress.may_have_run,
             frames_count=progress.frames_count,
             attempts=progress.attempts,
         )
 
-    def _end(
+    def _result(
         self, kind: OnlineResultKind, progress: _Progress, reply: ServerReply | None = None
     ) -> OnlineResult:
         return OnlineResult(
--- a/citrondyke/decisions/online/refusal.py
+++ b/citrondyke/decisions/online/rejection.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-__all__ = ('Refusal', 'RefusalReason')
+__all__ = ('Rejection', 'RejectionReason')
 
 
-class RefusalReason(Enum):
+class RejectionReason(Enum):
     """Why there is no place; stable, used in metrics."""
 
     #: The fleet has no room within the class's target.
@@ -26,10 +26,10 @@
     CALLER_GONE = 'caller_gone'
 
 
-class Refusal(msgspec.Struct, frozen=True):
+class Rejection(msgspec.Struct, frozen=True):
     """Stands in the place of a server or a place."""
 
-    reason: RefusalReason
+    reason: RejectionReason
     #: When to come back, from now; reflects the backlog.
     retry_in_ms: float
 
--- a/citrondyke/decisions/online/request.py
+++ b/citrondyke/decisions/online/request.py
@@ -9,7 +9,7 @@
 
 from citrondyke.decisions.core.server_call import ServerReply
 from citrondyke.decisions.core.signal import Signal
-from citrondyke.decisions.online.refusal import Refusal
+from citrondyke.decisions.online.rejection import Rejection
 from citrondyke.ids import ClassName, RequestId, TargetName, TenantId
 
 __all__ = ('OnlineRequest', 'OnlineResult', 'OnlineResultKind')
@@ -59,7 +59,7 @@
 
     kind: OnlineResultKind
     reply: ServerReply | None = None
-    refusal: Refusal | None = None
+    rejection: Rejection | None = None
     #: Whether a backend server may have run it.
     may_have_run: bool = False
     first_frame_ms: float | None = None
--- a/citrondyke/decisions/online/router.py
+++ b/citrondyke/decisions/online/router.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from citrondyke.decisions.online.fleet import AFFINITY_BUCKETS
-from citrondyke.decisions.online.refusal import Refusal, RefusalReason
+from citrondyke.decisions.online.rejection import Rejection, RejectionReason
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
@@ -23,7 +23,7 @@
 SAMPLES = 4
 #: A server of another zone must be so much emptier to be taken.
 ZONE_SLACK = 2
-EJECT_FAILURES = 3
+FAILURES_TO_EJECT = 3
 #: A server is slow when its first tokens take so many times the others' ...
 SLOW_RATIO = 3.0
 #: ... and so much longer, so that noise between fast servers does not eject one.
@@ -46,7 +46,7 @@
 
     def choose(
         self, target: TargetName, prefix_bucket: int | None, tried: tuple[ServerId, ...] = ()
-    ) -> ServerView | Refusal:
+    ) -> ServerView | Rejection:
         """Choose a server.
 
         :param prefix_bucket: where requests share a prompt prefix, the bucket of its digest.
@@ -54,10 +54,10 @@
         """
         servers = self._fleet.target(target)
         if servers is None:
-            return Refusal(RefusalReason.NO_SERVER, NO_SERVER_RETRY_MS)
+            return Rejection(RejectionReason.NO_SERVER, NO_SERVER_RETRY_MS)
         sampled = self._sample(servers, tried)
         if sampled is None:
-            return Refusal(RefusalReason.NO_SERVER, NO_SERVER_RETRY_MS)
+            return Rejection(RejectionReason.NO_SERVER, NO_SERVER_RETRY_MS)
         if prefix_bucket is None:
             return sampled
         now_ms = self._context.now_ms()
@@ -86,7 +86,7 @@
     def record_failure(self, view: ServerView) -> None:
         """Take in that a server failed; several in a row eject it."""
         view.failures_in_row += 1
-        if view.failures_in_row >= EJECT_FAILURES or view.is_on_probation:
+        if view.failures_in_row >= FAILURES_TO_EJECT or view.is_on_probation:
             self._eject(view)
 
     def record_success(self, view: ServerView, first_frame_ms: float | None) -> None:
--- a/citrondyke/decisions/online/server_view.py
+++ b/citrondyke/decisions/online/server_view.py
@@ -13,7 +13,7 @@
 #: Weight of a new sample in the averages.
 SMOOTHING = 0.2
 #: A report older than this says nothing any more.
-REPORT_LIFE_MS = 2000.0
+REPORT_EXPIRY_MS = 2000.0
 
 
 class ServerView(msgspec.Struct, eq=False):
@@ -41,8 +41,8 @@
     #: The shortest gap between two tokens of one answer since the last notice; 0 for none.
     step_ms: float = 0.0
     #: The answer whose gaps are watched, and when its last token came.
-    probe: RequestId | None = None
-    probe_at_ms: float = 0.0
+    sampled_request: RequestId | None = None
+    sampled_at_ms: float = 0.0
     samples: int = 0
 
     def peer_requests_at(self, now_ms: float) -> int:
@@ -51,7 +51,7 @@
         A report counts for a while only. A server that was said to be full gets nothing from
         here, so nothing would ever be heard of it again, and it would be avoided for good.
         """
-        if now_ms - self.reported_at_ms > REPORT_LIFE_MS:
+        if now_ms - self.reported_at_ms > REPORT_EXPIRY_MS:
             return 0
         return max(0, self.reported_online - self.own_at_report)
 
@@ -64,7 +64,7 @@
         """Tell whether the lists and the steward let it have new work."""
         return not self.is_leaving and self.listed.state is ListedState.LIVE
 
-    def report(self, state: ServerState, now_ms: float) -> None:
+    def apply_report(self, state: ServerState, now_ms: float) -> None:
         """Take in the steward's answer."""
         self.reported_at_ms = now_ms
         self.reported_online = state.online_count
@@ -75,13 +75,13 @@
 
     def record_frame(self, request_id: RequestId, now_ms: float) -> None:
         """Take in a token of an online answer; one answer at a time is watched."""
-        if self.probe == request_id:
-            gap_ms = now_ms - self.probe_at_ms
+        if self.sampled_request == request_id:
+            gap_ms = now_ms - self.sampled_at_ms
             self.step_ms = min(self.step_ms or gap_ms, gap_ms)
-            self.probe_at_ms = now_ms
-        elif self.probe is None:
-            self.probe = request_id
-            self.probe_at_ms = now_ms
+            self.sampled_at_ms = now_ms
+        elif self.sampled_request is None:
+            self.sampled_request = request_id
+            self.sampled_at_ms = now_ms
 
     def consume_step_us(self) -> int:
         """Give the shortest gap seen since the last call, in microseconds; 0 for none."""
--- a/citrondyke/decisions/steward.py
+++ b/citrondyke/decisions/steward.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from citrondyke.decisions.configuration.keeper import ConfigReplica
+    from citrondyke.decisions.configuration.config_replica import ConfigReplica
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.core.ops import Workflow
     from citrondyke.decisions.membership.members import Members
@@ -25,11 +25,11 @@
     from citrondyke.decisions.sharing.server_share import ServerShare
     from citrondyke.ids import InstanceId, RequestId
 
-__all__ = ('SERVICE_PREFIX', 'Steward', 'StewardLimits')
+__all__ = ('SERVICE_PREFIX', 'Steward', 'StewardTimings')
 
 SERVICE_PREFIX = 'service:'
 #: Used until an engine has reported its own limit of streams.
-FIRST_MAX_RUNNING = 128
+INITIAL_MAX_RUNNING = 128
 DEFAULT_GAP_TARGET_MS = 42.0
 #: A peer is told a server's state again when it changed by this part ...
 PUBLISH_CHANGE_SHARE = 0.1
@@ -41,17 +41,17 @@
 #: Polls after which all peers are told that a server leaves, and from then on each so many.
 LEAVING_ROUNDS = 4
 LEAVING_REPEAT = 20
-TELL_EVERY_MS = 1000.0
+PUBLISH_EVERY_MS = 1000.0
 
 
-class StewardLimits(msgspec.Struct, frozen=True, kw_only=True):
+class StewardTimings(msgspec.Struct, frozen=True, kw_only=True):
     """Pauses of a steward."""
 
     poll_every_ms: float
     poll_timeout_ms: float
     #: Looks for work, over all instances, a second.
-    fleet_looks_per_s: float
-    shortest_look_ms: float
+    fleet_polls_per_s: float
+    min_poll_interval_ms: float
 
 
 class _PublishedState(msgspec.Struct):
@@ -69,28 +69,28 @@
         context: Context,
         fleet: Fleet,
         members: Members,
-        keeper: ConfigReplica,
-        limits: StewardLimits,
-        on_cut: Callable[[list[RequestId]], None],
-        on_room: Callable[[TargetName], None],
+        config_replica: ConfigReplica,
+        timings: StewardTimings,
+        on_preempt: Callable[[list[RequestId]], None],
+        on_free_capacity: Callable[[TargetName], None],
         new_share: Callable[[ServerView], ServerShare] | None = None,
     ) -> None:
         """Use the parts handed in.
 
-        :param on_cut: told which batch requests must yield.
-        :param on_room: told for which target a place may have become free.
+        :param on_preempt: told which batch requests must yield.
+        :param on_free_capacity: told for which target a place may have become free.
         """
         self._context = context
         self._fleet = fleet
         self._members = members
-        self._keeper = keeper
-        self._limits = limits
-        self._on_cut = on_cut
-        self._on_room = on_room
+        self._config_replica = config_replica
+        self._timings = timings
+        self._on_preempt = on_preempt
+        self._on_free_capacity = on_free_capacity
         self._make_share = new_share or self._new_share
         self._shares: dict[ServerId, ServerShare] = {}
         self._targets: dict[TargetName, list[ServerId]] = {}
-        self._told: dict[tuple[InstanceId, ServerId], _PublishedState] = {}
+        self._published: dict[tuple[InstanceId, ServerId], _PublishedState] = {}
         self._steward_cache: dict[ServerId, InstanceId | None] = {}
 
     def refresh(self) -> list[ServerId]:
@@ -144,7 +144,7 @@
         shares = [
             (server_id, self._shares[server_id])
             for server_id in self._targets.get(target, ())
-            if self._takes_batch(server_id)
+            if self._accepts_batch(server_id)
         ]
         return sorted(shares, key=lambda pair: -pair[1].room(now_ms))
 
@@ -169,8 +169,11 @@
 
     def poll_interval_ms(self, target: TargetName) -> float:
         """Give the pause between two looks for work, so that the fleet's looks stay bounded."""
-        looking = max(1, len(self._members.live())) * max(1, len(self._targets))
-        return max(self._limits.shortest_look_ms, looking / self._limits.fleet_looks_per_s * 1e3)
+        pollers_count = max(1, len(self._members.live())) * max(1, len(self._targets))
+        return max(
+            self._timings.min_poll_interval_ms,
+            pollers_count / self._timings.fleet_polls_per_s * 1e3,
+        )
 
     def on_notice(self, sender: InstanceId, notice: OnlineNotice) -> ServerState | None:
         """Take in what an entry instance has on a server; yield at once where it must.
@@ -188,8 +191,8 @@
         view = self._fleet.view(notice.server_id)
         if view is None:
             return None
-        self._on_room(view.listed.target)
-        return self._answer(sender, view, share, has_more=has_more)
+        self._on_free_capacity(view.listed.target)
+        return self._reply(sender, view, share, has_more=has_more)
 
     def watch(self, server_id: ServerId) -> Workflow[None]:
         """Poll one server's load while this instance looks after it."""
@@ -197,7 +200,7 @@
         leaving_rounds = 0
         while watched is not None:
             now_ms = self._context.now_ms()
-            load = yield from poll_load(server_id, now_ms + self._limits.poll_timeout_ms)
+            load = yield from poll_load(server_id, now_ms + self._timings.poll_timeout_ms)
             view = self._fleet.view(server_id)
             if view is None or self._shares.get(server_id) is not watched:
                 return
@@ -212,8 +215,8 @@
                 leaving_rounds += 1
                 yield from self._publish_leaving(view, watched, leaving_rounds)
             self._apply_targets(watched)
-            self._on_room(view.listed.target)
-            yield from sleep_until(now_ms + self._context.jittered_ms(self._limits.poll_every_ms))
+            self._on_free_capacity(view.listed.target)
+            yield from sleep_until(now_ms + self._context.jittered_ms(self._timings.poll_every_ms))
 
     def _publish_leaving(self, view: ServerView, share: ServerShare, rounds: int) -> Workflow[None]:
         """Tell every peer that a server leaves, a few times and then now and then.
@@ -235,7 +238,7 @@
                 ),
             )
 
-    def _takes_batch(self, server_id: ServerId) -> bool:
+    def _accepts_batch(self, server_id: ServerId) -> bool:
         view = self._fleet.view(server_id)
         if view is None or not view.accepts_work:
             return False
@@ -244,7 +247,7 @@
     def _new_share(self, view: ServerView) -> ServerShare:
         if view.listed.target.startswith(SERVICE_PREFIX):
             return service_share()
-        return engine_share(self._gap_target_ms(), FIRST_MAX_RUNNING, view.online_limit)
+        return engine_share(self._gap_target_ms(), INITIAL_MAX_RUNNING, view.online_limit)
 
     def _apply_targets(self, share: ServerShare) -> None:
         if isinstance(share, EngineShare):
@@ -252,15 +255,15 @@
 
     def _gap_target_ms(self) -> float:
         """Give the tightest target of the online classes: any of them may call any server."""
-        classes = self._keeper.current.online_classes()
+        classes = self._config_replica.current.online_classes()
         return min((each.token_gap_target_ms for each in classes), default=DEFAULT_GAP_TARGET_MS)
 
     def _preempt_for_online(self, share: ServerShare, now_ms: float) -> None:
         to_cut = share.to_cut(now_ms)
         if to_cut:
-            self._on_cut(to_cut)
+            self._on_preempt(to_cut)
 
-    def _answer(
+    def _reply(
         self, sender: InstanceId, view: ServerView, share: ServerShare, *, has_more: bool
     ) -> ServerState | None:
         now_ms = self._context.now_ms()
@@ -271,20 +274,20 @@
             # Whoever sends less to a server with room does not need to know how full it is.
             return None
         comfort_limit = share.comfort_limit()
-        told = self._told.get((sender, view.listed.id))
-        if told is not None and not view.is_leaving:
-            moved = abs(online_count - told.online_count)
-            is_small = moved <= max(1.0, PUBLISH_CHANGE_SHARE * told.online_count)
-            is_same_limit = (told.online_limit, told.comfort_limit) == (
+        published = self._published.get((sender, view.listed.id))
+        if published is not None and not view.is_leaving:
+            moved = abs(online_count - published.online_count)
+            is_small = moved <= max(1.0, PUBLISH_CHANGE_SHARE * published.online_count)
+            is_same_limit = (published.online_limit, published.comfort_limit) == (
                 online_limit,
                 comfort_limit,
             )
-            is_calm = online_count < IDLE_SHARE * online_limit
-            fresh_ms = PUBLISH_IDLE_EVERY_MS if is_calm else TELL_EVERY_MS
-            is_fresh = now_ms - told.at_ms < fresh_ms
+            is_idle = online_count < IDLE_SHARE * online_limit
+            fresh_ms = PUBLISH_IDLE_EVERY_MS if is_idle else PUBLISH_EVERY_MS
+            is_fresh = now_ms - published.at_ms < fresh_ms
             if is_small and is_same_limit and is_fresh and not is_full:
                 return None
-        self._told[(sender, view.listed.id)] = _PublishedState(
+        self._published[(sender, view.listed.id)] = _PublishedState(
             online_count, online_limit, comfort_limit, now_ms
         )
         return ServerState(
--- a/citrondyke/driver/virtual/trace.py
+++ b/citrondyke/driver/virtual/trace.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
+from citrondyke.decisions.audit.record import OutcomeRecord, RecordKind
 from citrondyke.decisions.configuration.entries import ClassEntry
-from citrondyke.decisions.evidence.record import OutcomeRecord, RecordKind
 
 __all__ = ('Trace', 'TraceEvent', 'TraceEventKind', 'TraceHeader', 'TraceServer', 'read_trace')
 
--- a/citrondyke/driver/virtual/virtual_fleet.py
+++ b/citrondyke/driver/virtual/virtual_fleet.py
@@ -120,7 +120,7 @@
         peer = self.instances.get(instance_id)
         changes: list[ConfigChange] = []
         if peer is not None and peer.is_alive and not peer.is_frozen:
-            changes = peer.instance.keeper.changes_after(after_version)
+            changes = peer.instance.config_replica.changes_after(after_version)
         self.time.after(2 * self.one_way_ms, lambda: answer(changes))
 
     def listen(self, request_id: str, listener: Callable[[float], None]) -> None:
@@ -185,7 +185,9 @@
 
     def _take(self, receiver: VirtualInstance, sender: VirtualInstance, message: Any) -> None:
         receiver.received_count += 1
-        receiver.instance.on_peer_version(sender.listed.id, sender.instance.keeper.current.version)
+        receiver.instance.on_peer_version(
+            sender.listed.id, sender.instance.config_replica.current.version
+        )
         answer = receiver.instance.on_peer_message(sender.listed.id, message)
         if answer is not None:
             self.send_peer(receiver, sender.listed.id, answer)
--- a/citrondyke/entry/front.py
+++ b/citrondyke/entry/front.py
@@ -58,7 +58,7 @@
         :raises UnauthorizedError: when the key is nobody's.
         """
         self.check_ready()
-        found = self.instance.keeper.current.tenant_of_key(_bearer(authorization))
+        found = self.instance.config_replica.current.tenant_of_key(_bearer(authorization))
         if found is None:
             raise UnauthorizedError
         return found
@@ -71,7 +71,7 @@
         """
         self.check_ready()
         key = _bearer(authorization)
-        found: OperatorEntry | None = self.instance.keeper.current.operator_of_key(key)
+        found: OperatorEntry | None = self.instance.config_replica.current.operator_of_key(key)
         if found is not None:
             return found.id
         if _is_bootstrap(key, self.settings.operators.bootstrap_key_sha256):
@@ -92,7 +92,7 @@
         :raises UnknownClassError: when there is none of that kind.
         """
         wanted = ClassName(name) if name else default
-        found = self.instance.keeper.current.class_entry(wanted)
+        found = self.instance.config_replica.current.class_entry(wanted)
         if found is None or found.kind is not kind:
             raise UnknownClassError(f'{wanted!r} is no class of {kind.value} work')
         return found
--- a/citrondyke/entry/online_endpoint.py
+++ b/citrondyke/entry/online_endpoint.py
@@ -90,7 +90,7 @@
         """Answer any method on ``/services/<service>/<path>``."""
         tenant = self._front.tenant(bottle.request.headers.get('Authorization'))
         body = self._read()
-        entry = self._front.instance.keeper.current.service_entry(service)
+        entry = self._front.instance.config_replica.current.service_entry(service)
         target = TargetName(SERVICE_PREFIX + service)
         if entry is None or self._front.instance.fleet.target(target) is None:
             raise UnknownServiceError(f'there is no service {service!r}')
--- a/citrondyke/entry/online_errors.py
+++ b/citrondyke/entry/online_errors.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from citrondyke.decisions.at_most_once.once_result import OnceResult, OnceResultKind
-from citrondyke.decisions.online.refusal import Refusal, RefusalReason
+from citrondyke.decisions.online.rejection import Rejection, RejectionReason
 from citrondyke.decisions.online.request import OnlineResult, OnlineResultKind
 from citrondyke.errors import (
     CitrondykeError,
@@ -31,13 +31,13 @@
 PROGRESS_RETRY_MS = 500.0
 
 
-def error_of_refusal(refusal: Refusal) -> CitrondykeError:
+def error_of_rejection(rejection: Rejection) -> CitrondykeError:
     """Give the failure of a request that never ran."""
-    if refusal.reason is RefusalReason.DEADLINE:
+    if rejection.reason is RejectionReason.DEADLINE:
         return DeadlinePassedError()
-    if refusal.reason in (RefusalReason.NO_SERVER, RefusalReason.RETRY_BUDGET):
-        return ServerUnreachableError(retry_in_ms=refusal.retry_in_ms)
-    return OverloadedError(retry_in_ms=refusal.retry_in_ms)
+    if rejection.reason in (RejectionReason.NO_SERVER, RejectionReason.RETRY_BUDGET):
+        return ServerUnreachableError(retry_in_ms=rejection.retry_in_ms)
+    return OverloadedError(retry_in_ms=rejection.retry_in_ms)
 
 
 def error_of_end(end: OnlineResult, *, has_begun: bool) -> CitrondykeError:
@@ -45,8 +45,8 @@
 
     :param has_begun: whether the caller has part of the answer.
     """
-    if end.kind is OnlineResultKind.REFUSED and end.refusal is not None:
-        return error_of_refusal(end.refusal)
+    if end.kind is OnlineResultKind.REFUSED and end.rejection is not None:
+        return error_of_rejection(end.rejection)
     run = RunState.UNKNOWN if end.may_have_run else RunState.NOT_RUN
     if end.kind is OnlineResultKind.LATE:
         return DeadlinePassedError(run=run)
@@ -67,7 +67,7 @@
 def error_of_once(end: OnceResult) -> CitrondykeError:
     """Give the failure of a request that runs at most once."""
     if end.kind is OnceResultKind.NOT_RUN:
-        if end.refusal is not None:
-            return error_of_refusal(end.refusal)
+        if end.rejection is not None:
+            return error_of_rejection(end.rejection)
         return ServerUnreachableError(retry_in_ms=PROGRESS_RETRY_MS)
     return _ONCE[end.kind]()
--- a/citrondyke/entry/operator_endpoint.py
+++ b/citrondyke/entry/operator_endpoint.py
@@ -7,15 +7,15 @@
 import bottle
 import msgspec
 
+from citrondyke.decisions.audit.report import build_report, read_records
 from citrondyke.decisions.configuration.change import ConfigChange
 from citrondyke.decisions.configuration.proposal import (
     ConfigConflict,
     ConfigProposal,
-    ConfigRefusal,
+    ConfigRejection,
 )
-from citrondyke.decisions.core.commit import CommitUncertain, CommitUncertainReason
+from citrondyke.decisions.core.commit import CommitFailure, CommitFailureReason
 from citrondyke.decisions.core.ops import scan_rows
-from citrondyke.decisions.evidence.report import build_report, read_records
 from citrondyke.decisions.jobs.job_request import JobRefusal
 from citrondyke.decisions.jobs.rows import OpenRow, open_prefix
 from citrondyke.entry.answers import json_answer
@@ -61,7 +61,7 @@
     def config(self) -> bytes:
         """Answer ``GET /operator/v1/config``."""
         self._operator()
-        return json_answer(self._front.instance.keeper.current.snapshot())
+        return json_answer(self._front.instance.config_replica.current.snapshot())
 
     def propose(self) -> bytes:
         """Answer ``POST /operator/v1/config``."""
@@ -75,10 +75,10 @@
                 return json_answer(result)
             case ConfigConflict():
                 raise ConfigConflictError(_conflict_text(result))
-            case ConfigRefusal():
+            case ConfigRejection():
                 raise InvalidFieldError(f'{result.field}: allowed: {result.allowed}')
-            case CommitUncertain():
-                is_open = result.reason is CommitUncertainReason.MAYBE_WRITTEN
+            case CommitFailure():
+                is_open = result.reason is CommitFailureReason.MAYBE_WRITTEN
                 run = RunState.UNKNOWN if is_open else RunState.NOT_RUN
                 raise PlatformUnavailableError(run=run, retry_in_ms=PLATFORM_RETRY_MS)
 
@@ -89,7 +89,7 @@
         if not after.isdigit():
             raise InvalidFieldError('after is a version')
         changes = self._front.driver.run(
-            self._front.instance.keeper.history(ConfigVersion(int(after)), HISTORY_LIMIT)
+            self._front.instance.config_replica.history(ConfigVersion(int(after)), HISTORY_LIMIT)
         )
         if changes is None:
             raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
@@ -112,7 +112,7 @@
             StatusReport(
                 instance_id=instance.context.instance_id,
                 zone=instance.context.zone,
-                config_version=instance.keeper.current.version,
+                config_version=instance.config_replica.current.version,
                 is_ready=instance.is_ready,
                 is_leaving=instance.members.is_leaving,
                 session=instance.session.session,
--- a/citrondyke/entry/visit.py
+++ b/citrondyke/entry/visit.py
@@ -6,7 +6,7 @@
 
 import logbook
 
-from citrondyke.decisions.evidence.record import OutcomeRecord, RecordKind
+from citrondyke.decisions.audit.record import OutcomeRecord, RecordKind
 from citrondyke.decisions.online.request import OnlineRequest, OnlineResult, OnlineResultKind
 from citrondyke.entry.online_errors import error_of_end
 from citrondyke.operator.measures import RequestSample
@@ -51,7 +51,7 @@
         front.open_calls -= 1
         total_ms = front.clock.now_ms() - self._began_ms
         first_ms = end.first_frame_ms if end is not None else None
-        entry = front.instance.keeper.current.class_entry(request.class_name)
+        entry = front.instance.config_replica.current.class_entry(request.class_name)
         sample = RequestSample(
             tenant_id=request.tenant_id,
             class_name=request.class_name,
--- a/citrondyke/gateway/callers/admission_controller.py
+++ b/citrondyke/gateway/callers/admission_controller.py
@@ -8,7 +8,7 @@
 
 from citrondyke.decisions.accounts.fleet_rate_limiter import VerdictKind
 from citrondyke.decisions.accounts.limit_messages import UseNeed
-from citrondyke.decisions.crashes.suspect_registry import SuspectVerdict
+from citrondyke.decisions.crashes.suspect_registry import SuspectStatus
 from citrondyke.decisions.forwarding.admission_rule import Rejected
 from citrondyke.decisions.forwarding.send_history import Verdict
 from citrondyke.decisions.forwarding.server_state import ServerState
@@ -72,7 +72,7 @@
         self._rule.record_service_time(forwarding.route, stay_ms)
 
     def admit(
-        self, caller: CallerConnection, forwarding: Forwarding, standing: SuspectVerdict
+        self, caller: CallerConnection, forwarding: Forwarding, standing: SuspectStatus
     ) -> Place | RequestResult | None:
         """Choose a server with a place in time, and count the request; ``None`` without a server.
 
@@ -162,9 +162,9 @@
         digest = forwarding.facts.key_digest
         return bool(self._config.current.account_of(digest, is_public=is_public))
 
-    def _choose(self, forwarding: Forwarding, standing: SuspectVerdict) -> ServerState | None:
+    def _choose(self, forwarding: Forwarding, standing: SuspectStatus) -> ServerState | None:
         service = forwarding.route.pick_service(self._context.random)
-        if standing is not SuspectVerdict.FREE:
+        if standing is not SuspectStatus.FREE:
             digest = forwarding.content.digest
             return self._book.choose_excluding(service, forwarding.course.avoid, digest)
         return self._book.choose(
--- a/citrondyke/gateway/callers/error_responder.py
+++ b/citrondyke/gateway/callers/error_responder.py
@@ -77,7 +77,7 @@
             caller.abort()
             return RequestResult.CUT_MIDWAY
         if is_on_trial and forwarding.course.verdict is Verdict.NOT_RUN:
-            return self.refuse(caller, forwarding, RequestResult.ON_TRIAL, PROBE_RETRY_MS)
+            return self.refuse(caller, forwarding, RequestResult.PROBE_RUNNING, PROBE_RETRY_MS)
         return self._fail(caller, forwarding, RequestResult.STOPPED, 502)
 
     def refuse(
--- a/citrondyke/gateway/callers/forwarder.py
+++ b/citrondyke/gateway/callers/forwarder.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from citrondyke.decisions.crashes.content import LazyRequestContent
-from citrondyke.decisions.crashes.suspect_registry import SuspectVerdict
+from citrondyke.decisions.crashes.request_fingerprint import LazyRequestFingerprint
+from citrondyke.decisions.crashes.suspect_registry import SuspectStatus
 from citrondyke.decisions.forwarding.failover_timeouts import EVENT_MS, FailoverTimeouts
 from citrondyke.decisions.forwarding.route import RouteKind
 from citrondyke.decisions.forwarding.send_history import SendHistory, SendOutcome
@@ -83,7 +83,7 @@
         within_ms = min(route.timeout_ms, facts.within_ms or route.timeout_ms)
         forwarding = Forwarding(
             request=request,
-            work=LazyRequestContent(request.method, request.host, request.target, request.body),
+            work=LazyRequestFingerprint(request.method, request.host, request.target, request.body),
             facts=facts,
             account=account,
             route=route,
@@ -109,7 +109,7 @@
             if course.sends_count and not self._admitter.is_key_in_force(forwarding):
                 return self._answers.refuse_key(caller, forwarding)
             standing = self._guard.standing(forwarding.work)
-            if standing in (SuspectVerdict.STOPPED, SuspectVerdict.ON_TRIAL):
+            if standing in (SuspectStatus.STOPPED, SuspectStatus.PROBE_RUNNING):
                 if failure is not None:
                     break
                 return self._stop(caller, forwarding, standing)
@@ -118,7 +118,7 @@
                 return admitted
             if admitted is None:
                 break
-            if standing is SuspectVerdict.TRIAL_DUE and not self._claim_trial(forwarding):
+            if standing is SuspectStatus.PROBE_DUE and not self._claim_trial(forwarding):
                 return self._stop(caller, forwarding, self._guard.standing(forwarding.work))
             state = admitted.state
             self._log.sent(forwarding, state, admitted.expected_wait_ms)
@@ -127,7 +127,7 @@
                 return result
             if isinstance(result, DeferredFailure):
                 failure = result
-            if standing is SuspectVerdict.TRIAL_DUE and not course.may_have_run_at(state.life):
+            if standing is SuspectStatus.PROBE_DUE and not course.may_have_run_at(state.life):
                 self._guard.record_probe_refused(forwarding.content)
         return self._answers.give_up(
             caller, forwarding, failure, is_out_of_time=self._is_out_of_time(forwarding)
@@ -137,11 +137,11 @@
         return self._guard.claim_probe(forwarding.content, forwarding.facts.request_id)
 
     def _stop(
-        self, caller: CallerConnection, forwarding: Forwarding, standing: SuspectVerdict
+        self, caller: CallerConnection, forwarding: Forwarding, standing: SuspectStatus
     ) -> RequestResult:
         self._log.stopped(forwarding, standing, self._guard.ends_count(forwarding.content))
         # A trial that could not be had, as the store did not answer, leaves the verdict open too.
-        is_open = standing is not SuspectVerdict.STOPPED
+        is_open = standing is not SuspectStatus.STOPPED
         return self._answers.stop(caller, forwarding, is_on_trial=is_open)
 
     def _send(
--- a/citrondyke/gateway/callers/forwarding.py
+++ b/citrondyke/gateway/callers/forwarding.py
@@ -7,7 +7,10 @@
 import msgspec
 
 from citrondyke.decisions.accounts.account import Account
-from citrondyke.decisions.crashes.content import LazyRequestContent, RequestContent
+from citrondyke.decisions.crashes.request_fingerprint import (
+    LazyRequestFingerprint,
+    RequestFingerprint,
+)
 from citrondyke.decisions.forwarding.route import Route
 from citrondyke.decisions.forwarding.send_history import SendHistory
 from citrondyke.gateway.callers.caller_request import CallerRequest
@@ -39,7 +42,7 @@
     #: Too many servers have ended under the same work.
     STOPPED = 'stopped'
     #: It is being found out whether servers end under the same work.
-    ON_TRIAL = 'on_trial'
+    PROBE_RUNNING = 'on_trial'
 
 
 class Forwarding(msgspec.Struct):
@@ -47,7 +50,7 @@
 
     request: CallerRequest
     #: What it asks for, whichever attempt this is.
-    work: LazyRequestContent
+    work: LazyRequestFingerprint
     facts: CallFacts
     #: Whose request it is.
     account: Account
@@ -68,6 +71,6 @@
     server_first_ms: float | None = None
 
     @property
-    def content(self) -> RequestContent:
+    def content(self) -> RequestFingerprint:
         """Name what is asked for."""
-        return self.work.content
+        return self.work.fingerprint
--- a/citrondyke/gateway/callers/request_log.py
+++ b/citrondyke/gateway/callers/request_log.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.fleet_rate_limiter import LimitVerdict
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.crashes.suspect_registry import SuspectVerdict
+    from citrondyke.decisions.crashes.suspect_registry import SuspectStatus
     from citrondyke.decisions.forwarding.admission_rule import Rejected
     from citrondyke.decisions.forwarding.server_state import ServerState
     from citrondyke.gateway.callers.forwarding import Forwarding
@@ -133,7 +133,7 @@
             },
         )
 
-    def stopped(self, forwarding: Forwarding, standing: SuspectVerdict, ends_count: float) -> None:
+    def stopped(self, forwarding: Forwarding, standing: SuspectStatus, ends_count: float) -> None:
         """Tell that a request is not sent on, as servers have ended under the same work."""
         log.info(
             'request.stopped',
--- a/citrondyke/gateway/jobs/job_runner.py
+++ b/citrondyke/gateway/jobs/job_runner.py
@@ -19,8 +19,8 @@
 )
 from citrondyke.decisions.batch.owned_job import RunResult
 from citrondyke.decisions.batch.run_length import RunLengthEstimator
-from citrondyke.decisions.crashes.content import LazyRequestContent
-from citrondyke.decisions.crashes.suspect_registry import SuspectVerdict
+from citrondyke.decisions.crashes.request_fingerprint import LazyRequestFingerprint
+from citrondyke.decisions.crashes.suspect_registry import SuspectStatus
 from citrondyke.decisions.forwarding.route_table import NoRoute
 from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
 from citrondyke.errors.gave_way import GaveWayError
@@ -62,7 +62,7 @@
     progress: ItemProgress
     state: ServerState
     started_ms: float
-    work: LazyRequestContent
+    work: LazyRequestFingerprint
     greenlet: gevent.Greenlet | None = None
     has_begun: bool = False
     is_cut: bool = False
@@ -311,7 +311,9 @@
         self._runs_count += 1
         number = self._runs_count
         item = progress.item
-        work = LazyRequestContent(b'POST', job.head.host, item.path.encode('latin-1'), item.body)
+        work = LazyRequestFingerprint(
+            b'POST', job.head.host, item.path.encode('latin-1'), item.body
+        )
         run = _Run(job, progress, state, self._context.now_ms(), work)
         self._runs[number] = run
         run.greenlet = self._tasks.spawn(self._run_item, number, run)
@@ -342,7 +344,11 @@
                 state.note_failure(self._context.now_ms())
                 # An item that is told to make room while it waits here would stay open for good.
                 self._guard.note_broken(
-                    state, run.work.content, error.break_kind, progress.first_event_ms, waits=False
+                    state,
+                    run.work.fingerprint,
+                    error.break_kind,
+                    progress.first_event_ms,
+                    waits=False,
                 )
         except Exception:
             # An item whose run ended without a word would stay open for good.
@@ -368,7 +374,7 @@
                 'detail': detail,
                 'last_event_id': progress.last_event_id,
                 'took_ms': round(took_ms, 1),
-                'content': run.work.content.digest if end is RunResult.BROKEN else None,
+                'content': run.work.fingerprint.digest if end is RunResult.BROKEN else None,
             },
         )
         self._end(job, progress, end)
@@ -378,9 +384,9 @@
 
     def _may_send(self, run: _Run) -> bool:
         standing = self._guard.standing(run.work, is_item=True)
-        if standing is SuspectVerdict.TRIAL_DUE:
-            return self._guard.claim_probe(run.work.content, run.progress.item.id, is_item=True)
-        return standing in (SuspectVerdict.FREE, SuspectVerdict.SUSPECTED)
+        if standing is SuspectStatus.PROBE_DUE:
+            return self._guard.claim_probe(run.work.fingerprint, run.progress.item.id, is_item=True)
+        return standing in (SuspectStatus.FREE, SuspectStatus.SUSPECTED)
 
     def _end(self, job: OwnedJob, progress: ItemProgress, end: RunResult) -> None:
         job.end_run(progress, end, self._context.now_ms(), self._context.epoch_ms())
--- a/citrondyke/gateway/operator_state.py
+++ b/citrondyke/gateway/operator_state.py
@@ -55,9 +55,9 @@
             suspects=[
                 SuspectState(
                     content=content.digest,
-                    standing=self._suspects.standing(content).value,
+                    standing=self._suspects.status_of(content).value,
                     servers_ended=self._suspects.score(content),
-                    trials=self._suspects.trials(content),
+                    trials=self._suspects.probes_count(content),
                 )
                 for content in self._suspects.contents()
             ],
--- a/citrondyke/gateway/peers/peer_codec.py
+++ b/citrondyke/gateway/peers/peer_codec.py
@@ -12,7 +12,7 @@
 
 from citrondyke.decisions.accounts.limit_messages import LimitMessage
 from citrondyke.decisions.batch.batch_demand import DemandNotice
-from citrondyke.decisions.crashes.content import RequestContent
+from citrondyke.decisions.crashes.request_fingerprint import RequestFingerprint
 from citrondyke.decisions.crashes.suspect_update_queue import SuspectNews, SuspectUpdateKind
 from citrondyke.decisions.forwarding.load_notices import ServerLoad
 from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
@@ -236,7 +236,9 @@
 
 def _unpack_suspects(data: bytes) -> list[SuspectNews]:
     return [
-        SuspectNews(RequestContent(ContentDigest(digest.hex()), target), SuspectUpdateKind(kind))
+        SuspectNews(
+            RequestFingerprint(ContentDigest(digest.hex()), target), SuspectUpdateKind(kind)
+        )
         for digest, target, kind in _SUSPECT.iter_unpack(data)
     ]
 
--- a/citrondyke/gateway/peers/store_state_exchange.py
+++ b/citrondyke/gateway/peers/store_state_exchange.py
@@ -208,4 +208,4 @@
             )
         self._membership.learn_from_peer(knowledge.peers)
         for row in knowledge.suspects:
-            self._suspects.join(row)
+            self._suspects.merge(row)
--- a/citrondyke/gateway/peers/suspect_publisher.py
+++ b/citrondyke/gateway/peers/suspect_publisher.py
@@ -20,7 +20,7 @@
     from collections.abc import Callable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.crashes.content import RequestContent
+    from citrondyke.decisions.crashes.request_fingerprint import RequestFingerprint
     from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry
     from citrondyke.decisions.forwarding.peer_topology import PeerTopology
     from citrondyke.gateway.peers.peer_codec import PeerText
@@ -49,7 +49,7 @@
         """
         tasks.keep(lambda: self._run(send))
 
-    def is_known_to_all(self, content: RequestContent) -> bool:
+    def is_known_to_all(self, content: RequestFingerprint) -> bool:
         """Tell whether all instances are told of a suspect.
 
         In a large fleet one end is told to those only who collect what is seen of it. Eight
@@ -59,19 +59,19 @@
         is_grave = self._suspects.score(content) >= STORED_SCORE
         return is_grave or not self._neighbours.is_zoned
 
-    def notify_end(self, server: int, content: RequestContent, *, is_fresh: bool) -> None:
+    def notify_end(self, server: int, content: RequestFingerprint, *, is_fresh: bool) -> None:
         """Have peers told of a server's end under a request."""
         kind = SuspectUpdateKind.FRESH if is_fresh else SuspectUpdateKind.BEGUN
         self._add(server, SuspectNews(content, kind), is_wide=self.is_known_to_all(content))
 
-    def notify_survived(self, content: RequestContent, *, is_wide: bool) -> None:
+    def notify_survived(self, content: RequestFingerprint, *, is_wide: bool) -> None:
         """Have peers told of a whole answer.
 
         :param is_wide: whether all knew of the suspect before.
         """
         self._add(0, SuspectNews(content, SuspectUpdateKind.SURVIVED), is_wide=is_wide)
 
-    def notify_all_ends(self, content: RequestContent) -> None:
+    def notify_all_ends(self, content: RequestFingerprint) -> None:
         """Have everybody told all that is known of a suspect; each who collects does so once."""
         row = self._suspects.row(content)
         if row is None:
@@ -79,7 +79,7 @@
         score = self._suspects.score(content)
         for server, weight in row.lives.items():
             kind = SuspectUpdateKind.FRESH if weight >= FRESH_WEIGHT else SuspectUpdateKind.BEGUN
-            self._news.add(server, SuspectNews(content, kind), score, times=1)
+            self._news.enqueue(server, SuspectNews(content, kind), score, sends_count=1)
         self._has_news.set()
 
     def next_pause_ms(self) -> float | None:
@@ -88,10 +88,10 @@
 
     def take(self) -> list[tuple[CrashNews, list[InstanceId]]]:
         """Give the messages that are due, each with who gets it."""
-        message = self._news.take()
+        message = self._news.take_due()
         if message is None:
             return []
-        if message.is_wide:
+        if message.is_broadcast:
             return [(CrashNews(message.server, message.news), self._neighbours.everybody())]
         by_receiver: dict[InstanceId, list[SuspectNews]] = {}
         for news in message.news:
@@ -103,7 +103,7 @@
         ]
 
     def _add(self, server: int, news: SuspectNews, *, is_wide: bool) -> None:
-        self._news.add(server, news, self._suspects.score(news.content), is_wide=is_wide)
+        self._news.enqueue(server, news, self._suspects.score(news.content), is_broadcast=is_wide)
         self._has_news.set()
 
     def _run(self, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
--- a/citrondyke/gateway/servers/poison_request_guard.py
+++ b/citrondyke/gateway/servers/poison_request_guard.py
@@ -8,7 +8,7 @@
 import logbook
 
 from citrondyke.decisions.crashes.server_exit_detector import InterruptedRequest, ServerExitDetector
-from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry, SuspectVerdict
+from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry, SuspectStatus
 from citrondyke.decisions.crashes.suspect_update_queue import SuspectUpdateKind
 from citrondyke.decisions.forwarding.server_registry import server_digest
 from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
@@ -19,7 +19,10 @@
     from collections.abc import Callable, Iterable
 
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.crashes.content import LazyRequestContent, RequestContent
+    from citrondyke.decisions.crashes.request_fingerprint import (
+        LazyRequestFingerprint,
+        RequestFingerprint,
+    )
     from citrondyke.decisions.forwarding.server_registry import ServerRegistry
     from citrondyke.decisions.forwarding.server_state import ServerState
     from citrondyke.gateway.metrics import Metrics
@@ -73,20 +76,20 @@
         self._store.start(self._tasks)
         self.teller.start(self._tasks, send)
 
-    def standing(self, work: LazyRequestContent, *, is_item: bool = False) -> SuspectVerdict:
+    def standing(self, work: LazyRequestFingerprint, *, is_item: bool = False) -> SuspectStatus:
         """Tell what may be done with a request; its body is looked at for suspects only."""
         if not self._may_be_suspect(work):
-            return SuspectVerdict.FREE
-        return self._suspects.standing(work.content, is_item=is_item)
+            return SuspectStatus.FREE
+        return self._suspects.status_of(work.fingerprint, is_item=is_item)
 
-    def _may_be_suspect(self, work: LazyRequestContent) -> bool:
-        return len(self._suspects) > 0 and self._suspects.concerns(work.target)
+    def _may_be_suspect(self, work: LazyRequestFingerprint) -> bool:
+        return len(self._suspects) > 0 and self._suspects.has_suspects_for(work.target)
 
-    def ends_count(self, content: RequestContent) -> float:
+    def ends_count(self, content: RequestFingerprint) -> float:
         """Give the servers that have ended under a request, weighed."""
         return self._suspects.score(content)
 
-    def claim_probe(self, content: RequestContent, who: str, *, is_item: bool = False) -> bool:
+    def claim_probe(self, content: RequestFingerprint, who: str, *, is_item: bool = False) -> bool:
         """Get the trial of a request; tell whether it is this instance's.
 
         :param who: id of the request or item.
@@ -103,12 +106,12 @@
         )
         return is_granted
 
-    def record_probe_refused(self, content: RequestContent) -> None:
+    def record_probe_refused(self, content: RequestFingerprint) -> None:
         """Take note that no server ran a trial."""
         self._suspects.record_probe_refused(content)
         self._store.save(content)
 
-    def record_survived(self, work: LazyRequestContent) -> None:
+    def record_survived(self, work: LazyRequestFingerprint) -> None:
         """Take in that a server answered a request whole and well; it clears a suspect.
 
         A server may fail requests that it has not begun to run: a trial that met such a one would
@@ -116,7 +119,7 @@
         """
         if not self._may_be_suspect(work):
             return
-        survivor = work.content
+        survivor = work.fingerprint
         was_known = self.teller.is_known_to_all(survivor)
         if self._suspects.record_survived(survivor):
             self._log_cleared(survivor, 'own')
@@ -126,7 +129,7 @@
     def note_broken(
         self,
         state: ServerState,
-        content: RequestContent,
+        content: RequestFingerprint,
         kind: BreakKind,
         first_event_ms: float | None,
         *,
@@ -142,12 +145,12 @@
         :param waits: whether the caller's greenlet may be held up, and so be ended here.
         """
         server = server_digest(state.listed)
-        if state.listed.is_leaving or (state.is_gone and not self._watch.has_ended(server)):
+        if state.listed.is_leaving or (state.is_gone and not self._watch.has_exited(server)):
             # It ends as it was told to.
             return
         since_ms = 0.0 if first_event_ms is None else self._context.now_ms() - first_event_ms
         is_fresh = since_ms <= BEGUN_MS
-        if self._watch.note_broken(server, content, is_fresh=is_fresh):
+        if self._watch.record_interrupted(server, content, is_fresh=is_fresh):
             self._count(server, [InterruptedRequest(content, is_fresh, self._context.now_ms())])
             return
         if kind is not BreakKind.CUT:
@@ -167,7 +170,7 @@
     def note_gone(self, state: ServerState) -> None:
         """Take in that a server is off the list; without a word it has ended, mostly."""
         server = server_digest(state.listed)
-        broken = self._watch.note_gone(server)
+        broken = self._watch.record_unlisted(server)
         if broken and not state.listed.is_leaving:
             self._log_ended(server, 'list', broken)
             self._count(server, broken)
@@ -210,8 +213,8 @@
             del self._probes[server]
 
     def _end(self, server: int, how: str) -> None:
-        is_news = not self._watch.has_ended(server)
-        broken = self._watch.record_server_ended(server)
+        is_news = not self._watch.has_exited(server)
+        broken = self._watch.record_server_exited(server)
         if is_news:
             self._log_ended(server, how, broken)
         self._count(server, broken)
@@ -226,7 +229,7 @@
             self._publish_suspect(each.content, was_known=was_known)
             self._store.save(each.content)
 
-    def _publish_suspect(self, content: RequestContent, *, was_known: bool) -> None:
+    def _publish_suspect(self, content: RequestFingerprint, *, was_known: bool) -> None:
         """Tell everybody of what only those who collect have known."""
         if not was_known and self.teller.is_known_to_all(content):
             self.teller.notify_all_ends(content)
@@ -246,7 +249,7 @@
         )
 
     def _log_counted(
-        self, content: RequestContent, server: int, source: str, *, is_fresh: bool
+        self, content: RequestFingerprint, server: int, source: str, *, is_fresh: bool
     ) -> None:
         log.info(
             'suspect.counted',
@@ -255,12 +258,12 @@
                 'server': f'{server:08x}',
                 'is_fresh': is_fresh,
                 'servers': round(self._suspects.score(content), 2),
-                'standing': self._suspects.standing(content).value,
+                'standing': self._suspects.status_of(content).value,
                 'source': source,
             },
         )
 
-    def _log_cleared(self, content: RequestContent, source: str) -> None:
+    def _log_cleared(self, content: RequestFingerprint, source: str) -> None:
         log.info('suspect.cleared', extra={'content': content.digest, 'source': source})
 
 
--- a/citrondyke/gateway/servers/suspect_store.py
+++ b/citrondyke/gateway/servers/suspect_store.py
@@ -9,9 +9,9 @@
 import msgspec
 from gevent.event import Event
 
-from citrondyke.decisions.crashes.content import RequestContent
+from citrondyke.decisions.crashes.request_fingerprint import RequestFingerprint
 from citrondyke.decisions.crashes.suspect import SuspectRow
-from citrondyke.decisions.crashes.suspect_registry import STORED_SCORE, SuspectVerdict
+from citrondyke.decisions.crashes.suspect_registry import STORED_SCORE, SuspectStatus
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.gateway.replication.change_feed import ChangeFeed
 from citrondyke.gateway.replication.unreadable_rows import UnreadableRows
@@ -80,7 +80,7 @@
         self._store = store
         self._suspects = suspects
         self._versions: dict[str, int] = {}
-        self._waiting: dict[str, RequestContent] = {}
+        self._waiting: dict[str, RequestFingerprint] = {}
         #: Calls that the store did not answer.
         self.failed_count = 0
         self._has_some = Event()
@@ -95,13 +95,13 @@
         tasks.keep(self._run_writes)
         tasks.keep(self._run_cleanup)
 
-    def save(self, content: RequestContent) -> None:
+    def save(self, content: RequestFingerprint) -> None:
         """Have a row written soon, where others must know of it; else have it looked for."""
         if len(self._waiting) < WAITING_LIMIT:
             self._waiting[content.digest] = content
             self._has_some.set()
 
-    def claim_probe(self, content: RequestContent, *, is_item: bool) -> bool:
+    def claim_probe(self, content: RequestFingerprint, *, is_item: bool) -> bool:
         """Get the one trial that is due; tell whether this instance has it.
 
         Where the store does not answer nobody gets it: two trials at once would lose two servers.
@@ -109,18 +109,18 @@
         for _ in range(TRIES):
             if self._store.silent_ms > SILENT_MS:
                 return False
-            if self._suspects.standing(content, is_item=is_item) is not SuspectVerdict.TRIAL_DUE:
+            if self._suspects.status_of(content, is_item=is_item) is not SuspectStatus.PROBE_DUE:
                 return False
             row = self._suspects.probe_row(content)
             written = self._put(row)
             if written is None:
                 return False
             if written:
-                self._suspects.join(row)
+                self._suspects.merge(row)
                 return True
         return False
 
-    def look(self, content: RequestContent) -> None:
+    def look(self, content: RequestFingerprint) -> None:
         """Read a row that others may have written.
 
         An instance that was cut off has missed their datagrams and waits on a feed that is dead:
@@ -174,7 +174,7 @@
                 continue
             if known.digest != row.key:
                 continue
-            is_news = self._suspects.join(known)
+            is_news = self._suspects.merge(known)
             self._add_own(known)
             if is_news:
                 log.info(
@@ -195,7 +195,7 @@
         reach it would stay unknown to them for good; and a row that it had not seen when the
         request was answered well would stop that request again after the next start.
         """
-        content = RequestContent(ContentDigest(known.digest), known.target)
+        content = RequestFingerprint(ContentDigest(known.digest), known.target)
         own = self._suspects.row(content)
         if own is None:
             return
@@ -225,10 +225,10 @@
                 gevent.sleep(self._context.jittered_ms(RETRY_MS) / 1e3)
             gevent.sleep(WRITE_GAP_S)
 
-    def _should_store(self, content: RequestContent) -> bool:
+    def _should_store(self, content: RequestFingerprint) -> bool:
         return content.digest in self._versions or self._suspects.score(content) >= STORED_SCORE
 
-    def _write(self, content: RequestContent) -> bool:
+    def _write(self, content: RequestFingerprint) -> bool:
         """Write a row with what others have written; tell whether it stands."""
         for _ in range(TRIES):
             row = self._suspects.row(content)
--- a/citrondyke/peer/node.py
+++ b/citrondyke/peer/node.py
@@ -114,7 +114,7 @@
             instance.context.instance_id,
             instance.session.epoch,
             self._number,
-            instance.keeper.current.version,
+            instance.config_replica.current.version,
             message,
         )
 
@@ -153,7 +153,7 @@
             request = self._read_frame(sock)
             if instance is None or not isinstance(request.message, ConfigPull):
                 return
-            changes = instance.keeper.changes_after(request.message.after_version)
+            changes = instance.config_replica.changes_after(request.message.after_version)
             self._write_frame(sock, ConfigChanges(tuple(changes)))
         except (OSError, PeerAuthenticationError):
             return
--- a/tests/test_crashes/test_crashes_content.py
+++ b/tests/test_crashes/test_crashes_content.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from citrondyke.decisions.crashes.content import content_of
+from citrondyke.decisions.crashes.request_fingerprint import fingerprint_of
 
 PARTS = (b'POST', b'calls.example', b'/stream/a?x=1', b'body')
 
@@ -13,15 +13,15 @@
 def test_another_part_is_other_work(place: int) -> None:
     changed = list(PARTS)
     changed[place] += b'0'
-    assert content_of(*changed).digest != content_of(*PARTS).digest
-    assert content_of(*PARTS) == content_of(*PARTS)
+    assert fingerprint_of(*changed).digest != fingerprint_of(*PARTS).digest
+    assert fingerprint_of(*PARTS) == fingerprint_of(*PARTS)
 
 
 def test_bytes_that_move_between_parts_are_other_work() -> None:
     # A caller that may choose its path could otherwise share the name of another one's request.
-    moved = content_of(b'POST', b'calls.example', b'/stream/a?x=1b', b'ody')
-    assert moved.digest != content_of(*PARTS).digest
+    moved = fingerprint_of(b'POST', b'calls.example', b'/stream/a?x=1b', b'ody')
+    assert moved.digest != fingerprint_of(*PARTS).digest
 
 
 def test_target_is_known_before_the_body() -> None:
-    assert content_of(*PARTS[:3], b'other').target == content_of(*PARTS).target
+    assert fingerprint_of(*PARTS[:3], b'other').target == fingerprint_of(*PARTS).target
--- a/tests/test_crashes/test_crashes_news.py
+++ b/tests/test_crashes/test_crashes_news.py
@@ -4,9 +4,9 @@
 
 import itertools
 
-from citrondyke.decisions.crashes.content import content_of
+from citrondyke.decisions.crashes.request_fingerprint import fingerprint_of
 from citrondyke.decisions.crashes.suspect_update_queue import (
-    GAP_MS,
+    MESSAGE_GAP_MS,
     SuspectNews,
     SuspectUpdateKind,
     SuspectUpdateQueue,
@@ -15,7 +15,7 @@
 
 
 def news(number: int, kind: SuspectUpdateKind = SuspectUpdateKind.FRESH) -> SuspectNews:
-    return SuspectNews(content_of(b'POST', b'h', b'/', b'%d' % number), kind)
+    return SuspectNews(fingerprint_of(b'POST', b'h', b'/', b'%d' % number), kind)
 
 
 def drain(
@@ -25,7 +25,7 @@
     told = []
     while (pause_ms := queue.next_pause_ms()) is not None:
         clock.ms += pause_ms
-        message = queue.take()
+        message = queue.take_due()
         if message is not None:
             told.append((clock.ms, message.server, message.news))
     return told
@@ -34,8 +34,8 @@
 def test_each_is_told_three_times_at_once_first() -> None:
     clock = ManualClock()
     queue = SuspectUpdateQueue(manual_context(clock))
-    queue.add(5, news(1), 1.0)
-    queue.add(5, news(2), 1.0)
+    queue.enqueue(5, news(1), 1.0)
+    queue.enqueue(5, news(2), 1.0)
     assert queue.next_pause_ms() == 0.0
     told = drain(queue, clock)
     assert [(server, len(found)) for _, server, found in told] == [(5, 2)] * 3
@@ -47,20 +47,20 @@
     queue = SuspectUpdateQueue(manual_context(clock))
     for server in range(1, 7):
         for number in range(60):
-            queue.add(server, news(server * 100 + number), 1.0)
+            queue.enqueue(server, news(server * 100 + number), 1.0)
     told = drain(queue, clock)
     times = [at_ms for at_ms, _, _ in told]
-    assert all(b - a >= GAP_MS for a, b in itertools.pairwise(times))
+    assert all(b - a >= MESSAGE_GAP_MS for a, b in itertools.pairwise(times))
     assert len({each.content for _, _, found in told for each in found}) == 360
 
 
 def test_least_suspected_is_left_out_when_there_is_too_much() -> None:
     clock = ManualClock()
     queue = SuspectUpdateQueue(manual_context(clock))
-    queue.add(1, news(1), 3.0)
-    queue.add(0, news(2, SuspectUpdateKind.SURVIVED), 0.0)
+    queue.enqueue(1, news(1), 3.0)
+    queue.enqueue(0, news(2, SuspectUpdateKind.SURVIVED), 0.0)
     for number in range(2_000):
-        queue.add(2, news(number + 10), 1.0)
+        queue.enqueue(2, news(number + 10), 1.0)
     told = {each for _, _, found in drain(queue, clock) for each in found}
     assert {news(1), news(2, SuspectUpdateKind.SURVIVED)} <= told
     assert len(told) <= 512
@@ -69,13 +69,13 @@
 def test_what_everybody_and_what_few_are_told_goes_apart() -> None:
     clock = ManualClock()
     queue = SuspectUpdateQueue(manual_context(clock))
-    queue.add(1, news(1), 1.0, is_wide=False)
-    queue.add(1, news(2), 2.0, times=1)
-    first = queue.take()
-    clock.ms += GAP_MS
-    second = queue.take()
+    queue.enqueue(1, news(1), 1.0, is_broadcast=False)
+    queue.enqueue(1, news(2), 2.0, sends_count=1)
+    first = queue.take_due()
+    clock.ms += MESSAGE_GAP_MS
+    second = queue.take_due()
     assert first is not None
     assert second is not None
-    assert (first.is_wide, first.news) == (True, [news(2)])
-    assert (second.is_wide, second.news) == (False, [news(1)])
+    assert (first.is_broadcast, first.news) == (True, [news(2)])
+    assert (second.is_broadcast, second.news) == (False, [news(1)])
     assert len(drain(queue, clock)) == 2
--- a/tests/test_decisions/test_decisions_evidence.py
+++ b/tests/test_decisions/test_decisions_evidence.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from citrondyke.decisions.evidence.record import OutcomeRecord, RecordKind
-from citrondyke.decisions.evidence.report import build_report, read_records
+from citrondyke.decisions.audit.record import OutcomeRecord, RecordKind
+from citrondyke.decisions.audit.report import build_report, read_records
 from citrondyke.driver.virtual.virtual_fleet import VirtualFleet
 from citrondyke.driver.virtual.virtual_instance import VirtualInstance
 from citrondyke.ids import ClassName, TargetName, TenantId
--- a/tests/test_decisions/test_decisions_lost_replies.py
+++ b/tests/test_decisions/test_decisions_lost_replies.py
@@ -8,7 +8,7 @@
 
 from citrondyke.decisions.at_most_once.once_result import OnceResultKind
 from citrondyke.decisions.configuration.change import ConfigChange
-from citrondyke.decisions.configuration.proposal import ConfigProposal, WantedEdit
+from citrondyke.decisions.configuration.proposal import ConfigProposal, RequestedEdit
 from citrondyke.decisions.core import ops
 from citrondyke.driver.virtual.virtual_fleet import VirtualFleet
 from citrondyke.ids import ConfigVersion
@@ -66,12 +66,12 @@
     host = next(iter(fleet.instances.values()))
     entry = entries()[0]
     proposal = ConfigProposal(
-        host.instance.keeper.current.version, (WantedEdit('class/calls', entry),)
+        host.instance.config_replica.current.version, (RequestedEdit('class/calls', entry),)
     )
     lose_reply(fleet, 1)
     result = fleet.complete(host, host.instance.propose(proposal, 'olive'))
     assert isinstance(result, ConfigChange)
-    assert host.instance.keeper.current.version == result.version
+    assert host.instance.config_replica.current.version == result.version
 
 
 @pytest.mark.parametrize('number', range(1, 12))
@@ -135,14 +135,14 @@
 
 def test_changes_out_of_order_wait_for_their_predecessors() -> None:
     fleet = make_fleet(seed=5, instances=1)
-    keeper = next(iter(fleet.instances.values())).instance.keeper
+    config_replica = next(iter(fleet.instances.values())).instance.config_replica
     later = [
         ConfigChange(version=ConfigVersion(n), edits=(), who='olive', accepted_at_epoch_ms=0.0)
         for n in (2, 3, 4)
     ]
-    assert not keeper.offer(later[1:])
-    assert keeper.current.version == 1
-    assert keeper.offer(later[:1])
-    assert keeper.current.version == 4
-    assert not keeper.offer(later)
-    assert keeper.current.version == 4
+    assert not config_replica.merge_changes(later[1:])
+    assert config_replica.current.version == 1
+    assert config_replica.merge_changes(later[:1])
+    assert config_replica.current.version == 4
+    assert not config_replica.merge_changes(later)
+    assert config_replica.current.version == 4
--- a/tests/test_decisions/test_decisions_machine.py
+++ b/tests/test_decisions/test_decisions_machine.py
@@ -95,7 +95,7 @@
     @invariant()
     def no_version_goes_back(self) -> None:
         for host in (getattr(self, 'fleet', None) and self.fleet.instances.values()) or ():
-            found = host.instance.keeper.current.version
+            found = host.instance.config_replica.current.version
             assert found >= self.versions.get(id(host), 0)
             self.versions[id(host)] = found
 
--- a/tests/test_decisions/test_decisions_online.py
+++ b/tests/test_decisions/test_decisions_online.py
@@ -8,9 +8,9 @@
 
 from citrondyke.decisions.core.context import Context
 from citrondyke.decisions.membership.peer_messages import ServerState
-from citrondyke.decisions.online.admission import Admission, Place, WaitingForCapacity
+from citrondyke.decisions.online.admission import Admission, Permit, QueuedRequest
 from citrondyke.decisions.online.fleet import Fleet
-from citrondyke.decisions.online.refusal import Refusal, RefusalReason
+from citrondyke.decisions.online.rejection import Rejection, RejectionReason
 from citrondyke.decisions.online.retry_budget import RetryBudget
 from citrondyke.decisions.online.router import Router
 from citrondyke.decisions.online.server_view import ServerView
@@ -41,8 +41,8 @@
         assert found is not None
         return found
 
-    def enter(self, tenant: str) -> Place | Refusal | WaitingForCapacity:
-        return self.admission.enter(MODEL, TenantId(tenant), 100.0, LATER)
+    def acquire(self, tenant: str) -> Permit | Rejection | QueuedRequest:
+        return self.admission.acquire(MODEL, TenantId(tenant), 100.0, LATER)
 
 
 @pytest.fixture
@@ -54,7 +54,7 @@
     # A steward said once that a server is full. Nothing is sent there, so nothing is heard of it
     # again; after a while the old word must not count any more.
     full = ServerState(ServerId('s0'), 9, 10, 10, False)
-    parts.view(0).report(full, parts.time.now_ms())
+    parts.view(0).apply_report(full, parts.time.now_ms())
     assert {parts.router.choose(MODEL, None) for _ in range(20)} == {parts.view(1)}
     parts.time.run_until(2500.0)
     chosen = [parts.router.choose(MODEL, None) for _ in range(40)]
@@ -77,47 +77,47 @@
     parts.fleet.update_list([parts.view(0).listed, parts.view(1).listed])
     assert {parts.router.choose(MODEL, None) for _ in range(20)} == {parts.view(1)}
     parts.fleet.mark_leaving(ServerId('s1'))
-    refused = parts.router.choose(MODEL, None)
-    assert isinstance(refused, Refusal)
-    assert refused.reason is RefusalReason.NO_SERVER
+    rejected = parts.router.choose(MODEL, None)
+    assert isinstance(rejected, Rejection)
+    assert rejected.reason is RejectionReason.NO_SERVER
 
 
 def test_flooding_tenant_leaves_places_for_others(parts: Parts) -> None:
     # One tenant asks for everything while another has one request in. From a part of the places
     # on the first is held to its share; the other's next requests find room.
-    assert isinstance(parts.enter('calm'), Place)
-    answers = [parts.enter('flood') for _ in range(40)]
-    assert sum(isinstance(answer, Place) for answer in answers) < 20
-    assert any(isinstance(answer, Refusal) for answer in answers)
+    assert isinstance(parts.acquire('calm'), Permit)
+    answers = [parts.acquire('flood') for _ in range(40)]
+    assert sum(isinstance(answer, Permit) for answer in answers) < 20
+    assert any(isinstance(answer, Rejection) for answer in answers)
     for _ in range(4):
-        assert isinstance(parts.enter('calm'), Place)
+        assert isinstance(parts.acquire('calm'), Permit)
 
 
 def test_queue_is_bounded_and_served_in_turns(parts: Parts) -> None:
-    places = [parts.enter('a') for _ in range(20)]
-    assert all(isinstance(place, Place) for place in places)
-    waiting = parts.enter('b')
-    assert isinstance(waiting, WaitingForCapacity)
-    refused = parts.enter('a')
-    assert isinstance(refused, Refusal)
-    assert refused.retry_in_ms > 0
-    parts.admission.leave(places[0])  # type: ignore[arg-type]
+    permits = [parts.acquire('a') for _ in range(20)]
+    assert all(isinstance(permit, Permit) for permit in permits)
+    waiting = parts.acquire('b')
+    assert isinstance(waiting, QueuedRequest)
+    rejected = parts.acquire('a')
+    assert isinstance(rejected, Rejection)
+    assert rejected.retry_in_ms > 0
+    parts.admission.release(permits[0])  # type: ignore[arg-type]
     assert waiting.outcome.is_fired
-    assert isinstance(waiting.outcome.value, Place)
+    assert isinstance(waiting.outcome.value, Permit)
 
 
 def test_place_given_to_one_who_left_comes_back(parts: Parts) -> None:
     # A caller goes away in the queue at the moment it is given a place; the place is not lost.
-    places = [parts.enter('a') for _ in range(20)]
-    waiting = parts.enter('b')
-    assert isinstance(waiting, WaitingForCapacity)
-    parts.admission.leave(places[0])  # type: ignore[arg-type]
-    parts.admission.give_up(MODEL, waiting)
-    assert isinstance(parts.enter('b'), Place)
+    permits = [parts.acquire('a') for _ in range(20)]
+    waiting = parts.acquire('b')
+    assert isinstance(waiting, QueuedRequest)
+    parts.admission.release(permits[0])  # type: ignore[arg-type]
+    parts.admission.abandon(MODEL, waiting)
+    assert isinstance(parts.acquire('b'), Permit)
 
 
 def test_retries_cannot_double_an_overload() -> None:
-    budget = RetryBudget(share=0.1, most=5.0)
+    budget = RetryBudget(share=0.1, limit=5.0)
     assert sum(budget.withdraw() for _ in range(100)) == 5
     for _ in range(100):
         budget.deposit()
--- a/tests/test_decisions/test_decisions_rows.py
+++ b/tests/test_decisions/test_decisions_rows.py
@@ -87,7 +87,7 @@
     fleet.time.run_until(fleet.time.now_ms() + 2000.0)
     for host in fleet.live_instances():
         assert host.instance.is_ready
-        assert host.instance.keeper.current.version == 1
+        assert host.instance.config_replica.current.version == 1
     started = fleet.add_instance('i9', 'z', LIMITS)
     fleet.time.run_until(fleet.time.now_ms() + 2000.0)
     assert not started.instance.is_ready
--- a/tests/test_driver/test_driver_replay.py
+++ b/tests/test_driver/test_driver_replay.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from citrondyke.decisions.evidence.record import OutcomeRecord, RecordKind
+from citrondyke.decisions.audit.record import OutcomeRecord, RecordKind
 from citrondyke.driver.virtual.replay import replay
 from citrondyke.driver.virtual.trace import TraceEventKind, events_of_records, read_trace
 from citrondyke.driver.virtual.trace_outcome import TraceOutcome
--- a/tests/test_gateway/test_servers/test_servers_crash_fleet.py
+++ b/tests/test_gateway/test_servers/test_servers_crash_fleet.py
@@ -7,8 +7,11 @@
 import pytest
 
 from citrondyke.decisions.core.context import Context
-from citrondyke.decisions.crashes.content import LazyRequestContent, RequestContent
-from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry, SuspectVerdict
+from citrondyke.decisions.crashes.request_fingerprint import (
+    LazyRequestFingerprint,
+    RequestFingerprint,
+)
+from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry, SuspectStatus
 from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
 from citrondyke.gateway.metrics import Metrics
@@ -22,8 +25,8 @@
 from tests.support.peers import listed_server
 
 SERVERS = 20
-CULPRIT_WORK = LazyRequestContent(b'POST', 'h', b'/p/', b'culprit')
-CULPRIT = CULPRIT_WORK.content
+CULPRIT_WORK = LazyRequestFingerprint(b'POST', 'h', b'/p/', b'culprit')
+CULPRIT = CULPRIT_WORK.fingerprint
 
 
 class Member:
@@ -39,7 +42,7 @@
             context, self.book, self.suspects, store, Metrics(), Tasks()
         )
 
-    def see_end(self, server: int, *contents: RequestContent) -> None:
+    def see_end(self, server: int, *contents: RequestFingerprint) -> None:
         """Have requests break off at a server that then refuses connections."""
         state = self.book.state(ServerId(f's-{server}'))
         assert state is not None
@@ -99,8 +102,8 @@
     for server, member in enumerate(fleet.some(3)):
         member.see_end(server, CULPRIT)
         fleet.deliver()
-    standings = [member.suspects.standing(CULPRIT) for member in fleet.members.values()]
-    assert standings.count(SuspectVerdict.STOPPED) >= 0.99 * instances_count
+    standings = [member.suspects.status_of(CULPRIT) for member in fleet.members.values()]
+    assert standings.count(SuspectStatus.STOPPED) >= 0.99 * instances_count
 
 
 def test_whole_answer_clears_what_everybody_knows() -> None:
@@ -119,8 +122,8 @@
     # answered well elsewhere. Told to all by all they would be 9,312 datagrams.
     fleet = LargeFleet(195)
     witnesses = fleet.some(8)
-    works = [LazyRequestContent(b'POST', 'h', b'/p/', b'%d' % n) for n in range(8)]
-    contents = [work.content for work in works]
+    works = [LazyRequestFingerprint(b'POST', 'h', b'/p/', b'%d' % n) for n in range(8)]
+    contents = [work.fingerprint for work in works]
     for member, content in zip(witnesses, contents, strict=True):
         member.see_end(0, content)
     fleet.deliver()
--- a/tests/test_gateway/test_servers/test_servers_crashes.py
+++ b/tests/test_gateway/test_servers/test_servers_crashes.py
@@ -5,7 +5,7 @@
 import gevent
 import pytest
 
-from citrondyke.decisions.crashes.content import content_of
+from citrondyke.decisions.crashes.request_fingerprint import fingerprint_of
 from citrondyke.gateway.servers.suspect_store import SUSPECTS_TABLE
 from citrondyke.standin.platform_server import Act
 from citrondyke.storage.partitioned_table import Listing
@@ -101,7 +101,7 @@
     for server in fleet.servers.values():
         server.deadly_bodies.clear()
     assert fleet.call('/fetch/a', DEADLY, request_id='well').status == 200
-    content = content_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
+    content = fingerprint_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
     for instance in fleet.instances:
         wait_until_seen(lambda: not instance.guard.ends_count(content), 'it to be cleared')  # noqa: B023
 
@@ -143,7 +143,7 @@
 def test_ends_seen_by_one_instance_alone_are_added_to_the_row(fleet: GatewayFleet) -> None:
     # Instances do not reach each other, only the store: each has seen other servers end. Together
     # they are three, and all must know.
-    content = content_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
+    content = fingerprint_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
     for instance, servers in zip(fleet.instances, ((1,), (2, 3)), strict=True):
         instance.peers.stop()
         for server in servers:
@@ -160,7 +160,7 @@
     for server in fleet.servers.values():
         server.deadly_bodies.clear()
         server.acts.extend([Act.FAIL] * 4)
-    content = content_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
+    content = fingerprint_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
     assert fleet.call('/fetch/a', DEADLY, request_id='failed').status == 500
     assert fleet.instances[0].guard.ends_count(content) == 2.0
 
--- a/tests/test_gateway/test_servers/test_servers_suspect_store.py
+++ b/tests/test_gateway/test_servers/test_servers_suspect_store.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from citrondyke.decisions.crashes.content import LazyRequestContent, content_of
+from citrondyke.decisions.crashes.request_fingerprint import LazyRequestFingerprint, fingerprint_of
 from citrondyke.decisions.crashes.suspect_registry import (
     FIRST_PROBE_PAUSE_MS,
     SuspectRegistry,
-    SuspectVerdict,
+    SuspectStatus,
 )
 from citrondyke.gateway.replication.dependency import Dependency
 from citrondyke.gateway.servers.suspect_store import SILENT_MS, TRIES, SuspectStore
@@ -17,7 +17,7 @@
 from tests.support.gateway import HOST, GatewayFleet, wait_until_seen
 from tests.support.manual_clock import ManualClock, manual_context
 
-CULPRIT = content_of(b'POST', b'h', b'/p/', b'culprit')
+CULPRIT = fingerprint_of(b'POST', b'h', b'/p/', b'culprit')
 
 
 class Member:
@@ -53,7 +53,7 @@
 def test_one_of_all_gets_the_trial(floor: Floor) -> None:
     assert [member.claim() for member in floor.members] == [True, False, False]
     for member in floor.members:
-        assert member.book.standing(CULPRIT) is SuspectVerdict.ON_TRIAL
+        assert member.book.status_of(CULPRIT) is SuspectStatus.PROBE_RUNNING
 
 
 @pytest.mark.parametrize('trouble', [Trouble.REFUSED, Trouble.LATE, Trouble.REPLY_LOST])
@@ -106,7 +106,7 @@
         lambda: 1.0,
     )
     missed.record_server_exit(CULPRIT, 4, is_fresh=True)
-    store.look(other := content_of(b'POST', b'h', b'/p/', b'other'))
+    store.look(other := fingerprint_of(b'POST', b'h', b'/p/', b'other'))
     assert missed.score(other) == 0.0
     assert missed.score(CULPRIT) == 1.0
     store.look(CULPRIT)
@@ -116,8 +116,8 @@
 def test_row_seen_after_the_success_is_cleared_too(fleet: GatewayFleet) -> None:
     # A request is answered well at an instance that has not seen its row yet. Left as it is, the
     # row would stop the request once all instances have started anew.
-    work = LazyRequestContent(b'POST', HOST, b'/fetch/a', b'well')
-    content = work.content
+    work = LazyRequestFingerprint(b'POST', HOST, b'/fetch/a', b'well')
+    content = work.fingerprint
     first, second = fleet.instances
     second.peers.stop()
     second.suspects.record_server_exit(content, 1, is_fresh=True)
@@ -131,7 +131,7 @@
 def test_row_is_written_once_the_store_is_back(fleet: GatewayFleet) -> None:
     # Three servers end while the store refuses everybody. Once it is back the row must be there,
     # or a loss of all power would make the request free again.
-    content = content_of(b'POST', HOST.encode(), b'/fetch/a', b'deadly')
+    content = fingerprint_of(b'POST', HOST.encode(), b'/fetch/a', b'deadly')
     (first, other), faults = fleet.instances, fleet.store.faults
     faults.refused_ips = {'*'}
     for server in (1, 2, 3):
--- a/tests/test_soak/witness.py
+++ b/tests/test_soak/witness.py
@@ -23,7 +23,7 @@
 LEAVE_S = 4.0
 #: Servers that may end under one request, and sends beyond them, once the news of the last end had
 #: this long to come round; an instance that nobody reaches is cut off for less.
-ENDS_LIMIT = 3
+EXITS_LIMIT = 3
 SENDS_BEYOND = 3
 NEWS_S = 3.0
 TEXT = '\n'.join(f'text {number}' for number in range(1, EVENTS + 1))
@@ -139,9 +139,9 @@
         began_s = sorted(
             run.began_s for server in servers for run in server.runs if run.body == body
         )
-        if len(began_s) < ENDS_LIMIT:
+        if len(began_s) < EXITS_LIMIT:
             return
-        late = [each for each in began_s if each > began_s[ENDS_LIMIT - 1] + NEWS_S]
+        late = [each for each in began_s if each > began_s[EXITS_LIMIT - 1] + NEWS_S]
         if len(late) > SENDS_BEYOND:
             self.complain(f'{body!r} was sent {len(late)} times more; it ran {len(began_s)} times')
 
