--- a/citrondyke/decisions/online/admission.py
+++ b/citrondyke/decisions/online/admission.py
@@ -29,7 +29,7 @@
 #: The pace at which places become free is averaged over about so long.
 RATE_WINDOW_MS = 1000.0
 SHORTEST_RETRY_MS = 100.0
-LONGEST_RETRY_MS = 30_000.0
+MAX_RETRY_MS = 30_000.0
 
 
 class Permit(msgspec.Struct, frozen=True):
@@ -236,7 +236,7 @@
         if state.release_rate_per_ms <= 0.0:
             return SHORTEST_RETRY_MS * 10
         backlog_ms = (state.waiting_count + 1) / state.release_rate_per_ms
-        retry_ms = min(LONGEST_RETRY_MS, max(SHORTEST_RETRY_MS, backlog_ms))
+        retry_ms = min(MAX_RETRY_MS, max(SHORTEST_RETRY_MS, backlog_ms))
         # Spread, so that those who were turned away together do not come back together.
         return retry_ms * (1 + self._context.random.random())
 
