--- a/citrondyke/decisions/crashes/suspect.py
+++ b/citrondyke/decisions/crashes/suspect.py
@@ -44,56 +44,54 @@
     """
 
     content: RequestFingerprint
-    exit_weights: dict[int, float]
+    lives: dict[int, float]
     cleared: list[int]
-    generation: int = 0
+    era: int = 0
     #: Sends that were allowed beyond the limit, and those of them that no server ran.
-    probes_count: int = 0
-    refused_probes_count: int = 0
-    probed_epoch_ms: float = 0.0
-    score_at_probe: float = 0.0
+    trials: int = 0
+    refused: int = 0
+    tried_epoch_ms: float = 0.0
+    score_at_trial: float = 0.0
     changed_epoch_ms: float = 0.0
 
     @property
     def score(self) -> float:
         """Add up the ends of servers, each once whoever reports it."""
-        return sum(self.exit_weights.values())
+        return sum(self.lives.values())
 
     def count(self, server: int, weight: float, epoch_ms: float) -> bool:
         """Count a server's end; tell whether that is news."""
-        if server in self.cleared or self.exit_weights.get(server, 0.0) >= weight:
+        if server in self.cleared or self.lives.get(server, 0.0) >= weight:
             return False
-        self.exit_weights[server] = weight
+        self.lives[server] = weight
         self.changed_epoch_ms = max(self.changed_epoch_ms, epoch_ms)
         return True
 
     def clear(self, epoch_ms: float) -> None:
         """Begin anew after a success."""
-        self.cleared = (self.cleared + list(self.exit_weights))[-CLEARED_LIMIT:]
-        self.exit_weights = {}
-        self.generation += 1
-        self.probes_count = self.refused_probes_count = 0
-        self.probed_epoch_ms = self.score_at_probe = 0.0
+        self.cleared = (self.cleared + list(self.lives))[-CLEARED_LIMIT:]
+        self.lives = {}
+        self.era += 1
+        self.trials = self.refused = 0
+        self.tried_epoch_ms = self.score_at_trial = 0.0
         self.changed_epoch_ms = max(self.changed_epoch_ms, epoch_ms)
 
     def merge(self, row: SuspectRow) -> bool:
         """Take in what another instance knows; tell whether that changed anything."""
         before = self.row()
-        if row.era > self.generation:
+        if row.era > self.era:
             self.clear(row.changed_epoch_ms)
-            self.generation = row.era
+            self.era = row.era
         self.cleared = list(dict.fromkeys([*self.cleared, *row.cleared]))[-CLEARED_LIMIT:]
-        if row.era == self.generation:
+        if row.era == self.era:
             for server, weight in row.lives.items():
                 self.count(server, weight, row.changed_epoch_ms)
-            if row.trials >= self.probes_count:
-                self.probes_count = row.trials
-                self.score_at_probe = max(self.score_at_probe, row.score_at_trial)
-            self.refused_probes_count = max(self.refused_probes_count, row.refused)
-            self.probed_epoch_ms = max(self.probed_epoch_ms, row.tried_epoch_ms)
-        self.exit_weights = {
-            each: self.exit_weights[each] for each in self.exit_weights if each not in self.cleared
-        }
+            if row.trials >= self.trials:
+                self.trials = row.trials
+                self.score_at_trial = max(self.score_at_trial, row.score_at_trial)
+            self.refused = max(self.refused, row.refused)
+            self.tried_epoch_ms = max(self.tried_epoch_ms, row.tried_epoch_ms)
+        self.lives = {each: self.lives[each] for each in self.lives if each not in self.cleared}
         self.changed_epoch_ms = max(self.changed_epoch_ms, row.changed_epoch_ms)
         return self.row() != before
 
@@ -102,12 +100,12 @@
         return SuspectRow(
             digest=self.content.digest,
             target=self.content.target,
-            lives=dict(self.exit_weights),
+            lives=dict(self.lives),
             cleared=list(self.cleared),
-            era=self.generation,
-            trials=self.probes_count,
-            refused=self.refused_probes_count,
-            tried_epoch_ms=self.probed_epoch_ms,
-            score_at_trial=self.score_at_probe,
+            era=self.era,
+            trials=self.trials,
+            refused=self.refused,
+            tried_epoch_ms=self.tried_epoch_ms,
+            score_at_trial=self.score_at_trial,
             changed_epoch_ms=self.changed_epoch_ms,
         )
--- a/citrondyke/decisions/crashes/suspect_registry.py
+++ b/citrondyke/decisions/crashes/suspect_registry.py
@@ -86,12 +86,12 @@
 
     def contents(self) -> list[RequestFingerprint]:
         """List the suspects."""
-        return [suspect.content for suspect in self._by_digest.values() if suspect.exit_weights]
+        return [suspect.content for suspect in self._by_digest.values() if suspect.lives]
 
     def probes_count(self, content: RequestFingerprint) -> int:
         """Count the trials of a request."""
         suspect = self._by_digest.get(content.digest)
-        return 0 if suspect is None else suspect.probes_count
+        return 0 if suspect is None else suspect.trials
 
     def has_suspects_for(self, target: int) -> bool:
         """Tell whether a request for a target may be a suspect."""
@@ -116,7 +116,7 @@
     def record_survived(self, content: RequestFingerprint) -> bool:
         """Take in a whole answer; tell whether the request had been suspected."""
         suspect = self._by_digest.get(content.digest)
-        if suspect is None or not suspect.exit_weights:
+        if suspect is None or not suspect.lives:
             return False
         suspect.clear(self._context.epoch_ms())
         return True
@@ -131,15 +131,15 @@
     def status_of(self, content: RequestFingerprint, *, is_item: bool = False) -> SuspectStatus:
         """Tell what may be done with a request."""
         suspect = self._by_digest.get(content.digest)
-        if suspect is None or not suspect.exit_weights:
+        if suspect is None or not suspect.lives:
             return SuspectStatus.FREE
         if suspect.score < EXITS_LIMIT:
             return SuspectStatus.SUSPECTED
         epoch_ms = self._context.epoch_ms()
         if _is_probe_due(suspect, epoch_ms, is_item=is_item):
             return SuspectStatus.PROBE_DUE
-        is_undecided = suspect.score <= suspect.score_at_probe
-        if is_undecided and epoch_ms < suspect.probed_epoch_ms + PROBE_TIMEOUT_MS:
+        is_undecided = suspect.score <= suspect.score_at_trial
+        if is_undecided and epoch_ms < suspect.tried_epoch_ms + PROBE_TIMEOUT_MS:
             return SuspectStatus.PROBE_RUNNING
         return SuspectStatus.STOPPED
 
@@ -153,7 +153,7 @@
         suspect = self._suspect(content)
         return msgspec.structs.replace(
             suspect.row(),
-            trials=suspect.probes_count + 1,
+            trials=suspect.trials + 1,
             tried_epoch_ms=self._context.epoch_ms(),
             score_at_trial=suspect.score,
             changed_epoch_ms=self._context.epoch_ms(),
@@ -164,14 +164,14 @@
         """Take note that no server ran a trial."""
         suspect = self._by_digest.get(content.digest)
         if suspect is not None:
-            suspect.refused_probes_count += 1
+            suspect.refused += 1
 
     def stored_rows(self) -> list[SuspectRow]:
         """Give what a newcomer should know."""
         return [
             suspect.row()
             for suspect in self._by_digest.values()
-            if suspect.score >= STORED_SCORE or suspect.generation
+            if suspect.score >= STORED_SCORE or suspect.era
         ]
 
     def forget_old(self) -> Iterable[ContentDigest]:
@@ -207,11 +207,11 @@
 
 
 def _is_probe_due(suspect: Suspect, epoch_ms: float, *, is_item: bool) -> bool:
-    if suspect.probes_count >= PROBES_LIMIT + suspect.refused_probes_count:
+    if suspect.trials >= PROBES_LIMIT + suspect.refused:
         return False
-    ran = suspect.probes_count - suspect.refused_probes_count
+    ran = suspect.trials - suspect.refused
     if ran <= 0:
         is_retry_due = epoch_ms >= suspect.changed_epoch_ms + FIRST_PROBE_PAUSE_MS
-        return is_retry_due and suspect.refused_probes_count < REFUSED_LIMIT
+        return is_retry_due and suspect.refused < REFUSED_LIMIT
     pause_ms = ITEM_PROBE_PAUSE_MS if is_item else PROBE_PAUSE_MS
-    return epoch_ms >= suspect.probed_epoch_ms + pause_ms * 2.0 ** (ran - 1)
+    return epoch_ms >= suspect.tried_epoch_ms + pause_ms * 2.0 ** (ran - 1)
--- a/citrondyke/decisions/online/online_dispatcher.py
+++ b/citrondyke/decisions/online/online_dispatcher.py
@@ -41,7 +41,7 @@
     first_frame_ms: float | None = None
     tried: tuple[ServerId, ...] = ()
     #: Those of them that cut it.
-    interrupted: tuple[ServerId, ...] = ()
+    cut: tuple[ServerId, ...] = ()
 
 
 class OnlineDispatcher:
@@ -124,11 +124,9 @@
         nothing would only be asked again by every caller at once.
         """
         view = self._router.choose(request.target, request.prefix_bucket, progress.tried)
-        if isinstance(view, Rejection) and progress.interrupted:
-            progress.tried = tuple(
-                each for each in progress.tried if each not in progress.interrupted
-            )
-            progress.interrupted = ()
+        if isinstance(view, Rejection) and progress.cut:
+            progress.tried = tuple(each for each in progress.tried if each not in progress.cut)
+            progress.cut = ()
             return self._router.choose(request.target, request.prefix_bucket, progress.tried)
         return view
 
@@ -182,7 +180,7 @@
             return
         progress.tried = (*progress.tried, view.listed.id)
         if reply.kind is ReplyKind.CUT:
-            progress.interrupted = (*progress.interrupted, view.listed.id)
+            progress.cut = (*progress.cut, view.listed.id)
         self._router.record_failure(view)
 
     def _deadline_result(self, progress: _Progress) -> OnlineResult:
--- a/tests/test_crashes/test_crashes_suspects.py
+++ b/tests/test_crashes/test_crashes_suspects.py
@@ -196,7 +196,7 @@
     suspect = Suspect(CULPRIT, {}, [])
     for row in wanted:
         suspect.merge(row)
-    return suspect.generation, suspect.exit_weights, suspect.probes_count, suspect.changed_epoch_ms
+    return suspect.era, suspect.lives, suspect.trials, suspect.changed_epoch_ms
 
 
 @given(st.lists(rows, max_size=5), st.integers(0, 1_000))
