--- a/citrondyke/decisions/crashes/server_exit_detector.py
+++ b/citrondyke/decisions/crashes/server_exit_detector.py
@@ -65,7 +65,7 @@
         self._exited_ms.setdefault(server, self._context.now_ms())
         return self._interrupted.pop(server, [])
 
-    def record_unlisted(self, server: int) -> list[InterruptedRequest]:
+    def record_removed(self, server: int) -> list[InterruptedRequest]:
         """Take in that a server is off the list; give what that counts against.
 
         It may go on serving what it has: only what broke off there before is told by it.
--- a/citrondyke/gateway/callers/forwarding.py
+++ b/citrondyke/gateway/callers/forwarded_request.py
@@ -14,10 +14,10 @@
 from citrondyke.decisions.forwarding.route import Route
 from citrondyke.decisions.forwarding.send_history import SendHistory
 from citrondyke.gateway.callers.caller_request import CallerRequest
-from citrondyke.gateway.dialect import CallFacts
+from citrondyke.gateway.dialect import RequestMetadata
 from citrondyke.ids import ConfigVersion
 
-__all__ = ('Forwarding', 'RequestResult')
+__all__ = ('ForwardedRequest', 'RequestResult')
 
 
 class RequestResult(Enum):
@@ -45,13 +45,13 @@
     PROBE_RUNNING = 'on_trial'
 
 
-class Forwarding(msgspec.Struct):
+class ForwardedRequest(msgspec.Struct):
     """One request on its way."""
 
     request: CallerRequest
     #: What it asks for, whichever attempt this is.
     work: LazyRequestFingerprint
-    facts: CallFacts
+    facts: RequestMetadata
     #: Whose request it is.
     account: Account
     route: Route
--- a/tests/test_crashes/test_crashes_life_watch.py
+++ b/tests/test_crashes/test_crashes_life_watch.py
@@ -60,7 +60,7 @@
     setup.interrupt()
     setup.clock.ms += ALIVE_WITHIN_MS + 1.0
     setup.detector.record_server_alive(SERVER, setup.clock.ms)
-    assert [each.content for each in setup.detector.record_unlisted(SERVER)] == [content(b'a')]
+    assert [each.content for each in setup.detector.record_removed(SERVER)] == [content(b'a')]
 
 
 def test_connection_begun_before_the_break_says_nothing(setup: DetectorSetup) -> None:
@@ -73,7 +73,7 @@
 
 
 def test_server_off_the_list_goes_on_with_what_it_has(setup: DetectorSetup) -> None:
-    setup.detector.record_unlisted(SERVER)
+    setup.detector.record_removed(SERVER)
     assert not setup.interrupt()
 
 
--- a/tests/test_crashes/test_crashes_suspects.py
+++ b/tests/test_crashes/test_crashes_suspects.py
@@ -221,20 +221,20 @@
     # and has a try left moves to a server of its own; the culprit comes again and again.
     rng = random.Random(seed)
     setup = RegistrySetup()
-    ends_count = 0
+    exits_count = 0
     answered = set()
     crowd: list[RequestFingerprint] = []
     for turn in range(200):
         setup.clock.ms += 10.0
         crowd = [*[each for each in crowd if each not in answered][-8:], other(turn)]
         if turn % 5 == 0 and setup.registry.status_of(CULPRIT) in SENT:
-            ends_count += 1
+            exits_count += 1
             place = rng.randrange(5)
             beside = [each for index, each in enumerate(crowd) if index % 5 == place]
-            setup.record_exits(1_000 + ends_count, CULPRIT, *beside)
+            setup.record_exits(1_000 + exits_count, CULPRIT, *beside)
         for each in crowd[:4]:
             if setup.registry.status_of(each) in SENT:
                 setup.registry.record_survived(each)
                 answered.add(each)
-    assert ends_count == 3
+    assert exits_count == 3
     assert all(setup.registry.status_of(other(turn)) in SENT for turn in range(200))
