--- a/citrondyke/decisions/crashes/suspect.py
+++ b/citrondyke/decisions/crashes/suspect.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from citrondyke.decisions.crashes.content import RequestContent
+from citrondyke.decisions.crashes.request_fingerprint import RequestFingerprint
 
 __all__ = ('BEGUN_WEIGHT', 'FRESH_WEIGHT', 'Suspect', 'SuspectRow')
 
@@ -43,7 +43,7 @@
     and what a peer hands over may arrive in any order and more than once.
     """
 
-    content: RequestContent
+    content: RequestFingerprint
     lives: dict[int, float]
     cleared: list[int]
     era: int = 0
@@ -76,7 +76,7 @@
         self.tried_epoch_ms = self.score_at_trial = 0.0
         self.changed_epoch_ms = max(self.changed_epoch_ms, epoch_ms)
 
-    def join(self, row: SuspectRow) -> bool:
+    def merge(self, row: SuspectRow) -> bool:
         """Take in what another instance knows; tell whether that changed anything."""
         before = self.row()
         if row.era > self.era:
