--- a/benchmarks/account_limits.py
+++ b/benchmarks/account_limits.py
@@ -76,7 +76,7 @@
     if make is CountedLimits:
         world.tick_ms = TELL_MS
     world.run(SETTLE_MS)
-    world.messages.clear()
+    world.sent_counts.clear()
     world.may_wait_ms = MAY_WAIT_MS
     began_ms = world.now_ms
     world.load(HOT.id, HOT.rate_per_s * USUAL_PART * 9, LENGTH_MS)
@@ -95,8 +95,8 @@
         _uses(world, began_ms, began_ms + FLOOD_MS) / (HOT.rate_per_s * FLOOD_MS / 1e3 + HOT.burst),
         100 * (1 - within / max(1, asked)),
         waits[int(SHARE_P99 * len(waits))] if waits else 0.0,
-        sum(world.messages.values()) / seconds / size,
-        max(world.messages.values(), default=0) / seconds,
+        sum(world.sent_counts.values()) / seconds / size,
+        max(world.sent_counts.values(), default=0) / seconds,
         took_s / max(1, len(waits)) * 1e6,
     )
 
--- a/benchmarks/drained_bucket.py
+++ b/benchmarks/drained_bucket.py
@@ -16,4 +16,4 @@
 
     def wait_ms(self, rate_per_s: float) -> float:
         """Give the time until there is room for one, as of the last ``try_consume``."""
-        return max(0.0, 1.0 - self._level) / rate_per_s * 1e3
+        return max(0.0, 1.0 - self._remaining) / rate_per_s * 1e3
--- a/citrondyke/decisions/accounts/account_quota.py
+++ b/citrondyke/decisions/accounts/account_quota.py
@@ -40,13 +40,13 @@
         self._budget = budget
         self._bucket = bucket
         self._since_ms = since_ms
-        self._ring = UseWindowCounter(budget.window_ms + GRANT_MS)
-        self._rejected = UseWindowCounter(budget.window_ms)
+        self._window_uses = UseWindowCounter(budget.window_ms + GRANT_MS)
+        self._window_rejections = UseWindowCounter(budget.window_ms)
         #: The highest depth in this lease; by it keepers know the floor of an account not named.
         self.max_depth = 0.0
         self.reservations = Reservations()
         self.rejected_work = RejectedWork()
-        self._next_ahead_ms = float('-inf')
+        self._next_advance_ms = float('-inf')
         #: Until when some instance refuses without asking; it does not know of later places.
         self.local_rejection_until_ms = float('-inf')
 
@@ -54,12 +54,12 @@
         """Give what is left before the account has had all of its burst."""
         depth = self._budget.depth(account.rate_per_s, account.burst)
         self.max_depth = max(self.max_depth, depth)
-        level = self._bucket.remaining(account.rate_per_s, depth, now_ms)
+        remaining = self._bucket.remaining(account.rate_per_s, depth, now_ms)
         # A limit that was lowered would hold back for longer than what it was lowered to.
-        lowest = -account.rate_per_s * (ADVANCE_GRANT_MS + LEASE_MS) / 1e3
-        if level < lowest:
-            self._bucket.add(lowest - level)
-        return max(level, lowest)
+        min_remaining = -account.rate_per_s * (ADVANCE_GRANT_MS + LEASE_MS) / 1e3
+        if remaining < min_remaining:
+            self._bucket.add(min_remaining - remaining)
+        return max(remaining, min_remaining)
 
     def add_remaining(self, count: float) -> None:
         """Take in that the account had more left."""
@@ -79,13 +79,15 @@
         """
         if is_reserved:
             return self._free_after(account, now_ms, 0, 0, may_advance=may_advance)
-        kept = len(self.reservations)
-        at_ms = self._free_after(account, now_ms, 0, kept, may_advance=may_advance)
-        if at_ms < self._next_ahead_ms and self.remaining(account, now_ms) < 1.0:
-            at_ms = self._next_ahead_ms
+        reserved_count = len(self.reservations)
+        at_ms = self._free_after(account, now_ms, 0, reserved_count, may_advance=may_advance)
+        if at_ms < self._next_advance_ms and self.remaining(account, now_ms) < 1.0:
+            at_ms = self._next_advance_ms
         for _ in range(MAX_SCANS):
-            ahead = self.reservations.count_due(at_ms)
-            later_ms = self._free_after(account, now_ms, ahead, kept, may_advance=may_advance)
+            reserved_before = self.reservations.count_due(at_ms)
+            later_ms = self._free_after(
+                account, now_ms, reserved_before, reserved_count, may_advance=may_advance
+            )
             if later_ms <= at_ms:
                 break
             at_ms = later_ms
@@ -95,24 +97,30 @@
         """Count a use that begins at a moment."""
         if self.remaining(account, now_ms) < 1.0:
             gap_ms = 1e3 / (ADVANCE_RATE_FACTOR * account.rate_per_s)
-            self._next_ahead_ms = max(self._next_ahead_ms, at_ms) + gap_ms
+            self._next_advance_ms = max(self._next_advance_ms, at_ms) + gap_ms
         self._bucket.add(-1.0)
-        self._ring.record(at_ms)
+        self._window_uses.record(at_ms)
 
     def record_rejected(self, now_ms: float) -> None:
         """Count a refusal."""
-        self._rejected.record(now_ms)
+        self._window_rejections.record(now_ms)
 
     def window_uses_count(self, now_ms: float) -> int:
         """Give how many uses there were in the last window."""
-        return self._ring.count(now_ms)
+        return self._window_uses.count(now_ms)
 
     def rejected_count(self, now_ms: float) -> int:
         """Give how many refusals there were in the last window."""
-        return self._rejected.count(now_ms)
+        return self._window_rejections.count(now_ms)
 
     def _free_after(
-        self, account: Account, now_ms: float, ahead: int, kept: int, *, may_advance: bool
+        self,
+        account: Account,
+        now_ms: float,
+        reserved_before: int,
+        reserved_count: int,
+        *,
+        may_advance: bool,
     ) -> float:
         """Give when the next use may begin.
 
@@ -120,12 +128,12 @@
         :param kept: all places; the window must have room left for them.
         """
         rate_per_s = account.rate_per_s
-        level = self.remaining(account, now_ms) - ahead
-        by_level_ms = now_ms + max(0.0, 1.0 - level) / rate_per_s * 1e3
-        if level >= 1.0 or not may_advance or not self.has_counted_full_window(now_ms):
-            return by_level_ms
-        lowest = 1.0 - rate_per_s * ADVANCE_GRANT_MS / 1e3
-        ahead_ms = now_ms + max(0.0, lowest - level) / rate_per_s * 1e3
+        remaining = self.remaining(account, now_ms) - reserved_before
+        refill_ms = now_ms + max(0.0, 1.0 - remaining) / rate_per_s * 1e3
+        if remaining >= 1.0 or not may_advance or not self.has_counted_full_window(now_ms):
+            return refill_ms
+        min_remaining = 1.0 - rate_per_s * ADVANCE_GRANT_MS / 1e3
+        advance_ms = now_ms + max(0.0, min_remaining - remaining) / rate_per_s * 1e3
         allowed = self._budget.advance_grant_limit(rate_per_s, account.burst)
-        room_ms = self._ring.fits_at_ms(now_ms, allowed, kept + 1)
-        return min(by_level_ms, max(ahead_ms, room_ms))
+        window_free_ms = self._window_uses.fits_at_ms(now_ms, allowed, reserved_count + 1)
+        return min(refill_ms, max(advance_ms, window_free_ms))
--- a/citrondyke/decisions/accounts/advance_grant_records.py
+++ b/citrondyke/decisions/accounts/advance_grant_records.py
@@ -47,14 +47,14 @@
         self._lease_epoch = era
         self._row: AdvanceGrantRow | None = None
         #: Accounts that ask for a mark, and until when each keeps it.
-        self._wanted_until_ms: dict[TenantId, float] = {}
+        self._requested_until_ms: dict[TenantId, float] = {}
         self._retry_at_ms = float('-inf')
         self._is_calling = False
 
     @property
     def accounts(self) -> set[TenantId]:
         """List accounts that have a mark or ask for one."""
-        return set(self._wanted_until_ms) | (self._row.accounts if self._row else frozenset())
+        return set(self._requested_until_ms) | (self._row.accounts if self._row else frozenset())
 
     def is_recorded(self, account: TenantId) -> bool:
         """Tell whether an account certainly has its mark and keeps it."""
@@ -62,11 +62,11 @@
         if row is None or not row.is_written:
             # Written by the lease before, of which a later write may still be under way.
             return False
-        return account in row.accounts and account in self._wanted_until_ms
+        return account in row.accounts and account in self._requested_until_ms
 
     def request_record(self, account: TenantId, now_ms: float) -> None:
         """Ask for a mark, or keep it for longer."""
-        self._wanted_until_ms[account] = now_ms + RECORD_HOLD_MS
+        self._requested_until_ms[account] = now_ms + RECORD_HOLD_MS
 
     def next_store_call(self, now_ms: float) -> AdvanceGrantStoreCall | None:
         """Give what the store is to be asked now; one call at a time."""
@@ -75,11 +75,11 @@
         if self._row is None:
             self._is_calling = True
             return AdvanceGrantStoreCall(self._slot, self._lease_epoch)
-        ended = [each for each, at in self._wanted_until_ms.items() if at < now_ms]
-        for account in ended:
+        expired = [each for each, at in self._requested_until_ms.items() if at < now_ms]
+        for account in expired:
             # From here on the account can't have anything ahead of time, whatever the store does.
-            del self._wanted_until_ms[account]
-        wanted = frozenset(self._wanted_until_ms)
+            del self._requested_until_ms[account]
+        wanted = frozenset(self._requested_until_ms)
         if wanted == self._row.accounts and (self._row.is_written or not wanted):
             return None
         self._is_calling = True
--- a/citrondyke/decisions/accounts/fair_share_policy.py
+++ b/citrondyke/decisions/accounts/fair_share_policy.py
@@ -54,18 +54,18 @@
 
     def record_request(self, service: ServiceName, account: TenantId) -> None:
         """Take in that a request has come."""
-        recent = self._history_of(service)
+        history = self._history_of(service)
         now_ms = self._context.now_ms()
-        recent.requests.append(_RecentRequest(now_ms, account))
-        recent.counts[account] += 1
+        history.requests.append(_RecentRequest(now_ms, account))
+        history.counts[account] += 1
         while (
-            recent.requests[0].at_ms < now_ms - RECENT_MS
-            or len(recent.requests) > RECENT_REQUESTS_LIMIT
+            history.requests[0].at_ms < now_ms - RECENT_MS
+            or len(history.requests) > RECENT_REQUESTS_LIMIT
         ):
-            oldest = recent.requests.popleft().account
-            recent.counts[oldest] -= 1
-            if not recent.counts[oldest]:
-                del recent.counts[oldest]
+            oldest = history.requests.popleft().account
+            history.counts[oldest] -= 1
+            if not history.counts[oldest]:
+                del history.counts[oldest]
 
     def record_rejected(self, service: ServiceName, priority: int) -> None:
         """Take in that a request of a priority got no place."""
@@ -73,23 +73,24 @@
 
     def must_yield(self, service: ServiceName, account: TenantId, priority: int) -> bool:
         """Tell whether a request leaves the places that are left to others."""
-        recent = self._history_of(service)
-        if not self._is_heavy(recent, account) and not self._is_less_urgent(recent, priority):
+        history = self._history_of(service)
+        if not self._is_heavy(history, account) and not self._is_less_urgent(history, priority):
             return False
         return self._context.random.random() >= MIN_ADMIT_SHARE
 
     @staticmethod
-    def _is_heavy(recent: _ServiceHistory, account: TenantId) -> bool:
-        own = recent.counts[account]
-        if not account or own < HEAVY_USER_MIN_REQUESTS or len(recent.counts) < 2:  # noqa: PLR2004
+    def _is_heavy(history: _ServiceHistory, account: TenantId) -> bool:
+        own_count = history.counts[account]
+        if not account or own_count < HEAVY_USER_MIN_REQUESTS or len(history.counts) < 2:  # noqa: PLR2004
             return False
-        others_mean = (len(recent.requests) - own) / (len(recent.counts) - 1)
-        return own > HEAVY_USER_FACTOR * others_mean
+        others_mean_count = (len(history.requests) - own_count) / (len(history.counts) - 1)
+        return own_count > HEAVY_USER_FACTOR * others_mean_count
 
-    def _is_less_urgent(self, recent: _ServiceHistory, priority: int) -> bool:
-        from_ms = self._context.now_ms() - YIELD_MS
+    def _is_less_urgent(self, history: _ServiceHistory, priority: int) -> bool:
+        since_ms = self._context.now_ms() - YIELD_MS
         return any(
-            urgent < priority and at_ms > from_ms for urgent, at_ms in recent.rejected_ms.items()
+            other_priority < priority and at_ms > since_ms
+            for other_priority, at_ms in history.rejected_ms.items()
         )
 
     def _history_of(self, service: ServiceName) -> _ServiceHistory:
--- a/citrondyke/decisions/accounts/local_rejection_cache.py
+++ b/citrondyke/decisions/accounts/local_rejection_cache.py
@@ -46,17 +46,21 @@
         #: Work refused without asking since the steward was last asked.
         self._unreported: dict[TenantId, deque[int]] = {}
 
-    def pause_ms(self, account: Account, asker: InstanceId, uses_per_s: float) -> float:
+    def pause_ms(self, account: Account, requester: InstanceId, uses_per_s: float) -> float:
         """Give, as a steward, for how long an instance that was refused need not ask.
 
         :param uses_per_s: how many uses become free in a second.
         """
         now_ms = self._context.now_ms()
-        askers = self._rejected_instances_ms.get(account.id, {})
-        askers = {each: at for each, at in askers.items() if at > now_ms - REQUEST_WINDOW_MS}
-        askers[asker] = now_ms
-        self._rejected_instances_ms[account.id] = askers
-        pause_ms = len(askers) / (REQUESTS_PER_GRANT * uses_per_s) * 1e3
+        rejected_ms = self._rejected_instances_ms.get(account.id, {})
+        rejected_ms = {
+            each: rejected_at_ms
+            for each, rejected_at_ms in rejected_ms.items()
+            if rejected_at_ms > now_ms - REQUEST_WINDOW_MS
+        }
+        rejected_ms[requester] = now_ms
+        self._rejected_instances_ms[account.id] = rejected_ms
+        pause_ms = len(rejected_ms) / (REQUESTS_PER_GRANT * uses_per_s) * 1e3
         return min(MAX_PAUSE_MS, pause_ms)
 
     def set_pause(self, account: TenantId, answer: UseAnswered) -> None:
@@ -78,8 +82,8 @@
         if work in pause.expected:
             return None
         self._unreported.setdefault(account, deque(maxlen=REPORTED_REJECTIONS_LIMIT)).append(work)
-        left_ms = max(pause.retry_until_ms, pause.until_ms) - now_ms
-        return self._context.jittered_ms(left_ms, 0.25)
+        retry_in_ms = max(pause.retry_until_ms, pause.until_ms) - now_ms
+        return self._context.jittered_ms(retry_in_ms, 0.25)
 
     def pop_locally_rejected(self, account: TenantId) -> tuple[int, ...]:
         """Give what was refused without asking, to be told with the next question."""
--- a/citrondyke/decisions/accounts/overshoot_budget.py
+++ b/citrondyke/decisions/accounts/overshoot_budget.py
@@ -32,8 +32,8 @@
 
     def depth(self, rate_per_s: float, burst: float) -> float:
         """Give a steward's bucket."""
-        spare = self.slack + rate_per_s * self.window_ms / 1e3 * self.overshoot
-        return burst * (1 + self.overshoot) + spare * BUCKET_DEPTH_SHARE
+        excess = self.slack + rate_per_s * self.window_ms / 1e3 * self.overshoot
+        return burst * (1 + self.overshoot) + excess * BUCKET_DEPTH_SHARE
 
     def advance_grant_limit(self, rate_per_s: float, burst: float) -> float:
         """Give what an account is promised in any window; uses ahead of time stay within it.
--- a/citrondyke/decisions/accounts/quota_floors.py
+++ b/citrondyke/decisions/accounts/quota_floors.py
@@ -24,8 +24,8 @@
     In the first seconds of a lease it lies below what has filled up, so that a use then need not
     wait until a keeper has acknowledged a floor.
     """
-    spare = depth * FLOOR_SHARE
-    return min(spare, account.rate_per_s * filled_ms / 1e3 - spare)
+    margin = depth * FLOOR_SHARE
+    return min(margin, account.rate_per_s * filled_ms / 1e3 - margin)
 
 
 class QuotaFloors:
@@ -72,26 +72,26 @@
 
     def floor_of(self, account: Account, depth: float, now_ms: float) -> float:
         """Give how far an account may fall now."""
-        believed = self._bounds.get(account.id)
-        if believed is not None:
-            return believed
+        bound = self._bounds.get(account.id)
+        if bound is not None:
+            return bound
         return default_floor(account, depth, self.filled_ms(now_ms))
 
-    def adjust(self, account: Account, depth: float, level: float, now_ms: float) -> None:
+    def adjust(self, account: Account, depth: float, remaining: float, now_ms: float) -> None:
         """Lower an account's floor before it is reached, and forget it when it has filled up."""
-        usual = default_floor(account, depth, self.filled_ms(now_ms))
+        default = default_floor(account, depth, self.filled_ms(now_ms))
         step = max(1.0, depth * FLOOR_SHARE)
-        told = self._published.get(account.id)
-        current = usual if told is None else told
-        if level - current < step / 2:
-            if told is None and len(self._published) >= NAMED_LIMIT:
+        published = self._published.get(account.id)
+        current = default if published is None else published
+        if remaining - current < step / 2:
+            if published is None and len(self._published) >= NAMED_LIMIT:
                 return
-            self._publish(account.id, level - step)
-        elif told is not None and level >= usual + step / 2:
+            self._publish(account.id, remaining - step)
+        elif published is not None and remaining >= default + step / 2:
             del self._published[account.id], self._bounds[account.id], self._changed_at[account.id]
             self._number += 1
-        elif told is not None and level > told + 2 * step:
-            self._publish(account.id, level - step)
+        elif published is not None and remaining > published + 2 * step:
+            self._publish(account.id, remaining - step)
 
     def begin_at(self, account: TenantId, floor: float) -> None:
         """Name an account that begins the lease low, before anybody was told."""
@@ -104,9 +104,9 @@
 
     def _publish(self, account: TenantId, floor: float) -> None:
         self._number += 1
-        believed = self._bounds.get(account)
+        bound = self._bounds.get(account)
         self._published[account] = floor
-        self._bounds[account] = None if believed is None else max(floor, believed)
+        self._bounds[account] = None if bound is None else max(floor, bound)
         self._changed_at[account] = self._number
 
     def snapshot(self, now_ms: float) -> SlotCopy:
--- a/citrondyke/decisions/accounts/slot_lease.py
+++ b/citrondyke/decisions/accounts/slot_lease.py
@@ -50,8 +50,8 @@
     copy: SlotCopy
     holder: InstanceId
     #: When it came, and when its holder was last heard of.
-    taken_ms: float
-    heard_ms: float
+    received_ms: float
+    holder_seen_ms: float
 
 
 class SlotLease:
@@ -138,8 +138,8 @@
             # The life before may have given its word. Others that know who is about to ask do not
             # ask themselves meanwhile, which would split the words of the keepers.
             is_new = not self._voted_for
-            early = LeaseAsked(self._slot, 0, is_early=True)
-            return [Addressed(each, early) for each in self.other_replicas() if is_new]
+            announcement = LeaseAsked(self._slot, 0, is_early=True)
+            return [Addressed(each, announcement) for each in self.other_replicas() if is_new]
         if len(replicas) == 1:
             self._acquire_or_renew(_LeaseRequest(now_ms), replicas)
             return []
@@ -149,37 +149,37 @@
             n for n, request in self._requests.items() if request.asked_ms < now_ms - LEASE_MS
         ]:
             del self._requests[number]
-        asked = LeaseAsked(self._slot, self._next_number, self.is_held)
-        return [Addressed(replica, asked) for replica in replicas if replica != own_id]
+        message = LeaseAsked(self._slot, self._next_number, self.is_held)
+        return [Addressed(replica, message) for replica in replicas if replica != own_id]
 
-    def on_lease_request(self, sender: InstanceId, asked: LeaseAsked) -> list[Addressed]:
+    def on_lease_request(self, sender: InstanceId, message: LeaseAsked) -> list[Addressed]:
         """Answer as a witness."""
         replicas = self._current_replicas()
-        if asked.is_early:
+        if message.is_early:
             self._last_message_ms[sender] = self._now_ms()
             if not self.is_held:
                 self._last_request_ms[sender] = self._now_ms()
             return []
         self._last_request_ms[sender] = self._last_message_ms[sender] = self._now_ms()
         if self._received_copy is not None and self._received_copy.holder == sender:
-            self._received_copy.heard_ms = self._now_ms()
+            self._received_copy.holder_seen_ms = self._now_ms()
         is_known = sender in replicas and self._context.instance_id in replicas
         is_granted = is_known and not self.is_held and self._vote_for(sender)
         free_ms = self._now_ms() - self._no_other_vote_since_ms
-        copy = self._current_copy() if is_granted and not asked.is_renewal else None
-        answer = LeaseAnswered(self._slot, asked.number, is_granted, free_ms, copy)
+        copy = self._current_copy() if is_granted and not message.is_renewal else None
+        answer = LeaseAnswered(self._slot, message.number, is_granted, free_ms, copy)
         return [Addressed(sender, answer)]
 
-    def on_lease_reply(self, sender: InstanceId, answered: LeaseAnswered) -> None:
+    def on_lease_reply(self, sender: InstanceId, reply: LeaseAnswered) -> None:
         """Take a witness's word in."""
         self._last_message_ms[sender] = self._now_ms()
-        request = self._requests.get(answered.number)
+        request = self._requests.get(reply.number)
         replicas = self._current_replicas()
         if request is None or sender not in replicas:
             return
-        if answered.is_granted:
-            request.granted[sender] = self._now_ms() - answered.free_ms
-            request.copies[sender] = answered.copy
+        if reply.is_granted:
+            request.granted[sender] = self._now_ms() - reply.free_ms
+            request.copies[sender] = reply.copy
         else:
             request.is_rejected = True
         has_majority = len(request.granted) + 1 > len(replicas) / 2
@@ -209,8 +209,9 @@
         """Tell whether all keepers before this one are silent; the holder gives way to them."""
         now_ms = self._now_ms()
         return all(
-            now_ms - self._last_request_ms.get(replica, self._began_ms) > TAKEOVER_MS * (place + 1)
-            for place, replica in enumerate(reversed(replicas[:rank]))
+            now_ms - self._last_request_ms.get(replica, self._began_ms)
+            > TAKEOVER_MS * (position + 1)
+            for position, replica in enumerate(reversed(replicas[:rank]))
         )
 
     def _vote_for(self, candidate: InstanceId) -> bool:
@@ -241,12 +242,12 @@
         now_ms = self._now_ms()
         if known is None:
             return None
-        heard_ms = known.heard_ms
+        holder_seen_ms = known.holder_seen_ms
         if known.holder == self._context.instance_id:
-            heard_ms = max(heard_ms, min(now_ms, self._held_until_ms))
-        if now_ms - heard_ms > COPY_EXPIRY_MS:
+            holder_seen_ms = max(holder_seen_ms, min(now_ms, self._held_until_ms))
+        if now_ms - holder_seen_ms > COPY_EXPIRY_MS:
             return None
-        filled_ms = known.copy.filled_ms + now_ms - known.taken_ms
+        filled_ms = known.copy.filled_ms + now_ms - known.received_ms
         return msgspec.structs.replace(known.copy, filled_ms=filled_ms)
 
     def _agreed_copy(self, request: _LeaseRequest) -> SlotCopy | None:
@@ -256,8 +257,8 @@
         that has not.
         """
         copies = [self._current_copy(), *request.copies.values()]
-        name = self.replica_set_id()
-        known = [each for each in copies if each is not None and each.keepers == name]
+        own_set_id = self.replica_set_id()
+        known = [each for each in copies if each is not None and each.keepers == own_set_id]
         if len(known) < len(copies) or len({each.era for each in known}) != 1:
             return None
         return max(known, key=lambda each: each.number)
--- a/citrondyke/decisions/accounts/slot_steward.py
+++ b/citrondyke/decisions/accounts/slot_steward.py
@@ -78,19 +78,19 @@
         budget: OvershootBudget,
         lease: SlotLease,
         slot: int,
-        refusals: LocalRejectionCache,
-        find: Callable[[TenantId], Account | None],
+        local_rejections: LocalRejectionCache,
+        find_account: Callable[[TenantId], Account | None],
     ) -> None:
         """Begin a lease that is held.
 
         :param find: finds an account in the configuration in force.
         """
-        self._find_account = find
+        self._find_account = find_account
         self._context = context
         self._budget = budget
         self._lease = lease
         self._slot = slot
-        self._local_rejections = refusals
+        self._local_rejections = local_rejections
         #: Since when nobody else has counted, which names the lease here.
         self.since_ms = lease.held_since_ms
         self._previous_copy = lease.previous_copy
@@ -111,14 +111,14 @@
         self._published_number = -1
         if self._previous_copy is not None:
             for account_id, floor in self._previous_copy.floors.items():
-                account = find(account_id)
-                spare = 0.0 if account is None else FLOOR_SHARE * self._bucket_depth(account)
-                self._floors.begin_at(account_id, floor - spare)
+                account = find_account(account_id)
+                margin = 0.0 if account is None else FLOOR_SHARE * self._bucket_depth(account)
+                self._floors.begin_at(account_id, floor - margin)
         lease.record_own_copy(self._floors.snapshot(self._now_ms()))
 
     def answer(
         self,
-        asker: InstanceId,
+        requester: InstanceId,
         number: int,
         account: Account,
         need: UseNeed,
@@ -129,27 +129,27 @@
         :param refused: work of the account that the asker has refused alone.
         """
         now_ms = self._now_ms()
-        uses = self._quota_of(account)
-        uses.reservations.expire(now_ms)
-        uses.rejected_work.record(refused, now_ms)
-        place_ms = uses.reservations.due_ms_of(need.work)
-        if place_ms is None and uses.rejected_work.should_reject_retry(need.work, now_ms):
-            uses.record_rejected(now_ms)
-            return self._reject_with_pause(asker, number, account, need, now_ms)
-        free = self._earliest_start(account, uses, now_ms, is_reserved=place_ms is not None)
-        start_ms = free.at_ms
-        if place_ms is not None:
-            start_ms = max(start_ms, place_ms - EARLY_TOLERANCE_MS)
+        quota = self._quota_of(account)
+        quota.reservations.expire(now_ms)
+        quota.rejected_work.record(refused, now_ms)
+        due_ms = quota.reservations.due_ms_of(need.work)
+        if due_ms is None and quota.rejected_work.should_reject_retry(need.work, now_ms):
+            quota.record_rejected(now_ms)
+            return self._reject_with_pause(requester, number, account, need, now_ms)
+        earliest = self._earliest_start(account, quota, now_ms, is_reserved=due_ms is not None)
+        start_ms = earliest.at_ms
+        if due_ms is not None:
+            start_ms = max(start_ms, due_ms - EARLY_TOLERANCE_MS)
         wait_ms = max(0.0, start_ms - now_ms)
         is_in_time = wait_ms <= need.may_wait_ms and start_ms <= self._lease.held_until_ms
-        if free.is_within_floor and (wait_ms <= 0.0 or is_in_time):
-            if place_ms is not None:
-                uses.reservations.consume(need.work)
-            uses.consume(account, start_ms, now_ms)
-            self._adjust_floor(account, uses, now_ms)
+        if earliest.is_within_floor and (wait_ms <= 0.0 or is_in_time):
+            if due_ms is not None:
+                quota.reservations.consume(need.work)
+            quota.consume(account, start_ms, now_ms)
+            self._adjust_floor(account, quota, now_ms)
             return UseAnswered(number, UseOutcome.GRANTED, is_steward=True, start_in_ms=wait_ms)
-        self._adjust_floor(account, uses, now_ms)
-        uses.record_rejected(now_ms)
+        self._adjust_floor(account, quota, now_ms)
+        quota.record_rejected(now_ms)
         if (
             self._previous_copy is None
             and not self._are_prior_grants_known
@@ -158,22 +158,22 @@
             return self._rejection(
                 number, now_ms + ADVANCE_GRANT_READ_TIMEOUT_MS, now_ms, is_kept=False
             )
-        if place_ms is not None:
-            return self._rejection(number, max(start_ms, place_ms), now_ms, is_kept=True)
-        return self._grant_reservation(asker, number, account, need, start_ms)
+        if due_ms is not None:
+            return self._rejection(number, max(start_ms, due_ms), now_ms, is_kept=True)
+        return self._grant_reservation(requester, number, account, need, start_ms)
 
     def count(self, account: TenantId) -> StewardCount:
         """Give what was counted of an account."""
-        uses = self._quotas.get(account)
-        if uses is None:
+        quota = self._quotas.get(account)
+        if quota is None:
             return StewardCount(0, 0)
         now_ms = self._now_ms()
-        uses.reservations.expire(now_ms)
-        counts = uses.reservations.counts
+        quota.reservations.expire(now_ms)
+        counts = quota.reservations.counts
         return StewardCount(
-            uses.window_uses_count(now_ms),
-            uses.rejected_count(now_ms),
-            len(uses.reservations),
+            quota.window_uses_count(now_ms),
+            quota.rejected_count(now_ms),
+            len(quota.reservations),
             counts.taken,
             counts.lapsed,
         )
@@ -181,9 +181,9 @@
     def reservation_counts(self) -> list[ReservationCounts]:
         """Give what became of places, by account."""
         now_ms = self._now_ms()
-        for uses in self._quotas.values():
-            uses.reservations.expire(now_ms)
-        return [uses.reservations.counts for uses in self._quotas.values()]
+        for quota in self._quotas.values():
+            quota.reservations.expire(now_ms)
+        return [quota.reservations.counts for quota in self._quotas.values()]
 
     def pending_floor_messages(self) -> list[Addressed]:
         """Give what keepers are to be told now: a change at once, anything unheard by the tick."""
@@ -219,70 +219,70 @@
         """Take in what the store answered."""
         if not self._advance_grants.is_call_of(call):
             return
-        is_first = (
+        is_first_read = (
             row is not None and not self._are_prior_grants_known and self._previous_copy is None
         )
         self._advance_grants.apply_row(row, self._now_ms())
-        if not is_first or row is None:
+        if not is_first_read or row is None:
             return
         # Read after everybody else's lease had ended: who has no mark had nothing ahead of time.
         self._are_prior_grants_known = True
         self._floors.add_filled_ms(ADVANCE_GRANT_MS)
         self._prior_grant_accounts = row.accounts
-        for account, uses in self._quotas.items():
+        for account, quota in self._quotas.items():
             if account not in row.accounts:
                 found = self._find_account(account)
-                uses.add_remaining(0.0 if found is None else _advance_grant_uses(found))
+                quota.add_remaining(0.0 if found is None else _advance_grant_uses(found))
         for account in row.accounts:
             found = self._find_account(account)
             if found is not None:
                 self._floors.lower(account, -_advance_grant_uses(found))
 
     def _earliest_start(
-        self, account: Account, uses: AccountQuota, now_ms: float, *, is_reserved: bool
+        self, account: Account, quota: AccountQuota, now_ms: float, *, is_reserved: bool
     ) -> _EarliestStart:
         may_advance = self._advance_grants.is_recorded(account.id)
-        at_ms = uses.free_at_ms(account, now_ms, may_advance=may_advance, is_reserved=is_reserved)
-        lowest = self._floors.floor_of(account, uses.max_depth, now_ms)
-        if uses.remaining(account, now_ms) - 1.0 < lowest:
+        at_ms = quota.free_at_ms(account, now_ms, may_advance=may_advance, is_reserved=is_reserved)
+        floor_now = self._floors.floor_of(account, quota.max_depth, now_ms)
+        if quota.remaining(account, now_ms) - 1.0 < floor_now:
             return _EarliestStart(max(at_ms, now_ms + FLOOR_ACK_TIMEOUT_MS), False)
         return _EarliestStart(at_ms, True)
 
-    def _adjust_floor(self, account: Account, uses: AccountQuota, now_ms: float) -> None:
-        level = uses.remaining(account, now_ms)
-        if level < DEMAND_SHARE * uses.max_depth and uses.has_counted_full_window(now_ms):
+    def _adjust_floor(self, account: Account, quota: AccountQuota, now_ms: float) -> None:
+        remaining = quota.remaining(account, now_ms)
+        if remaining < DEMAND_SHARE * quota.max_depth and quota.has_counted_full_window(now_ms):
             self._advance_grants.request_record(account.id, now_ms)
-        self._floors.adjust(account, uses.max_depth, level, now_ms)
+        self._floors.adjust(account, quota.max_depth, remaining, now_ms)
 
     def _grant_reservation(
-        self, asker: InstanceId, number: int, account: Account, need: UseNeed, start_ms: float
+        self, requester: InstanceId, number: int, account: Account, need: UseNeed, start_ms: float
     ) -> UseAnswered:
         now_ms = self._now_ms()
-        uses = self._quota_of(account)
-        reservations = uses.reservations
-        earliest_ms = max(start_ms, uses.local_rejection_until_ms)
+        quota = self._quota_of(account)
+        reservations = quota.reservations
+        earliest_ms = max(start_ms, quota.local_rejection_until_ms)
         due_ms = reservations.next_due_ms(earliest_ms, 1e3 / (RESERVED_SHARE * account.rate_per_s))
-        is_reached = due_ms - now_ms <= need.left_ms * MAX_WAIT_SHARE - ROUND_TRIP_SLACK_MS
-        if need.work and is_reached and reservations.reserve(need.work, due_ms):
+        is_in_reach = due_ms - now_ms <= need.left_ms * MAX_WAIT_SHARE - ROUND_TRIP_SLACK_MS
+        if need.work and is_in_reach and reservations.reserve(need.work, due_ms):
             return self._rejection(number, due_ms, now_ms, is_kept=True)
-        uses.rejected_work.record((need.work,), now_ms)
-        uses.rejected_work.record_overload(now_ms)
-        return self._reject_with_pause(asker, number, account, need, due_ms)
+        quota.rejected_work.record((need.work,), now_ms)
+        quota.rejected_work.record_overload(now_ms)
+        return self._reject_with_pause(requester, number, account, need, due_ms)
 
     def _reject_with_pause(
-        self, asker: InstanceId, number: int, account: Account, need: UseNeed, due_ms: float
+        self, requester: InstanceId, number: int, account: Account, need: UseNeed, due_ms: float
     ) -> UseAnswered:
         """Refuse a request for which nothing is kept, and spare the asker the next questions."""
         now_ms = self._now_ms()
-        uses = self._quota_of(account)
+        quota = self._quota_of(account)
         uses_per_s = account.rate_per_s * (
             ADVANCE_RATE_FACTOR if self._advance_grants.is_recorded(account.id) else 1.0
         )
-        pause_ms = self._local_rejections.pause_ms(account, asker, uses_per_s)
-        expected = uses.reservations.keys_due_by(now_ms + pause_ms + EARLY_TOLERANCE_MS)
+        pause_ms = self._local_rejections.pause_ms(account, requester, uses_per_s)
+        expected = quota.reservations.keys_due_by(now_ms + pause_ms + EARLY_TOLERANCE_MS)
         if len(expected) > EXPECTED_WORKS_LIMIT:
             pause_ms, expected = 0.0, []
-        uses.local_rejection_until_ms = max(uses.local_rejection_until_ms, now_ms + pause_ms)
+        quota.local_rejection_until_ms = max(quota.local_rejection_until_ms, now_ms + pause_ms)
         # Nothing is kept, so the time that is told lies past the caller's deadline.
         at_ms = max(due_ms, now_ms + need.left_ms)
         refused = self._rejection(number, at_ms, now_ms, is_kept=False)
@@ -296,21 +296,21 @@
         )
 
     def _quota_of(self, account: Account) -> AccountQuota:
-        uses = self._quotas.get(account.id)
-        if uses is None:
+        quota = self._quotas.get(account.id)
+        if quota is None:
             bucket = TokenBucket(self.since_ms, self._initial_remaining(account))
-            uses = AccountQuota(self._budget, bucket, self.since_ms)
-            uses.remaining(account, self._now_ms())
-            self._quotas[account.id] = uses
-        return uses
+            quota = AccountQuota(self._budget, bucket, self.since_ms)
+            quota.remaining(account, self._now_ms())
+            self._quotas[account.id] = quota
+        return quota
 
     def _initial_remaining(self, account: Account) -> float:
         if self._previous_copy is None:
             is_free = self._are_prior_grants_known and account.id not in self._prior_grant_accounts
             return 0.0 if is_free else -_advance_grant_uses(account)
         depth = self._bucket_depth(account)
-        usual = default_floor(account, depth, self._previous_copy.filled_ms)
-        return min(depth, self._previous_copy.floors.get(account.id, usual))
+        default = default_floor(account, depth, self._previous_copy.filled_ms)
+        return min(depth, self._previous_copy.floors.get(account.id, default))
 
     def _bucket_depth(self, account: Account) -> float:
         return self._budget.depth(account.rate_per_s, account.burst)
--- a/citrondyke/decisions/accounts/steward_rate_limiter.py
+++ b/citrondyke/decisions/accounts/steward_rate_limiter.py
@@ -66,7 +66,7 @@
         self,
         context: Context,
         members: Callable[[], tuple[InstanceId, ...]],
-        find: Callable[[TenantId], Account | None],
+        find_account: Callable[[TenantId], Account | None],
         budget: OvershootBudget,
         began_ms: float | None = None,
     ) -> None:
@@ -78,7 +78,7 @@
             not known.
         """
         self._context = context
-        self._find_account = find
+        self._find_account = find_account
         self._budget = budget
         self._placement = SlotPlacement(members)
         self._began_ms = context.clock.fence_ms() if began_ms is None else began_ms
@@ -254,10 +254,10 @@
         if steward is not None:
             return steward.answer(asker, number, account, asked.need, asked.refused)
         replicas = self._placement.replicas(slot)
-        is_taken = self._context.instance_id in replicas and self._fallback.try_consume(
+        is_granted = self._context.instance_id in replicas and self._fallback.try_consume(
             account, self._context.clock.fence_ms()
         )
-        return UseAnswered(number, UseOutcome.GRANTED if is_taken else UseOutcome.NOT_STEWARD)
+        return UseAnswered(number, UseOutcome.GRANTED if is_granted else UseOutcome.NOT_STEWARD)
 
     def _steward_of(self, slot: int) -> SlotSteward | None:
         """Give the slot's steward where this instance is it now."""
--- a/citrondyke/decisions/accounts/use_window_counter.py
+++ b/citrondyke/decisions/accounts/use_window_counter.py
@@ -36,15 +36,15 @@
             self._count -= self._buckets.popleft()[1]
         return self._count
 
-    def fits_at_ms(self, now_ms: float, allowed: float, more: int) -> float:
+    def fits_at_ms(self, now_ms: float, allowed: float, additional: int) -> float:
         """Give when so many more fit below what is allowed."""
-        over = self.count(now_ms) + more - allowed
+        excess = self.count(now_ms) + additional - allowed
         for index, count in self._buckets:
-            if over <= 0:
+            if excess <= 0:
                 break
-            over -= count
+            excess -= count
             now_ms = max(now_ms, (index + 1) * BUCKET_MS + self._span_ms)
-        return now_ms if over <= 0 else float('inf')
+        return now_ms if excess <= 0 else float('inf')
 
     def _first_index(self, now_ms: float) -> int:
         return int((now_ms - self._span_ms) // BUCKET_MS)
--- a/citrondyke/decisions/reservations/reservations.py
+++ b/citrondyke/decisions/reservations/reservations.py
@@ -37,7 +37,7 @@
         #: Times of the places that are kept, and the key of each, in order of time.
         self._due_ms: list[float] = []
         self._keys: list[int] = []
-        self._by_key: dict[int, deque[float]] = {}
+        self._due_times_by_key: dict[int, deque[float]] = {}
         self._last_due_ms = float('-inf')
         self.counts = ReservationCounts()
 
@@ -57,21 +57,21 @@
         due_ms = max(due_ms, self._last_due_ms)
         self._due_ms.append(due_ms)
         self._keys.append(key)
-        self._by_key.setdefault(key, deque()).append(due_ms)
+        self._due_times_by_key.setdefault(key, deque()).append(due_ms)
         self._last_due_ms = due_ms
         self.counts.kept += 1
         return True
 
     def due_ms_of(self, key: int) -> float | None:
         """Give the time of a key's first place; ``None`` without one."""
-        dues_ms = self._by_key.get(key)
-        return dues_ms[0] if dues_ms else None
+        due_times_ms = self._due_times_by_key.get(key)
+        return due_times_ms[0] if due_times_ms else None
 
     def consume(self, key: int) -> None:
         """Use a key's first place up; it serves once."""
-        due_ms = self._by_key[key].popleft()
-        if not self._by_key[key]:
-            del self._by_key[key]
+        due_ms = self._due_times_by_key[key].popleft()
+        if not self._due_times_by_key[key]:
+            del self._due_times_by_key[key]
         index = bisect_right(self._due_ms, due_ms) - 1
         while self._keys[index] != key:
             index -= 1
@@ -90,10 +90,10 @@
         """Drop places that nobody took in time; give how many."""
         count = bisect_right(self._due_ms, now_ms - RESERVATION_HOLD_MS)
         for key in self._keys[:count]:
-            dues_ms = self._by_key[key]
-            dues_ms.popleft()
-            if not dues_ms:
-                del self._by_key[key]
+            due_times_ms = self._due_times_by_key[key]
+            due_times_ms.popleft()
+            if not due_times_ms:
+                del self._due_times_by_key[key]
         del self._due_ms[:count], self._keys[:count]
         self.counts.lapsed += count
         return count
--- a/citrondyke/decisions/sharing/engine_share.py
+++ b/citrondyke/decisions/sharing/engine_share.py
@@ -120,13 +120,13 @@
     def online_limit(self) -> int:
         """Give how many online requests the engine bears within their targets."""
         estimates = self.step_times.estimates()
-        slow = next((pair for pair in estimates if pair[1] > self._target_ms), None)
-        if slow is None:
+        too_slow = next((pair for pair in estimates if pair[1] > self._target_ms), None)
+        if too_slow is None:
             return min(self._first_online_limit, self._max_running)
         within = self.step_times.max_streams(self._target_ms)
         if not within:
             # Nothing faster was seen yet: come down in proportion, and look again there.
-            within = int(slow[0] * self._target_ms / slow[1])
+            within = int(too_slow[0] * self._target_ms / too_slow[1])
         return min(max(within, self.comfort_limit()), self._max_running)
 
     def comfort_limit(self) -> int:
--- a/citrondyke/decisions/sharing/step_time_model.py
+++ b/citrondyke/decisions/sharing/step_time_model.py
@@ -36,14 +36,14 @@
 
     def observe(self, streams: int, step_ms: float) -> None:
         """Take in one step."""
-        kept = self._samples.get(streams)
-        if kept is None:
-            kept = self._samples[streams] = deque(maxlen=SAMPLES_LIMIT)
-        kept.append(step_ms)
+        samples = self._samples.get(streams)
+        if samples is None:
+            samples = self._samples[streams] = deque(maxlen=SAMPLES_LIMIT)
+        samples.append(step_ms)
         self._count += 1
         self._last_seen[streams] = self._count
-        if len(kept) >= MIN_SAMPLES:
-            estimate = sorted(kept)[int(len(kept) * QUANTILE)]
+        if len(samples) >= MIN_SAMPLES:
+            estimate = sorted(samples)[int(len(samples) * QUANTILE)]
             if estimate != self._estimates.get(streams):
                 self._estimates[streams] = estimate
                 self._monotonic = None
@@ -53,13 +53,13 @@
     def estimates(self) -> list[tuple[int, float]]:
         """List what is known, by rising number of streams; the steps never fall."""
         if self._monotonic is None:
-            rising: list[tuple[int, float]] = []
+            monotonic: list[tuple[int, float]] = []
             shortest = float('inf')
             for streams in sorted(self._estimates, reverse=True):
                 shortest = min(shortest, self._estimates[streams])
-                rising.append((streams, shortest))
-            rising.reverse()
-            self._monotonic = rising
+                monotonic.append((streams, shortest))
+            monotonic.reverse()
+            self._monotonic = monotonic
         return self._monotonic
 
     def fastest_ms(self) -> float:
@@ -102,8 +102,8 @@
         return None
 
     def _drop_unseen(self) -> None:
-        horizon = self._count - FORGET_AFTER
-        for streams in [each for each, seen in self._last_seen.items() if seen < horizon]:
+        oldest_kept = self._count - FORGET_AFTER
+        for streams in [each for each, seen in self._last_seen.items() if seen < oldest_kept]:
             del self._samples[streams]
             del self._last_seen[streams]
             self._estimates.pop(streams, None)
--- a/citrondyke/gateway/accounts/limit_exchange.py
+++ b/citrondyke/gateway/accounts/limit_exchange.py
@@ -85,7 +85,7 @@
         self._config = config
         self._membership = membership
         self._metrics = metrics
-        self._port = peer_port + PORT_AFTER_PEERS
+        self._limit_port = peer_port + PORT_AFTER_PEERS
         self._tasks = tasks
         self._socket: socket.socket | None = None
         self._pending_queries: dict[int, AsyncResult] = {}
@@ -103,7 +103,7 @@
     def start(self, ip: str) -> None:
         """Listen and begin to ask for leases."""
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self._socket.bind((ip, self._port))
+        self._socket.bind((ip, self._limit_port))
         self._tasks.keep(self._run_receive)
         self._tasks.keep(self._run_leases)
 
@@ -217,9 +217,9 @@
             self._send_all(self._limits.on_message(sender, message))
             self._spawn_store_calls()
             return
-        waiting = self._pending_queries.get(message.number)
-        if waiting is not None:
-            waiting.set(message)
+        pending = self._pending_queries.get(message.number)
+        if pending is not None:
+            pending.set(message)
 
     def _run_leases(self) -> None:
         while True:
@@ -256,13 +256,13 @@
             self._send(each.receiver, each.message)
 
     def _send(self, receiver: InstanceId, message: LimitMessage) -> bool:
-        beat = self._membership.peers.get(receiver)
-        if beat is None or self._socket is None:
+        peer = self._membership.peers.get(receiver)
+        if peer is None or self._socket is None:
             return False
         version = self._config.current.version
         text = PeerMessage(self._context.instance_id, version, LimitText(message))
         try:
-            self._socket.sendto(encode_message(text), (beat.ip, beat.peer_port + PORT_AFTER_PEERS))
+            self._socket.sendto(encode_message(text), (peer.ip, peer.peer_port + PORT_AFTER_PEERS))
         except OSError as error:
             log.info('peer.send_failed', extra={'peer': receiver, 'detail': type(error).__name__})
             return False
--- a/tests/support/limit_world.py
+++ b/tests/support/limit_world.py
@@ -126,12 +126,12 @@
         self.uses_ms: dict[TenantId, list[float]] = {}
         self.verdicts: Counter[tuple[TenantId, VerdictKind]] = Counter()
         self.waits_ms: list[float] = []
-        self.messages: Counter[InstanceId] = Counter()
+        self.sent_counts: Counter[InstanceId] = Counter()
         #: What requests need of their limit, and what becomes of those that are told a time.
         self.left_ms = 0.0
         self.may_wait_ms = 0.0
         self.reserved_outcomes: Counter[str] = Counter()
-        self._works = count(1)
+        self._next_work = count(1)
         #: Rows of marks by slot; they outlive all instances.
         self.rows: dict[int, AdvanceGrantRow] = {}
         self.is_store_unresponsive = False
@@ -173,7 +173,7 @@
         if not running:
             return
         node = self.random.choice(running)
-        need = UseNeed(next(self._works), self.left_ms, self.may_wait_ms)
+        need = UseNeed(next(self._next_work), self.left_ms, self.may_wait_ms)
         self._advance_request(_PendingRequest(node, node.accounts[account], need, self.now_ms))
 
     def _retry(self, request: _PendingRequest) -> None:
@@ -259,7 +259,7 @@
 
     def _send(self, sender: Node, addressed: list[Addressed]) -> None:
         for each in addressed:
-            self.messages[sender.id] += 1
+            self.sent_counts[sender.id] += 1
             is_lost = isinstance(each.message, FloorsTold) and each.receiver in self.loses_floors
             if frozenset((sender.id, each.receiver)) not in self.cut_links and not is_lost:
                 self.at(
