--- a/citrondyke/decisions/accounts/__init__.py
+++ b/citrondyke/decisions/accounts/__init__.py
@@ -1,1 +1,1 @@
-"""Client accounts: whose key a request brings, and how much the account may ask for."""
+"""Client accounts: API keys and fleet-wide rate limits."""
--- a/citrondyke/decisions/accounts/account_quota.py
+++ b/citrondyke/decisions/accounts/account_quota.py
@@ -1,4 +1,4 @@
-"""What a steward lets one account have in one lease."""
+"""The quota of one account during one lease of its steward."""
 
 from __future__ import annotations
 
@@ -18,64 +18,70 @@
 
 __all__ = ('ADVANCE_RATE_FACTOR', 'AccountQuota')
 
-#: Places due before a moment push it back by their number; a few looks settle it.
+#: Each reservation that falls due before the start of a use delays it further, which may bring more
+#: reservations before it. The start converges within a few scans.
 MAX_SCANS = 4
-#: Uses a second ahead of time, by the rate: a whole window's within the window, and no more at once
-#: than servers bear that are planned for the rates.
+#: Rate of advance grants as a multiple of the account's rate. An account reaches the uses of a
+#: whole window within that window, and servers that are sized for the rates aren't overloaded.
 ADVANCE_RATE_FACTOR = 1.25
 
 
 class AccountQuota:
-    """Counts an account's window; the uses that nobody counted here are bounded by the level.
+    """Tracks the remaining quota, window counts and reservations of an account.
 
-    Ahead of time an account gets a little more than its rate, not all at once: a whole window's
-    uses in a second would fill the servers, and leave nothing until the window is over.
+    Uses that this steward hasn't counted are bounded by the remaining quota. Advance grants are
+    spread over time at slightly more than the account's rate: a whole window's uses within a second
+    would fill the servers and leave no quota until the window ends.
     """
 
     def __init__(self, budget: OvershootBudget, bucket: TokenBucket, since_ms: float) -> None:
-        """Begin with a lease.
+        """Initialize the quota at the start of a lease.
 
-        :param since_ms: since when the ring knows all uses.
+        :param since_ms: time since which this steward has counted all uses.
         """
         self._budget = budget
         self._bucket = bucket
         self._since_ms = since_ms
         self._window_uses = UseWindowCounter(budget.window_ms + GRANT_MS)
         self._window_rejections = UseWindowCounter(budget.window_ms)
-        #: The highest depth in this lease; by it keepers know the floor of an account not named.
+        #: Largest bucket depth in this lease. Replicas derive the floor of unnamed accounts from
+        #: it.
         self.max_depth = 0.0
         self.reservations = Reservations()
         self.rejected_work = RejectedWork()
         self._next_advance_ms = float('-inf')
-        #: Until when some instance refuses without asking; it does not know of later places.
+        #: Time until which some instance rejects the account's requests locally. That instance
+        #: doesn't know of reservations made after its last query.
         self.local_rejection_until_ms = float('-inf')
 
     def remaining(self, account: Account, now_ms: float) -> float:
-        """Give what is left before the account has had all of its burst."""
+        """Return the uses left before the burst is used up; may be negative."""
         depth = self._budget.depth(account.rate_per_s, account.burst)
         self.max_depth = max(self.max_depth, depth)
         remaining = self._bucket.remaining(account.rate_per_s, depth, now_ms)
-        # A limit that was lowered would hold back for longer than what it was lowered to.
+        # After a limit was lowered, a debt from the old limit would block the account for longer
+        # than the new limit requires.
         min_remaining = -account.rate_per_s * (ADVANCE_GRANT_MS + LEASE_MS) / 1e3
         if remaining < min_remaining:
             self._bucket.add(min_remaining - remaining)
         return max(remaining, min_remaining)
 
     def add_remaining(self, count: float) -> None:
-        """Take in that the account had more left."""
+        """Add uses to the remaining quota; ``count`` may be negative."""
         self._bucket.add(count)
 
     def has_counted_full_window(self, now_ms: float) -> bool:
-        """Tell whether all uses of the window were counted here."""
+        """Return whether this steward has counted all uses of the last window."""
         return now_ms >= self._since_ms + self._budget.window_ms + GRANT_MS
 
     def free_at_ms(
         self, account: Account, now_ms: float, *, may_advance: bool, is_reserved: bool
     ) -> float:
-        """Give when the next use may begin.
+        """Return when the next use may begin.
 
-        :param is_reserved: whether it is one for which a place is kept; others wait for the places
-            that fall due before them.
+        :param may_advance: whether the use may be granted before the rate allows it.
+        :param is_reserved: whether the use has a reservation. A use without one waits for the
+            reservations that fall due before it.
         """
         if is_reserved:
             return self._free_after(account, now_ms, 0, 0, may_advance=may_advance)
@@ -94,7 +100,7 @@
         return at_ms
 
     def consume(self, account: Account, at_ms: float, now_ms: float) -> None:
-        """Count a use that begins at a moment."""
+        """Count a use that begins at ``at_ms``."""
         if self.remaining(account, now_ms) < 1.0:
             gap_ms = 1e3 / (ADVANCE_RATE_FACTOR * account.rate_per_s)
             self._next_advance_ms = max(self._next_advance_ms, at_ms) + gap_ms
@@ -102,15 +108,15 @@
         self._window_uses.record(at_ms)
 
     def record_rejected(self, now_ms: float) -> None:
-        """Count a refusal."""
+        """Count a rejected request."""
         self._window_rejections.record(now_ms)
 
     def window_uses_count(self, now_ms: float) -> int:
-        """Give how many uses there were in the last window."""
+        """Return the number of uses in the last window."""
         return self._window_uses.count(now_ms)
 
     def rejected_count(self, now_ms: float) -> int:
-        """Give how many refusals there were in the last window."""
+        """Return the number of rejected requests in the last window."""
         return self._window_rejections.count(now_ms)
 
     def _free_after(
@@ -122,10 +128,10 @@
         *,
         may_advance: bool,
     ) -> float:
-        """Give when the next use may begin.
+        """Return when the next use may begin.
 
-        :param ahead: places that fall due before it.
-        :param kept: all places; the window must have room left for them.
+        :param reserved_before: number of reservations that fall due before the use.
+        :param reserved_count: number of all reservations; the window must have room for them.
         """
         rate_per_s = account.rate_per_s
         remaining = self.remaining(account, now_ms) - reserved_before
--- a/citrondyke/decisions/accounts/advance_grant_records.py
+++ b/citrondyke/decisions/accounts/advance_grant_records.py
@@ -1,4 +1,4 @@
-"""Accounts that a steward lets have uses ahead of time, as the store keeps them."""
+"""Stored records of the accounts that may receive advance grants."""
 
 from __future__ import annotations
 
@@ -8,68 +8,73 @@
 
 __all__ = ('AdvanceGrantRecords', 'AdvanceGrantRow', 'AdvanceGrantStoreCall')
 
-#: A call that brought nothing is repeated after this: the store is out of reach for seconds.
+#: Delay before a failed store call is retried; the store may be unreachable for seconds.
 RETRY_MS = 200.0
-#: A mark stays for so long after its account has filled up again: it is likely to be needed soon.
+#: Time for which a record is kept after the account's quota has refilled, because the account is
+#: likely to need it again soon.
 RECORD_HOLD_MS = 5_000.0
 
 
 class AdvanceGrantRow(msgspec.Struct, frozen=True):
-    """A slot's row as it stands."""
+    """The stored row of a slot: the accounts that may receive advance grants."""
 
     accounts: frozenset[TenantId]
     version: int
-    #: Whether the call that is answered wrote it.
+    #: Whether the row was written by the call that returned it.
     is_written: bool = False
 
 
 class AdvanceGrantStoreCall(msgspec.Struct, frozen=True):
-    """What the store is to be asked."""
+    """A read or a conditional write of a slot's row."""
 
     slot: int
-    #: Of the lease; an answer to a call of another one says nothing.
+    #: Epoch of the lease that made the call. Replies to calls of other leases are ignored.
     era: int
-    #: What the row is to become; ``None`` where it is to be read, not older than the call.
+    #: New contents of the row; ``None`` for a read that is no older than the call.
     wanted: frozenset[TenantId] | None = None
     version: int = 0
 
 
 class AdvanceGrantRecords:
-    """The marks of one slot in one lease.
+    """Maintains the row of one slot during one lease.
 
-    After a loss of all instances nothing is known of what was let through ahead of time but the
-    row, so nothing is let through ahead of time before the row says so.
+    Handles a crash of all instances: the row is then the only knowledge of advance grants. So an
+    account gets advance grants only after a write of the row that lists it has been acknowledged.
     """
 
     def __init__(self, slot: int, era: int) -> None:
-        """Know nothing yet."""
+        """Initialize the records with an unknown row.
+
+        :param era: epoch of the lease.
+        """
         self._slot = slot
         self._lease_epoch = era
         self._row: AdvanceGrantRow | None = None
-        #: Accounts that ask for a mark, and until when each keeps it.
+        #: Accounts whose record is requested, with the time until which each is kept.
         self._requested_until_ms: dict[TenantId, float] = {}
         self._retry_at_ms = float('-inf')
         self._is_calling = False
 
     @property
     def accounts(self) -> set[TenantId]:
-        """List accounts that have a mark or ask for one."""
+        """Return the accounts that have a record or request one."""
         return set(self._requested_until_ms) | (self._row.accounts if self._row else frozenset())
 
     def is_recorded(self, account: TenantId) -> bool:
-        """Tell whether an account certainly has its mark and keeps it."""
+        """Return whether an account's record is known to be stored and is still requested."""
         row = self._row
         if row is None or not row.is_written:
-            # Written by the lease before, of which a later write may still be under way.
+            # The row was written under the previous lease. A later write of that lease may still be
+            # in progress.
             return False
         return account in row.accounts and account in self._requested_until_ms
 
     def request_record(self, account: TenantId, now_ms: float) -> None:
-        """Ask for a mark, or keep it for longer."""
+        """Request a record for an account, or extend the time for which it is kept."""
         self._requested_until_ms[account] = now_ms + RECORD_HOLD_MS
 
     def next_store_call(self, now_ms: float) -> AdvanceGrantStoreCall | None:
-        """Give what the store is to be asked now; one call at a time."""
+        """Return the next store call, if any; only one call is in progress at a time."""
         if self._is_calling or now_ms < self._retry_at_ms:
             return None
         if self._row is None:
@@ -77,7 +82,7 @@
             return AdvanceGrantStoreCall(self._slot, self._lease_epoch)
         expired = [each for each, at in self._requested_until_ms.items() if at < now_ms]
         for account in expired:
-            # From here on the account can't have anything ahead of time, whatever the store does.
+            # From here on the account can't get advance grants, whatever the outcome of the write.
             del self._requested_until_ms[account]
         wanted = frozenset(self._requested_until_ms)
         if wanted == self._row.accounts and (self._row.is_written or not wanted):
@@ -86,14 +91,14 @@
         return AdvanceGrantStoreCall(self._slot, self._lease_epoch, wanted, self._row.version)
 
     def is_call_of(self, call: AdvanceGrantStoreCall) -> bool:
-        """Tell whether a call was made in this lease."""
+        """Return whether a call was made under this lease."""
         return call.era == self._lease_epoch
 
     def apply_row(self, row: AdvanceGrantRow | None, now_ms: float) -> None:
-        """Take in the row as it stands; ``None`` where the store did not say."""
+        """Apply the row that the store returned; ``None`` if the call failed."""
         self._is_calling = False
         if row is None:
-            # A write may have taken effect or not; it is read before the next one.
+            # The outcome of a write is uncertain, so the row is read before the next write.
             self._row = None
             self._retry_at_ms = now_ms + RETRY_MS
             return
--- a/citrondyke/decisions/accounts/fair_share_policy.py
+++ b/citrondyke/decisions/accounts/fair_share_policy.py
@@ -1,4 +1,4 @@
-"""Whose request steps back where not all fit."""
+"""Which requests are rejected when servers are full."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 __all__ = ('FairSharePolicy',)
 
-#: What came within this time tells how much each account asks for: some requests of each, also
-#: where an instance gets few.
+#: Period over which each account's requests are counted. Long enough for some requests of each
+#: account, also on an instance that receives few.
 RECENT_MS = 4_000.0
 RECENT_REQUESTS_LIMIT = 2_000
-#: An account that asks for more than this many times the mean of all steps back.
+#: An account that sends more than this many times the mean of the other accounts must yield.
 HEAVY_USER_FACTOR = 2.0
-#: Fewer requests than these make nobody heavy: they are chance.
+#: An account with fewer requests isn't heavy: the count may be due to chance.
 HEAVY_USER_MIN_REQUESTS = 4
-#: After a more urgent request was turned away, less urgent ones step back for so long.
+#: Time for which less urgent requests yield after a more urgent one was rejected.
 YIELD_MS = 1_000.0
-#: Part of those that are to step back and do not, so that nobody is turned away for good.
+#: Share of the yielding requests that are admitted anyway, so that no account starves.
 MIN_ADMIT_SHARE = 1 / 3
 
 
@@ -35,25 +35,25 @@
 class _ServiceHistory(msgspec.Struct):
     requests: deque[_RecentRequest]
     counts: Counter[TenantId]
-    #: When a request of each priority was last turned away.
+    #: Time at which a request of each priority was last rejected.
     rejected_ms: dict[int, float]
 
 
 class FairSharePolicy:
-    """Tells accounts that take more than their turn from the others.
+    """Decides which requests must yield to others when servers are full.
 
-    Answers servers that are full while one account sends many times what the others do, though no
-    more than its limit: first come first served would leave the others what is left over. It also
-    answers full servers that serve requests of several priorities.
+    Handles full servers while one account sends many times more than the others, though within its
+    limit: first come, first served would give it most of the capacity. Also handles full servers
+    that receive requests of several priorities: less urgent ones yield.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start having seen nothing."""
+        """Initialize the policy without history."""
         self._context = context
         self._services: dict[ServiceName, _ServiceHistory] = {}
 
     def record_request(self, service: ServiceName, account: TenantId) -> None:
-        """Take in that a request has come."""
+        """Count a request of an account."""
         history = self._history_of(service)
         now_ms = self._context.now_ms()
         history.requests.append(_RecentRequest(now_ms, account))
@@ -68,11 +68,11 @@
                 del history.counts[oldest]
 
     def record_rejected(self, service: ServiceName, priority: int) -> None:
-        """Take in that a request of a priority got no place."""
+        """Record that a request of a priority was rejected for lack of capacity."""
         self._history_of(service).rejected_ms[priority] = self._context.now_ms()
 
     def must_yield(self, service: ServiceName, account: TenantId, priority: int) -> bool:
-        """Tell whether a request leaves the places that are left to others."""
+        """Return whether a request is rejected so that others get the remaining capacity."""
         history = self._history_of(service)
         if not self._is_heavy(history, account) and not self._is_less_urgent(history, priority):
             return False
--- a/citrondyke/decisions/accounts/fallback_allowance.py
+++ b/citrondyke/decisions/accounts/fallback_allowance.py
@@ -1,4 +1,4 @@
-"""What a keeper lets through while nobody counts."""
+"""Uses that replicas grant while a slot has no steward."""
 
 from __future__ import annotations
 
@@ -15,16 +15,19 @@
 
 
 class FallbackAllowance:
-    """A small part of what may pass a limit, for the time in which a slot has no steward."""
+    """A small part of the overshoot budget, granted locally while a slot has no steward."""
 
     def __init__(self, budget: OvershootBudget, began_ms: float) -> None:
-        """Begin with a life."""
+        """Initialize the allowance.
+
+        :param began_ms: start of this incarnation, by the fence clock.
+        """
         self._budget = budget
         self._began_ms = began_ms
         self._buckets: dict[TenantId, TokenBucket] = {}
 
     def try_consume(self, account: Account, now_ms: float) -> bool:
-        """Take one use out."""
+        """Consume one use of an account's allowance, if any is left."""
         bucket = self._buckets.get(account.id)
         if bucket is None:
             first = self._budget.fallback_initial(account.rate_per_s)
--- a/citrondyke/decisions/accounts/local_rejection_cache.py
+++ b/citrondyke/decisions/accounts/local_rejection_cache.py
@@ -1,4 +1,4 @@
-"""How long an instance refuses an account's requests without asking."""
+"""Rejection of an account's requests without a query to its steward."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 __all__ = ('LocalRejectionCache',)
 
-#: Longest time for which an instance refuses an account's requests without asking.
+#: Longest time for which an instance rejects an account's requests locally.
 MAX_PAUSE_MS = 500.0
-#: Questions a second for each use that becomes free: fewer would leave uses unasked for.
+#: Queries per second for each use that becomes free. With fewer, some uses would stay unused.
 REQUESTS_PER_GRANT = 2.0
-#: Instances that were refused within this time are expected to ask again.
+#: An instance whose query was rejected within this time is expected to query again.
 REQUEST_WINDOW_MS = 1_000.0
-#: Work told with the next question; a pause is short.
+#: Locally rejected work reported with the next query. Few requests arrive during the short pause.
 REPORTED_REJECTIONS_LIMIT = 50
 
 
@@ -32,24 +32,26 @@
 
 
 class LocalRejectionCache:
-    """Keeps a flood from the steward.
+    """Rejects requests locally for a short pause after the steward has rejected one.
 
-    An account that asks for many times its limit is refused by each instance alone most of the
-    time, but for callers who come back to a place that is kept.
+    Handles an account that sends many times its limit: without the pauses every request would cause
+    a query to the steward. Callers that return to a reservation are never rejected locally.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start without a refusal."""
+        """Initialize the cache without pauses."""
         self._context = context
         self._rejected_instances_ms: dict[TenantId, dict[InstanceId, float]] = {}
         self._pauses: dict[TenantId, _Pause] = {}
-        #: Work refused without asking since the steward was last asked.
+        #: Work rejected locally since the last query to the steward.
         self._unreported: dict[TenantId, deque[int]] = {}
 
     def pause_ms(self, account: Account, requester: InstanceId, uses_per_s: float) -> float:
-        """Give, as a steward, for how long an instance that was refused need not ask.
+        """Return, as a steward, the pause of an instance whose query is rejected.
 
-        :param uses_per_s: how many uses become free in a second.
+        The more instances query about an account, the longer each of them pauses.
+
+        :param uses_per_s: number of uses that become free per second.
         """
         now_ms = self._context.now_ms()
         rejected_ms = self._rejected_instances_ms.get(account.id, {})
@@ -64,7 +66,7 @@
         return min(MAX_PAUSE_MS, pause_ms)
 
     def set_pause(self, account: TenantId, answer: UseAnswered) -> None:
-        """Refuse an account's requests without asking for a while."""
+        """Reject an account's requests locally for the pause given in an answer."""
         if answer.is_kept or answer.pause_ms <= 0.0:
             return
         now_ms = self._context.now_ms()
@@ -73,7 +75,7 @@
         )
 
     def reject_locally(self, account: TenantId, work: int) -> float | None:
-        """Give in how many milliseconds a caller may come back; ``None`` when it is to be asked."""
+        """Return the retry time of a locally rejected request; ``None`` to query the steward."""
         pause = self._pauses.get(account)
         now_ms = self._context.now_ms()
         if pause is None or now_ms >= pause.until_ms:
@@ -86,5 +88,5 @@
         return self._context.jittered_ms(retry_in_ms, 0.25)
 
     def pop_locally_rejected(self, account: TenantId) -> tuple[int, ...]:
-        """Give what was refused without asking, to be told with the next question."""
+        """Return and clear the locally rejected work, to be reported with the next query."""
         return tuple(self._unreported.pop(account, ()))
