--- a/citrondyke/decisions/accounts/fleet_rate_limiter.py
+++ b/citrondyke/decisions/accounts/fleet_rate_limiter.py
@@ -1,4 +1,4 @@
-"""How an instance finds out whether an account may have one more request."""
+"""Interface of the rate limiters that count an account over the whole fleet."""
 
 from __future__ import annotations
 
@@ -27,30 +27,30 @@
 
 
 class VerdictKind(Enum):
-    """What was found out."""
+    """Outcome of a rate limit check."""
 
     WITHIN = 'within'
     OVER = 'over'
-    #: Nobody who may say answered.
+    #: No instance that may decide has answered.
     UNKNOWN = 'unknown'
 
 
 class LimitVerdict(msgspec.Struct, frozen=True):
-    """Whether a request may be sent to a server."""
+    """Result of the rate limit check of a request."""
 
     kind: VerdictKind
-    #: When its caller may come back, where it may not.
+    #: Time after which the caller may retry, if the request is rejected.
     retry_in_ms: float = 0.0
-    #: Who said so; empty for this instance itself.
+    #: Instance that decided; empty for this instance.
     by: InstanceId = InstanceId('')
-    #: When the request may be sent, where it may.
+    #: Time after which the request may be sent, if it is within the limit.
     start_in_ms: float = 0.0
-    #: Whether a place is kept for the caller.
+    #: Whether the caller has a reservation at the retry time.
     is_kept: bool = False
 
 
 class QuotaQuery(msgspec.Struct, frozen=True):
-    """What has to be asked first."""
+    """A query that must be answered before the next step."""
 
     receiver: InstanceId
     message: LimitMessage
@@ -58,52 +58,58 @@
 
 
 class FleetRateLimiter(ABC):
-    """Keeps accounts within their limits over all instances; sends nothing itself.
+    """Enforces the limits of accounts over all instances, without any I/O.
 
-    Answers one account that asks for many times what it may: in any window no more of its requests
-    reach servers than its limit allows, however they spread over instances that come, go, stand
-    still or hear nothing of each other, and the others do not notice.
+    Handles an account that sends many times its limit: in any window no more of its requests reach
+    servers than the limit allows, however they are spread over instances, also while instances
+    start, stop, are suspended or are partitioned. Other accounts aren't affected.
     """
 
     @abstractmethod
     def next_step(
         self, account: Account, need: UseNeed, tried: set[InstanceId]
     ) -> LimitVerdict | QuotaQuery:
-        """Decide about one request, or tell who must be asked.
+        """Decide about one request, or return the next query.
 
-        :param need: what the request needs of the limit.
-        :param tried: who was asked for this request already.
+        :param need: requirements of the request.
+        :param tried: instances that have been queried for this request.
         """
 
     @abstractmethod
     def apply_answer(
         self, account: Account, sender: InstanceId, answer: UseAnswered
     ) -> LimitVerdict | None:
-        """Take in an answer; ``None`` when another one has to be asked."""
+        """Apply an answer; return ``None`` if another instance has to be queried."""
 
     @abstractmethod
     def record_no_reply(self, account: Account, receiver: InstanceId) -> None:
-        """Take in that somebody did not answer in time."""
+        """Record that an instance did not answer in time."""
 
     @abstractmethod
     def on_message(self, sender: InstanceId, message: LimitMessage) -> list[Addressed]:
-        """Take in what a peer sends, answers to questions left out, and give what to send."""
+        """Handle a message from a peer, except answers to queries.
+
+        :returns: the messages to send.
+        """
 
     @abstractmethod
     def tick(self) -> list[Addressed]:
-        """Give what is to be sent from time to time."""
+        """Return the messages that are sent periodically."""
 
     def pending_messages(self) -> list[Addressed]:
-        """Give what is to be sent after a step beside the question."""
+        """Return the messages to send after a step, besides its query."""
         return []
 
     def advance_grant_calls(self) -> list[AdvanceGrantStoreCall]:
-        """Give what the store is to be asked now."""
+        """Return the store calls that are due for the advance grant records."""
         return []
 
     def apply_advance_grant_row(
         self, call: AdvanceGrantStoreCall, row: AdvanceGrantRow | None
     ) -> list[Addressed]:
-        """Take in what the store answered, ``None`` where it did not, and give what to send."""
+        """Apply the store's reply to a call, ``None`` if it failed.
+
+        :returns: the messages to send.
+        """
         del call, row
         return []
--- a/citrondyke/decisions/accounts/key_index.py
+++ b/citrondyke/decisions/accounts/key_index.py
@@ -1,4 +1,4 @@
-"""Finds who holds a key, by its digest."""
+"""Index of API keys by their digest."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
 
 class KeyIndex(Generic[Holder]):
-    """Holders of keys by the keys' digests; the keys themselves are kept nowhere.
+    """Maps key digests to key holders, without storing the keys.
 
-    A look-up by digest tells nothing of a stored key by its timing: whoever tries keys cannot
-    choose digests that share a beginning with a stored one.
+    The time of a lookup by digest reveals nothing about stored keys: an attacker can't choose
+    digests that share a prefix with a stored one.
     """
 
     def __init__(self, holders: Iterable[tuple[Holder, Iterable[str]]] = ()) -> None:
-        """Take in holders with the digests of their keys."""
+        """Initialize the index from holders and the digests of their keys."""
         self._by_digest: dict[str, Holder] = {}
         for holder, digests in holders:
             self.add(holder, digests)
 
     def add(self, holder: Holder, digests: Iterable[str]) -> None:
-        """Take in one more holder."""
+        """Add a holder with the digests of its keys."""
         self._by_digest.update(dict.fromkeys(digests, holder))
 
     def drop(self, digests: Iterable[str]) -> None:
-        """Forget keys."""
+        """Remove keys by their digests."""
         for digest in digests:
             self._by_digest.pop(digest, None)
 
     def clear(self) -> None:
-        """Forget all keys."""
+        """Remove all keys."""
         self._by_digest.clear()
 
     def find(self, digest: str) -> Holder | None:
-        """Find whose key has a digest."""
+        """Return the holder of the key with a digest; ``None`` if there is none."""
         return self._by_digest.get(digest)
--- a/citrondyke/decisions/accounts/limit_messages.py
+++ b/citrondyke/decisions/accounts/limit_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of the uses of accounts."""
+"""Messages between instances about the uses of accounts."""
 
 from __future__ import annotations
 
@@ -24,108 +24,108 @@
 
 
 class UseOutcome(Enum):
-    """How a question for one use was answered."""
+    """Outcome of a query for one use."""
 
     GRANTED = 'granted'
     #: The account is over its limit.
     REFUSED = 'refused'
-    #: The receiver may not say.
+    #: The receiver isn't the steward and may not decide.
     NOT_STEWARD = 'not_steward'
 
 
 class LimitMessage(msgspec.Struct, frozen=True):
-    """What a message says."""
+    """Base class of the messages about rate limits."""
 
 
 class UseNeed(msgspec.Struct, frozen=True):
-    """What one request needs of its account's limit."""
+    """Requirements of one request for the rate limit check."""
 
-    #: Names the work asked for, by 32 bits: it is the same when the caller comes back.
+    #: 32-bit identifier of the requested work, the same when the caller retries.
     work: int = 0
     #: Time until the caller's deadline.
     left_ms: float = 0.0
-    #: How long the request may wait and still be answered within its target.
+    #: Longest wait after which the request can still be answered within its target.
     may_wait_ms: float = 0.0
 
 
 class UseAsked(LimitMessage, frozen=True):
-    """Asks the account's steward for one use."""
+    """Query to the account's steward for one use."""
 
     number: int
     account: TenantId
     need: UseNeed = UseNeed()
-    #: Work of the account that the sender has refused without asking.
+    #: Work of the account that the sender has rejected locally.
     refused: tuple[int, ...] = ()
 
 
 class UseAnswered(LimitMessage, frozen=True):
-    """The answer to it."""
+    """Answer to :class:`UseAsked`."""
 
     number: int
     outcome: UseOutcome
-    #: When the caller may come back.
+    #: Time after which the caller may retry.
     retry_in_ms: float = 0.0
-    #: For how long the asking instance need not ask again.
+    #: Time for which the querying instance rejects requests locally.
     pause_ms: float = 0.0
-    #: Whether by the steward, not by one who stands in for it.
+    #: Whether the steward answered, rather than a replica from its fallback allowance.
     is_steward: bool = False
-    #: When the use may begin, where it is granted.
+    #: Time after which a granted use may begin.
     start_in_ms: float = 0.0
-    #: Whether a place is kept for the caller at the time that it is told.
+    #: Whether the caller has a reservation at the retry time.
     is_kept: bool = False
-    #: Work for which places are kept that fall due during the pause.
+    #: Work with reservations that fall due during the pause.
     expected: tuple[int, ...] = ()
 
 
 class SlotCopy(msgspec.Struct, frozen=True):
-    """What a keeper knows of a lease: levels below which its holder did not let accounts fall.
+    """A replica's copy of a lease: floors below which the holder didn't let accounts fall.
 
-    An account that is not named has at least half of its depth or, where that is less, what its
-    rate has filled in ``filled_ms`` without half of its depth.
+    The remaining quota of an account that isn't named is at least half of its depth or, if that is
+    less, the refill of its rate in ``filled_ms`` minus half of its depth.
     """
 
-    #: Chosen by the holder at random, so that no two leases share one.
+    #: Lease epoch, chosen by the holder at random so that no two leases share one.
     era: int
     #: Grows with every change.
     number: int
-    #: Names the set of keepers by which the lease was had.
+    #: Identifier of the replica set that granted the lease.
     keepers: int
     filled_ms: float
     floors: dict[TenantId, float]
 
 
 class LeaseAsked(LimitMessage, frozen=True):
-    """Asks a witness for a slot's lease."""
+    """Request to a voter for a slot's lease."""
 
     slot: int
     number: int
-    #: Whether the sender holds the lease and asks for more time only.
+    #: Whether the sender holds the lease and only renews it.
     is_renewal: bool = False
-    #: Whether the sender can't hold it yet and only tells that it will ask.
+    #: Whether the sender can't hold the lease yet and only announces its request.
     is_early: bool = False
 
 
 class LeaseAnswered(LimitMessage, frozen=True):
-    """The answer to it."""
+    """Answer to :class:`LeaseAsked`."""
 
     slot: int
     number: int
     is_granted: bool
-    #: For how long nobody else has had the sender's word.
+    #: Time for which no other instance has had the sender's vote.
     free_ms: float = 0.0
-    #: What the sender knows of the last lease; ``None`` where it may not be the last.
+    #: The sender's copy of the last lease; ``None`` if it may be stale.
     copy: SlotCopy | None = None
 
 
 class FloorsTold(LimitMessage, frozen=True):
-    """Tells a keeper how far accounts may fall."""
+    """The floors of a lease, sent by its holder to a replica."""
 
     slot: int
     copy: SlotCopy
 
 
 class FloorsAcknowledged(LimitMessage, frozen=True):
-    """The answer to it."""
+    """Answer to :class:`FloorsTold`."""
 
     slot: int
     era: int
@@ -133,7 +133,7 @@
 
 
 class Addressed(msgspec.Struct, frozen=True):
-    """A message and who is sent it."""
+    """A message with its receiver."""
 
     receiver: InstanceId
     message: LimitMessage
--- a/citrondyke/decisions/accounts/quota_floors.py
+++ b/citrondyke/decisions/accounts/quota_floors.py
@@ -1,4 +1,4 @@
-"""How far a steward may let accounts fall, as its keepers know it."""
+"""Lower bounds on remaining quotas, as a slot's replicas store them."""
 
 from __future__ import annotations
 
@@ -12,33 +12,37 @@
 
 __all__ = ('FLOOR_SHARE', 'QuotaFloors', 'default_floor')
 
-#: Part of its depth below which an account is told of by name: one within its limit stays above.
+#: Share of its depth that an account keeps unless it is named. An account within its limit stays
+#: above it.
 FLOOR_SHARE = 0.5
-#: Accounts told by name in one slot; a message with all of them is some 10 KB.
+#: Number of accounts named in one slot; a message with all of them has about 10 KB.
 NAMED_LIMIT = 400
 
 
 def default_floor(account: Account, depth: float, filled_ms: float) -> float:
-    """Give the floor of an account that is not named.
+    """Return the floor of an account that isn't named.
 
-    In the first seconds of a lease it lies below what has filled up, so that a use then need not
-    wait until a keeper has acknowledged a floor.
+    In the first seconds of a lease the floor is below the quota that has refilled, so that a use
+    needn't wait until a replica has acknowledged a lower floor.
+
+    :param filled_ms: time for which the account is known to have refilled.
     """
     margin = depth * FLOOR_SHARE
     return min(margin, account.rate_per_s * filled_ms / 1e3 - margin)
 
 
 class QuotaFloors:
-    """The floors of one lease, on the side of its holder.
+    """The floors of one lease at its holder.
 
-    A floor is lowered as soon as one keeper has acknowledged it, and raised as soon as that is
-    told: what any keeper may hand on is never above a level.
+    A lower floor takes effect once a replica has acknowledged it; a higher floor replaces the old
+    one as soon as it is published. So no replica ever passes on a floor above the remaining quota.
     """
 
     def __init__(self, era: int, replica_set_id: int, filled_ms: float, since_ms: float) -> None:
-        """Begin a lease.
+        """Initialize the floors at the start of a lease.
 
-        :param filled_ms: for how long accounts had certainly filled up when it began.
+        :param era: epoch of the lease.
+        :param filled_ms: time for which accounts are known to have refilled at the start.
         """
         self._lease_epoch = era
         self._replica_set_id = replica_set_id
@@ -46,39 +50,39 @@
         self._since_ms = since_ms
         self._number = 0
         self._acknowledged: dict[InstanceId, int] = {}
-        #: By account: what is told, and the highest that all keepers may still believe; ``None``
-        #: where they may believe it above the floor of accounts that are not named.
+        #: By account: the published floor, and the highest floor that a replica may still store;
+        #: ``None`` if that may be the default floor.
         self._published: dict[TenantId, float] = {}
         self._bounds: dict[TenantId, float | None] = {}
         self._changed_at: dict[TenantId, int] = {}
 
     @property
     def number(self) -> int:
-        """Give the number of the last change."""
+        """Number of the last change."""
         return self._number
 
     def is_acknowledged_by(self, replica: InstanceId) -> bool:
-        """Tell whether a keeper knows the floors as they are."""
+        """Return whether a replica has acknowledged the current floors."""
         return self._acknowledged.get(replica, -1) >= self._number
 
     def filled_ms(self, now_ms: float) -> float:
-        """Give for how long accounts that are not named have certainly filled up."""
+        """Return the time for which accounts that aren't named are known to have refilled."""
         return self._filled_ms + now_ms - self._since_ms
 
     def add_filled_ms(self, added_ms: float) -> None:
-        """Take in that accounts which are not named had filled up for longer."""
+        """Extend the time for which accounts that aren't named have refilled."""
         self._filled_ms += added_ms
         self._number += 1
 
     def floor_of(self, account: Account, depth: float, now_ms: float) -> float:
-        """Give how far an account may fall now."""
+        """Return the remaining quota below which an account may not fall now."""
         bound = self._bounds.get(account.id)
         if bound is not None:
             return bound
         return default_floor(account, depth, self.filled_ms(now_ms))
 
     def adjust(self, account: Account, depth: float, remaining: float, now_ms: float) -> None:
-        """Lower an account's floor before it is reached, and forget it when it has filled up."""
+        """Lower an account's floor before it is reached; drop it after the account has refilled."""
         default = default_floor(account, depth, self.filled_ms(now_ms))
         step = max(1.0, depth * FLOOR_SHARE)
         published = self._published.get(account.id)
@@ -94,12 +98,12 @@
             self._publish(account.id, remaining - step)
 
     def begin_at(self, account: TenantId, floor: float) -> None:
-        """Name an account that begins the lease low, before anybody was told."""
+        """Set the floor of an account at the start of the lease, before any is published."""
         self.lower(account, floor)
         self._bounds[account] = floor
 
     def lower(self, account: TenantId, floor: float) -> None:
-        """Tell a floor; it holds once a keeper has acknowledged it."""
+        """Publish a lower floor; it takes effect once a replica has acknowledged it."""
         self._publish(account, floor)
 
     def _publish(self, account: TenantId, floor: float) -> None:
@@ -110,7 +114,7 @@
         self._changed_at[account] = self._number
 
     def snapshot(self, now_ms: float) -> SlotCopy:
-        """Give what keepers are told."""
+        """Return the copy that is sent to replicas."""
         return SlotCopy(
             self._lease_epoch,
             self._number,
@@ -120,7 +124,7 @@
         )
 
     def record_acknowledged(self, replica: InstanceId, era: int, number: int) -> None:
-        """Take in that a keeper knows floors up to a number."""
+        """Record that a replica has stored the changes up to ``number``."""
         if era != self._lease_epoch:
             return
         self._acknowledged[replica] = max(self._acknowledged.get(replica, -1), number)
--- a/citrondyke/decisions/accounts/slot_lease.py
+++ b/citrondyke/decisions/accounts/slot_lease.py
@@ -1,4 +1,4 @@
-"""The lease of a slot: one instance at a time counts its accounts."""
+"""The lease of a slot: at most one instance at a time counts its accounts."""
 
 from __future__ import annotations
 
@@ -21,27 +21,28 @@
 
 __all__ = ('LEASE_MS', 'RENEW_MS', 'SlotLease')
 
-#: Time for which a lease holds from when it was asked for. Three renewals, so that two lost
-#: datagrams cost nothing; an account waits so long for the next steward.
+#: Time for which a lease is valid, from the moment of its request. It covers three renewals, so two
+#: lost datagrams do no harm. A longer lease would delay the successor of a dead steward.
 LEASE_MS = 600.0
 RENEW_MS = 200.0
-#: A witness keeps its word longer than the lease holds: clocks run apart by less.
+#: Time for which a voter keeps its vote. Longer than the lease by more than clocks drift apart.
 VOTE_HOLD_MS = 700.0
-#: Silence of the keepers before it after which one asks for the lease itself.
+#: A replica requests the lease itself after the replicas ranked before it have sent no request for
+#: this time.
 TAKEOVER_MS = 800.0
-#: Keepers that have been the same for so long are the same to everybody: heartbeats of newcomers
-#: are read every three seconds in the largest fleets.
+#: A replica set that hasn't changed for this time is known to all instances: the heartbeats of new
+#: instances are read every three seconds in the largest fleets.
 STABLE_VIEW_MS = 4_000.0
-#: A copy of a lease that was last heard of so long ago may not be that of the last one: others may
-#: have become keepers meanwhile, unknown to this one.
+#: A copy of a lease whose holder hasn't sent a message for this time may be stale: other instances
+#: may have become replicas meanwhile, unknown to this one.
 COPY_EXPIRY_MS = 3_000.0
 
 
 class _LeaseRequest(msgspec.Struct):
     asked_ms: float
-    #: Since when each keeper that gave its word has promised nobody else.
+    #: Time since which each replica that granted the request has voted for no other instance.
     granted: dict[InstanceId, float] = {}
-    #: What each of them knows of the last lease.
+    #: Copy of the last lease at each of these replicas.
     copies: dict[InstanceId, SlotCopy | None] = {}
     is_rejected: bool = False
 
@@ -49,37 +50,42 @@
 class _ReceivedCopy(msgspec.Struct):
     copy: SlotCopy
     holder: InstanceId
-    #: When it came, and when its holder was last heard of.
+    #: Time of receipt, and time of the last message from the holder.
     received_ms: float
     holder_seen_ms: float
 
 
 class SlotLease:
-    """Holder, candidate and witness of one slot, by the clock that runs on in a suspended machine.
+    """State of one slot's lease at a holder, candidate or voter.
 
-    Two instances that both count an account let through twice its limit. A lease needs the word of
-    two of the slot's three keepers, and a keeper gives its word to one at a time. While views of
-    the fleet differ, two sets of keepers may have no such two in common: a newcomer to the fleet
-    has one word of its set, the holder before it has others. So a lease is taken over only if no
-    keeper refuses, and without a silent one's word only by keepers that are long known.
+    Prevents two instances from counting the same account, which would grant twice its limit. A
+    lease needs the votes of two of the slot's three replicas, and a replica votes for one instance
+    at a time. While views of the fleet differ, the majorities of two replica sets may have no
+    member in common: a new instance may have a vote of its set while the current holder has votes
+    of another set. So a lease is acquired only if no replica rejects the request, and without the
+    vote of an unresponsive replica only by a replica set that has been stable for some time.
+
+    All times are those of the fence clock, which goes on while the machine is suspended.
     """
 
     def __init__(
         self, context: Context, placement: SlotPlacement, slot: int, began_ms: float
     ) -> None:
-        """Promise nothing for a while: the life before may have given its word until its end.
+        """Initialize the lease state; withhold votes at first.
+
+        The previous incarnation may have voted until its end, and its vote must expire first.
 
-        :param began_ms: when this life certainly had begun, by the fence clock.
+        :param began_ms: a time at which this incarnation had already begun, by the fence clock.
         """
         self._context = context
         self._placement = placement
         self._slot = slot
         self._voted_for = InstanceId('')
         self._vote_until_ms = began_ms + VOTE_HOLD_MS
-        #: Since when nobody else has had this keeper's word.
+        #: Time since which no other instance has had this replica's vote.
         self._no_other_vote_since_ms = began_ms
         self._began_ms = began_ms
-        #: When each keeper last asked for the lease, and when it last said anything.
+        #: Time of the last lease request, and of the last message of any kind, from each replica.
         self._last_request_ms: dict[InstanceId, float] = {}
         self._last_message_ms: dict[InstanceId, float] = {}
         self._replicas: list[InstanceId] = []
@@ -87,38 +93,41 @@
         self._held_until_ms = float('-inf')
         self._requests: dict[int, _LeaseRequest] = {}
         self._next_number = 0
-        #: Since when certainly nobody else has counted the slot's accounts; each time that the
-        #: lease is taken over it is another one.
+        #: Time since which no other instance can have counted the slot's accounts. It differs for
+        #: each acquisition of the lease.
         self.held_since_ms = float('-inf')
-        #: What is certainly known of the lease before this one.
+        #: Confirmed copy of the lease before this one; ``None`` if there is none.
         self.previous_copy: SlotCopy | None = None
         self._received_copy: _ReceivedCopy | None = None
 
     @property
     def is_held(self) -> bool:
-        """Tell whether this instance counts the slot's accounts now."""
+        """Whether this instance holds the lease now."""
         return self._now_ms() < self._held_until_ms
 
     @property
     def held_until_ms(self) -> float:
-        """Give when the lease ends if it is not renewed."""
+        """Time at which the lease expires unless it is renewed."""
         return self._held_until_ms
 
     def other_replicas(self) -> list[InstanceId]:
-        """List who keeps the slot beside this instance."""
+        """Return the other replicas of the slot."""
         return [each for each in self._current_replicas() if each != self._context.instance_id]
 
     def replica_set_id(self) -> int:
-        """Name the set of keepers; all of one set give it the same name."""
+        """Return an identifier of the replica set, the same at all its members."""
         return content_bucket('\n'.join(sorted(self._current_replicas())).encode()) & 0xFFFF_FFFF
 
     def record_own_copy(self, copy: SlotCopy) -> None:
-        """Take in what this instance, as the holder, knows of its lease."""
+        """Record the copy of this instance's own lease."""
         now_ms = self._now_ms()
         self._received_copy = _ReceivedCopy(copy, self._context.instance_id, now_ms, now_ms)
 
     def merge_copy(self, sender: InstanceId, copy: SlotCopy) -> bool:
-        """Take in a holder's floors; tell whether this keeper will hand them on."""
+        """Merge a copy from the holder.
+
+        :returns: whether this replica will pass the copy on to the next holder.
+        """
         if self._voted_for != sender or self.is_held:
             return False
         known = self._received_copy
@@ -128,15 +137,15 @@
         return True
 
     def tick(self) -> list[Addressed]:
-        """Ask for the lease where it is this instance's turn."""
+        """Request or renew the lease if this instance is the candidate."""
         replicas = self._current_replicas()
         own_id = self._context.instance_id
         if own_id not in replicas or not self._may_request(replicas.index(own_id), replicas):
             return []
         now_ms = self._now_ms()
         if not self._vote_for(own_id):
-            # The life before may have given its word. Others that know who is about to ask do not
-            # ask themselves meanwhile, which would split the words of the keepers.
+            # The previous incarnation's vote may still be valid. Replicas that know of the coming
+            # request don't request the lease themselves, which would split the votes.
             is_new = not self._voted_for
             announcement = LeaseAsked(self._slot, 0, is_early=True)
             return [Addressed(each, announcement) for each in self.other_replicas() if is_new]
@@ -153,7 +162,7 @@
         return [Addressed(replica, message) for replica in replicas if replica != own_id]
 
     def on_lease_request(self, sender: InstanceId, message: LeaseAsked) -> list[Addressed]:
-        """Answer as a witness."""
+        """Handle a lease request as a voter."""
         replicas = self._current_replicas()
         if message.is_early:
             self._last_message_ms[sender] = self._now_ms()
@@ -171,7 +180,7 @@
         return [Addressed(sender, answer)]
 
     def on_lease_reply(self, sender: InstanceId, reply: LeaseAnswered) -> None:
-        """Take a witness's word in."""
+        """Handle a voter's reply, and acquire or renew the lease on a majority."""
         self._last_message_ms[sender] = self._now_ms()
         request = self._requests.get(reply.number)
         replicas = self._current_replicas()
@@ -206,7 +215,10 @@
         return replicas
 
     def _may_request(self, rank: int, replicas: list[InstanceId]) -> bool:
-        """Tell whether all keepers before this one are silent; the holder gives way to them."""
+        """Return whether all replicas ranked before this one have stopped requesting the lease.
+
+        A holder yields to a replica ranked before it.
+        """
         now_ms = self._now_ms()
         return all(
             now_ms - self._last_request_ms.get(replica, self._began_ms)
@@ -224,7 +236,7 @@
                     self._no_other_vote_since_ms, self._vote_until_ms
                 )
             if self._received_copy is not None and self._received_copy.holder != self._voted_for:
-                # Whoever had the word since may have had the lease too.
+                # The instance that had the vote meanwhile may have held the lease too.
                 self._received_copy = None
         self._voted_for = candidate
         self._vote_until_ms = now_ms + VOTE_HOLD_MS
@@ -237,7 +249,7 @@
         self._held_until_ms = max(self._held_until_ms, request.asked_ms + LEASE_MS)
 
     def _current_copy(self) -> SlotCopy | None:
-        """Give what this keeper knows of the last lease; ``None`` where it may not be the last."""
+        """Return this replica's copy of the last lease; ``None`` if it may be stale."""
         known = self._received_copy
         now_ms = self._now_ms()
         if known is None:
@@ -251,10 +263,10 @@
         return msgspec.structs.replace(known.copy, filled_ms=filled_ms)
 
     def _agreed_copy(self, request: _LeaseRequest) -> SlotCopy | None:
-        """Give the newest copy if all keepers that gave their word know the same lease.
+        """Return the newest copy if all replicas that granted the request know the same lease.
 
-        One that knows another lease, or none, may have missed the last one or be the only one
-        that has not.
+        A replica that knows another lease, or none, may have missed the last one, or may be the
+        only one that knows the last one.
         """
         copies = [self._current_copy(), *request.copies.values()]
         own_set_id = self.replica_set_id()
@@ -264,10 +276,10 @@
         return max(known, key=lambda each: each.number)
 
     def _unheld_since_ms(self, request: _LeaseRequest, replicas: list[InstanceId]) -> float:
-        """Give since when nobody has held the lease, by the words of all keepers.
+        """Return the time since which no instance has held the lease; now if votes are missing.
 
-        After a loss of all instances that is since the last of them began: what an account may
-        have had meanwhile is not taken from it.
+        After a crash of all instances this is the time at which the last replica started, so the
+        account quotas have refilled since then.
         """
         now_ms = self._now_ms()
         if self._missing_votes(request, replicas):
--- a/citrondyke/decisions/accounts/slot_placement.py
+++ b/citrondyke/decisions/accounts/slot_placement.py
@@ -1,4 +1,4 @@
-"""Which instances keep an account's count: the same ones wherever it is asked for."""
+"""Placement of account slots: every instance computes the same replicas for a slot."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 
 __all__ = ('SLOTS_COUNT', 'SlotPlacement', 'slot_of')
 
-#: Accounts share leases by slot, so that their number costs no messages.
+#: Accounts share the lease of their slot, so lease traffic doesn't grow with their number.
 SLOTS_COUNT = 16
-#: Instances that may keep a slot: with one of them gone the other two agree on the next.
+#: Replicas of a slot: when one of them is dead, the other two elect the next steward.
 REPLICAS_COUNT = 3
 
 
 def slot_of(account: TenantId) -> int:
-    """Give an account's slot."""
+    """Return the slot of an account."""
     return content_bucket(account.encode()) % SLOTS_COUNT
 
 
 class SlotPlacement:
-    """Keepers of each slot by rendezvous among the instances that are known."""
+    """Assigns replicas to slots by rendezvous hashing over the known instances."""
 
     def __init__(self, members: Callable[[], tuple[InstanceId, ...]]) -> None:
-        """Use a view of the fleet.
+        """Initialize the placement.
 
-        :param members: gives all known instances, this one included; none while that is not known.
+        :param members: returns all known instances including this one; empty while unknown.
         """
         self._members = members
         self._seen: tuple[InstanceId, ...] = ()
         self._replicas: dict[int, list[InstanceId]] = {}
 
     def replicas(self, slot: int) -> list[InstanceId]:
-        """List who may keep a slot, the first one first."""
+        """Return the replicas of a slot, the preferred steward first."""
         members = self._members()
         if members is not self._seen and members != self._seen:
             self._replicas.clear()
--- a/citrondyke/decisions/accounts/slot_steward.py
+++ b/citrondyke/decisions/accounts/slot_steward.py
@@ -1,4 +1,4 @@
-"""The steward of one slot in one lease."""
+"""The steward of one slot during one lease."""
 
 from __future__ import annotations
 
@@ -37,39 +37,40 @@
 
 __all__ = ('SlotSteward',)
 
-#: Part of the rate that goes to callers who were told a time. Each of them takes the place of one
-#: who could be served at once, so that more of them would serve fewer callers within their target.
+#: Share of the rate for callers with a reservation. Each of them takes the capacity of a caller
+#: that could be served at once, so a larger share would serve fewer callers within their target.
 RESERVED_SHARE = 0.1
-#: A caller may come so much before its time: times are told in whole milliseconds.
+#: A caller may return this much before its due time: retry times are sent in whole milliseconds.
 EARLY_TOLERANCE_MS = 20.0
-#: Part of the time left that callers wait at the most before they come back.
+#: Largest share of its remaining time that a caller waits before it returns.
 MAX_WAIT_SHARE = 1 / 3
-#: Places are told with so much of that to spare: the way to the caller and back.
+#: Part of that wait that a reservation leaves unused, for the round trip to the caller.
 ROUND_TRIP_SLACK_MS = 50.0
-#: What callers are told at the most; beyond seconds it is no use to them.
+#: Longest retry time sent to callers; a longer one is of no use to them.
 MAX_RETRY_MS = 5_000.0
-#: Until the store has said which accounts had uses ahead of time; later it is taken for silent.
+#: Time to wait for the store's records of earlier advance grants before it counts as unresponsive.
 ADVANCE_GRANT_READ_TIMEOUT_MS = 80.0
-#: Until keepers have acknowledged that an account may fall further.
+#: Time to wait for replicas to acknowledge a lower floor.
 FLOOR_ACK_TIMEOUT_MS = 50.0
-#: Below this part of its depth an account is expected to use all of it up.
+#: An account whose remaining quota is below this share of its depth is expected to use it up.
 DEMAND_SHARE = 0.25
-#: Places told to an instance with a refusal, so that it lets their callers ask.
+#: Reservations sent to an instance with a rejection, so that it doesn't reject their callers
+#: locally.
 EXPECTED_WORKS_LIMIT = 100
 
 
 class _EarliestStart(msgspec.Struct, frozen=True):
     at_ms: float
-    #: Whether keepers allow it.
+    #: Whether the use keeps the account above the floor that replicas have acknowledged.
     is_within_floor: bool
 
 
 class SlotSteward:
-    """Decides about the accounts of a slot while its lease holds.
+    """Grants and rejects uses of the slot's accounts while its lease is held.
 
-    Answers one account that asks for many times its limit: it gets what its window allows, whoever
-    is over it waits for a place that comes in time or is told when to come back, and all others
-    are refused at once.
+    Handles an account that sends many times its limit: it gets the uses that its window allows.
+    Requests above the limit wait for a use that becomes free within their target, or get a
+    reservation for a later retry. All others are rejected at once.
     """
 
     def __init__(
@@ -81,9 +82,9 @@
         local_rejections: LocalRejectionCache,
         find_account: Callable[[TenantId], Account | None],
     ) -> None:
-        """Begin a lease that is held.
+        """Initialize the steward of a lease that is held.
 
-        :param find: finds an account in the configuration in force.
+        :param find_account: finds an account in the current configuration.
         """
         self._find_account = find_account
         self._context = context
@@ -91,18 +92,18 @@
         self._lease = lease
         self._slot = slot
         self._local_rejections = local_rejections
-        #: Since when nobody else has counted, which names the lease here.
+        #: Time since which no other instance has counted the slot's accounts.
         self.since_ms = lease.held_since_ms
         self._previous_copy = lease.previous_copy
-        #: Whether the marks of the lease before are known, and who had one.
+        #: Whether the advance grant records of the previous lease are known, and their accounts.
         self._are_prior_grants_known = False
         self._prior_grant_accounts: frozenset[TenantId] = frozenset()
         self._quotas: dict[TenantId, AccountQuota] = {}
         era = context.random.getrandbits(32)
         filled_ms = -ADVANCE_GRANT_MS
         if self._previous_copy is not None:
-            # The copy is as of now; the lease may have begun to count before.
-            # From here on keepers are told of floors below the levels that it gives.
+            # The copy is valid as of now, while the lease may have started earlier. From here on
+            # the floors sent to replicas are below the remaining quotas given by the copy.
             self.since_ms, filled_ms = self._now_ms(), min(0.0, self._previous_copy.filled_ms)
         self.held_since_ms = lease.held_since_ms
         self._began_ms = self._now_ms()
@@ -124,9 +125,9 @@
         need: UseNeed,
         refused: tuple[int, ...] = (),
     ) -> UseAnswered:
-        """Decide about one use.
+        """Grant or reject one use.
 
-        :param refused: work of the account that the asker has refused alone.
+        :param refused: work of the account that the requesting instance has rejected locally.
         """
         now_ms = self._now_ms()
         quota = self._quota_of(account)
@@ -163,7 +164,7 @@
         return self._grant_reservation(requester, number, account, need, start_ms)
 
     def count(self, account: TenantId) -> StewardCount:
-        """Give what was counted of an account."""
+        """Return the counts of an account."""
         quota = self._quotas.get(account)
         if quota is None:
             return StewardCount(0, 0)
@@ -179,20 +180,23 @@
         )
 
     def reservation_counts(self) -> list[ReservationCounts]:
-        """Give what became of places, by account."""
+        """Return the reservation counts of each account."""
         now_ms = self._now_ms()
         for quota in self._quotas.values():
             quota.reservations.expire(now_ms)
         return [quota.reservations.counts for quota in self._quotas.values()]
 
     def pending_floor_messages(self) -> list[Addressed]:
-        """Give what keepers are to be told now: a change at once, anything unheard by the tick."""
+        """Return floor messages if the floors have changed.
+
+        Floors that aren't acknowledged are sent again by :meth:`tick`.
+        """
         if self._floors.number == self._published_number:
             return []
         return self.tick()
 
     def tick(self) -> list[Addressed]:
-        """Tell the floors to each keeper that has not acknowledged them."""
+        """Return the floors for each replica that hasn't acknowledged them."""
         self._published_number = self._floors.number
         copy = self._floors.snapshot(self._now_ms())
         self._lease.record_own_copy(copy)
@@ -203,11 +207,11 @@
         ]
 
     def record_acknowledged(self, replica: InstanceId, era: int, number: int) -> None:
-        """Take in that a keeper knows the floors."""
+        """Record that a replica has stored the floors up to ``number``."""
         self._floors.record_acknowledged(replica, era, number)
 
     def next_store_call(self) -> AdvanceGrantStoreCall | None:
-        """Give what the store is to be asked."""
+        """Return the next call for the advance grant records, if any."""
         now_ms = self._now_ms()
         for account_id in self._advance_grants.accounts:
             account = self._find_account(account_id)
@@ -216,7 +220,7 @@
         return self._advance_grants.next_store_call(now_ms)
 
     def apply_row(self, call: AdvanceGrantStoreCall, row: AdvanceGrantRow | None) -> None:
-        """Take in what the store answered."""
+        """Apply the store's reply; ``None`` if the call failed."""
         if not self._advance_grants.is_call_of(call):
             return
         is_first_read = (
@@ -225,7 +229,8 @@
         self._advance_grants.apply_row(row, self._now_ms())
         if not is_first_read or row is None:
             return
-        # Read after everybody else's lease had ended: who has no mark had nothing ahead of time.
+        # The row was read after all other leases had expired, so an account without a record can't
+        # have received advance grants.
         self._are_prior_grants_known = True
         self._floors.add_filled_ms(ADVANCE_GRANT_MS)
         self._prior_grant_accounts = row.accounts
@@ -272,7 +277,7 @@
     def _reject_with_pause(
         self, requester: InstanceId, number: int, account: Account, need: UseNeed, due_ms: float
     ) -> UseAnswered:
-        """Refuse a request for which nothing is kept, and spare the asker the next questions."""
+        """Reject a request without a reservation, and let the instance pause its queries."""
         now_ms = self._now_ms()
         quota = self._quota_of(account)
         uses_per_s = account.rate_per_s * (
@@ -283,7 +288,7 @@
         if len(expected) > EXPECTED_WORKS_LIMIT:
             pause_ms, expected = 0.0, []
         quota.local_rejection_until_ms = max(quota.local_rejection_until_ms, now_ms + pause_ms)
-        # Nothing is kept, so the time that is told lies past the caller's deadline.
+        # There is no reservation, so the retry time is not before the caller's deadline.
         at_ms = max(due_ms, now_ms + need.left_ms)
         refused = self._rejection(number, at_ms, now_ms, is_kept=False)
         return msgspec.structs.replace(refused, pause_ms=pause_ms, expected=tuple(expected))
--- a/citrondyke/decisions/accounts/steward_count.py
+++ b/citrondyke/decisions/accounts/steward_count.py
@@ -1,4 +1,4 @@
-"""What a steward tells of an account."""
+"""Counts of an account at its steward."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class StewardCount(msgspec.Struct, frozen=True):
-    """What the steward of an account has counted."""
+    """Counts of an account since its steward acquired the lease."""
 
-    #: In the last window.
+    #: Uses and rejected requests in the last window.
     uses: int
     refused: int
-    #: Places that are kept now, and what became of others since it is the steward.
+    #: Current reservations, and those used and expired during the lease.
     places_kept: int = 0
     places_taken: int = 0
     places_lapsed: int = 0
--- a/citrondyke/decisions/accounts/steward_rate_limiter.py
+++ b/citrondyke/decisions/accounts/steward_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Limits kept by one steward for each account, which every request asks."""
+"""Rate limits enforced by one steward per account, which is queried for every request."""
 
 from __future__ import annotations
 
@@ -44,22 +44,22 @@
 
 __all__ = ('StewardRateLimiter',)
 
-#: Who did not answer is asked last for so long.
+#: Time for which a replica that did not answer is queried last.
 UNRESPONSIVE_MS = 1_000.0
-#: When a caller may come back after nobody could say: a lease passes on within two seconds.
+#: Retry time after no replica could decide; a lease changes hands within two seconds.
 UNKNOWN_RETRY_MS = 400.0
-#: From a process's begin until its slots have a steward again after a loss of all: the promises of
-#: the lives before, and the starts of the slowest machines.
+#: Time from the start of a process until its slots have a steward after a crash of all instances:
+#: the votes of the previous incarnations must expire, and the slowest machines must have started.
 STEWARD_STARTUP_MS = 1_400.0
 NEWLY_STARTED_MS = 3_000.0
 SLOT_MESSAGES = (LeaseAnswered, FloorsTold, FloorsAcknowledged)
 
 
 class StewardRateLimiter(FleetRateLimiter):
-    """Asks the steward of the account's slot; is the steward of some slots itself.
+    """Queries the steward of the account's slot; is itself the steward of some slots.
 
-    A request costs one datagram each way, and the count is exact. Who follows a steward starts at
-    levels that are certainly not above the last ones.
+    A request costs one datagram each way, and the count is exact. The successor of a steward starts
+    with remaining quotas that are never above the last ones.
     """
 
     def __init__(
@@ -70,12 +70,12 @@
         budget: OvershootBudget,
         began_ms: float | None = None,
     ) -> None:
-        """Start without a lease.
+        """Initialize the limiter without leases.
 
-        :param members: gives all known instances, this one included; none while that is not known.
-        :param find: finds an account in the configuration in force.
-        :param began_ms: when this life certainly had begun, by the fence clock; now where that is
-            not known.
+        :param members: returns all known instances including this one; empty while unknown.
+        :param find_account: finds an account in the current configuration.
+        :param began_ms: a time at which this incarnation had already begun, by the fence clock;
+            defaults to now.
         """
         self._context = context
         self._find_account = find_account
@@ -96,7 +96,7 @@
     def next_step(
         self, account: Account, need: UseNeed, tried: set[InstanceId]
     ) -> LimitVerdict | QuotaQuery:
-        """Decide about one request, or tell who must be asked."""
+        """Decide about one request, or return the next query."""
         if not account.has_limit:
             return LimitVerdict(VerdictKind.WITHIN)
         retry_in_ms = self._local_rejections.reject_locally(account.id, need.work)
@@ -119,22 +119,23 @@
         return LimitVerdict(VerdictKind.UNKNOWN, self._retry_without_steward_ms())
 
     def _retry_without_steward_ms(self) -> float:
-        """Give when somebody may say again; after a loss of all nobody may before all promises end.
+        """Return the retry time while there is no steward.
 
-        Callers come back once: asked back sooner they would be refused for good.
+        After a crash of all instances there is none before all votes have expired. Callers retry
+        once: if they returned sooner, they would be rejected for good.
         """
         age_ms = self._context.clock.fence_ms() - self._began_ms
         return self._context.jittered_ms(max(UNKNOWN_RETRY_MS, STEWARD_STARTUP_MS - age_ms), 0.25)
 
     @property
     def is_newly_started(self) -> bool:
-        """Tell whether this life is young, so that leases are to be asked for often."""
+        """Whether this incarnation is newly started, so that leases are requested often."""
         return self._context.clock.fence_ms() - self._began_ms < NEWLY_STARTED_MS
 
     def apply_answer(
         self, account: Account, sender: InstanceId, answer: UseAnswered
     ) -> LimitVerdict | None:
-        """Take in an answer; ``None`` when another one has to be asked."""
+        """Apply an answer; return ``None`` if another replica has to be queried."""
         if answer.is_steward:
             self._known_stewards[slot_of(account.id)] = sender
         if answer.outcome is UseOutcome.GRANTED:
@@ -147,16 +148,16 @@
         return None
 
     def record_no_reply(self, account: Account, receiver: InstanceId) -> None:
-        """Take in that somebody did not answer in time."""
+        """Record that a replica did not answer in time."""
         self._unresponsive_until_ms[receiver] = self._context.now_ms() + UNRESPONSIVE_MS
         self._known_stewards.pop(slot_of(account.id), None)
 
     def on_message(self, sender: InstanceId, message: LimitMessage) -> list[Addressed]:
-        """Take in what a peer sends, and give what to send."""
+        """Handle a message from a peer, and return the messages to send."""
         if isinstance(message, UseAsked):
             account = self._find_account(message.account)
             if account is None:
-                # Added a moment ago, and not heard of here yet.
+                # The account was added a moment ago and isn't known here yet.
                 answer = UseAnswered(message.number, UseOutcome.NOT_STEWARD)
             else:
                 answer = self._answer(sender, account, message)
@@ -181,7 +182,7 @@
         return []
 
     def tick(self) -> list[Addressed]:
-        """Ask for the leases of the slots that this instance is to keep, and tell what it holds."""
+        """Request the leases of this instance's slots, and publish the floors of held ones."""
         sent = [asked for lease in self._leases for asked in lease.tick()]
         for slot in range(SLOTS_COUNT):
             steward = self._steward_of(slot)
@@ -190,12 +191,12 @@
         return sent
 
     def pending_messages(self) -> list[Addressed]:
-        """Give what questions to this instance itself brought about."""
+        """Return the messages caused by uses that this instance decided for itself."""
         sent, self._outbox = self._outbox, []
         return sent
 
     def advance_grant_calls(self) -> list[AdvanceGrantStoreCall]:
-        """Give what the store is to be asked now."""
+        """Return the store calls that are due for the advance grant records."""
         held = [self._steward_of(slot) for slot in self._slot_stewards]
         calls = [steward.next_store_call() for steward in held if steward is not None]
         return [call for call in calls if call is not None]
@@ -203,7 +204,7 @@
     def apply_advance_grant_row(
         self, call: AdvanceGrantStoreCall, row: AdvanceGrantRow | None
     ) -> list[Addressed]:
-        """Take in what the store answered, and give what to send."""
+        """Apply the store's reply to a call, and return the messages to send."""
         steward = self._steward_of(call.slot)
         if steward is None:
             return []
@@ -211,20 +212,20 @@
         return steward.pending_floor_messages()
 
     def is_steward_of(self, account: TenantId) -> bool:
-        """Tell whether this instance counts an account now."""
+        """Return whether this instance is the steward of an account now."""
         return self._leases[slot_of(account)].is_held
 
     def held_slots(self) -> tuple[int, ...]:
-        """List the slots whose accounts this instance counts."""
+        """Return the slots whose lease this instance holds."""
         return tuple(slot for slot, lease in enumerate(self._leases) if lease.is_held)
 
     def window(self, account: TenantId) -> StewardCount | None:
-        """Give what this instance has counted in the last window; ``None`` if it does not count."""
+        """Return an account's counts in the last window; ``None`` if not its steward."""
         steward = self._steward_of(slot_of(account))
         return None if steward is None else steward.count(account)
 
     def reservation_counts(self) -> ReservationCounts:
-        """Give what became of places in the leases that this instance holds."""
+        """Return the total reservation counts of the leases that this instance holds."""
         held = [self._steward_of(slot) for slot in list(self._slot_stewards)]
         counts = [each for steward in held if steward for each in steward.reservation_counts()]
         return ReservationCounts(
@@ -234,7 +235,7 @@
         )
 
     def _query_order(self, slot: int) -> list[InstanceId]:
-        """List the keepers to ask: the known steward first, the silent ones last."""
+        """Order the replicas to query: the known steward first, unresponsive ones last."""
         now_ms = self._context.now_ms()
         steward = self._known_stewards.get(slot)
         return sorted(
@@ -260,7 +261,7 @@
         return UseAnswered(number, UseOutcome.GRANTED if is_granted else UseOutcome.NOT_STEWARD)
 
     def _steward_of(self, slot: int) -> SlotSteward | None:
-        """Give the slot's steward where this instance is it now."""
+        """Return the slot's steward if this instance holds the lease."""
         lease = self._leases[slot]
         if not lease.is_held:
             return None
--- a/citrondyke/decisions/accounts/use_window_counter.py
+++ b/citrondyke/decisions/accounts/use_window_counter.py
@@ -1,4 +1,4 @@
-"""Counts what happened in the last window, by cells of time."""
+"""A sliding window counter with time buckets."""
 
 from __future__ import annotations
 
@@ -10,19 +10,23 @@
 
 
 class UseWindowCounter:
-    """Counts whole cells that reach into the span: never less than what happened in it.
+    """Counts events in a sliding window, in buckets of time.
 
-    Uses that are granted for a moment ahead count at once.
+    Counts whole buckets that overlap the window, so the count is never too low. Uses that are
+    granted for a later time count at once.
     """
 
     def __init__(self, span_ms: float) -> None:
-        """Count nothing yet."""
+        """Initialize an empty counter.
+
+        :param span_ms: length of the window.
+        """
         self._span_ms = span_ms
         self._buckets: deque[list[int]] = deque()
         self._count = 0
 
     def record(self, at_ms: float) -> None:
-        """Count one more."""
+        """Count one event at ``at_ms``."""
         index = int(at_ms // BUCKET_MS)
         if not self._buckets or self._buckets[-1][0] < index:
             self._buckets.append([index, 0])
@@ -30,14 +34,17 @@
         self._count += 1
 
     def count(self, now_ms: float) -> int:
-        """Give how many there were in the span that ends now."""
+        """Return the number of events in the window that ends now."""
         first = self._first_index(now_ms)
         while self._buckets and self._buckets[0][0] < first:
             self._count -= self._buckets.popleft()[1]
         return self._count
 
     def fits_at_ms(self, now_ms: float, allowed: float, additional: int) -> float:
-        """Give when so many more fit below what is allowed."""
+        """Return when ``additional`` events fit into the window; infinity if they never do.
+
+        :param allowed: largest number of events in a window.
+        """
         excess = self.count(now_ms) + additional - allowed
         for index, count in self._buckets:
             if excess <= 0:
