--- a/citrondyke/decisions/jobs/acceptance.py
+++ b/citrondyke/decisions/jobs/acceptance.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
+from citrondyke.decisions.audit.record import OutcomeRecord, RecordKind
 from citrondyke.decisions.core.commit import (
-    CommitUncertain,
-    CommitUncertainReason,
+    CommitFailure,
+    CommitFailureReason,
     commit,
     transaction,
 )
 from citrondyke.decisions.core.ops import read_rows
-from citrondyke.decisions.evidence.record import OutcomeRecord, RecordKind
 from citrondyke.decisions.jobs.job_derivations import (
     ROWS_PER_TRANSACTION,
     job_digest,
@@ -100,7 +100,7 @@
         result = yield from commit(
             self._context, wanted, self._context.now_ms() + COMMIT_TIMEOUT_MS
         )
-        if isinstance(result, CommitUncertain):
+        if isinstance(result, CommitFailure):
             return _rejection_of(result)
         if isinstance(result, Conflict):
             return file_id, msgspec.json.decode(result.rows[key].value, type=FileRow)
@@ -146,7 +146,7 @@
         job_id = job_id_of(request, file.digest)
         job = self._new_job(request, file, wanted_class)
         result = yield from self._write(job_id, job)
-        if isinstance(result, CommitUncertain):
+        if isinstance(result, CommitFailure):
             return _rejection_of(result)
         if isinstance(result, Committed):
             self._on_outcome(job_record(RecordKind.JOB_ACCEPTED, job_id, job))
@@ -168,20 +168,20 @@
             if isinstance(found, JobRejection) or found.row.state is not JobState.RUNNING:
                 return found
             stopped = yield from self.stop(found, JobState.CANCELLING, until_ms)
-            if isinstance(stopped, CommitUncertain):
+            if isinstance(stopped, CommitFailure):
                 return _rejection_of(stopped)
             if isinstance(stopped, AcceptedJob):
                 return stopped
 
     def stop(
         self, job: AcceptedJob, state: JobState, until_ms: float
-    ) -> Workflow[AcceptedJob | Conflict | CommitUncertain]:
+    ) -> Workflow[AcceptedJob | Conflict | CommitFailure]:
         """Write that a job accepts no more outcomes of work."""
         key = job_row_key(job.job_id)
         open_key = open_row_key(job.row.target, job.row.deadline_epoch_ms, job.job_id)
         found = yield from read_rows(open_key)
         if isinstance(found, PlatformFailure):
-            return CommitUncertain(CommitUncertainReason.NOT_WRITTEN)
+            return CommitFailure(CommitFailureReason.NOT_WRITTEN)
         row = msgspec.structs.replace(
             job.row, state=state, stopped_epoch_ms=self._context.epoch_ms()
         )
@@ -198,9 +198,7 @@
             return AcceptedJob(job.job_id, row, result.version)
         return result
 
-    def _write(
-        self, job_id: JobId, job: JobRow
-    ) -> Workflow[Committed | Conflict | CommitUncertain]:
+    def _write(self, job_id: JobId, job: JobRow) -> Workflow[Committed | Conflict | CommitFailure]:
         key = job_row_key(job_id)
         rows = todo_rows(job_id, job, 0, ROWS_PER_TRANSACTION)
         opened = OpenRow(
@@ -260,7 +258,7 @@
     return url.startswith('/services/') and url.startswith(endpoint)
 
 
-def _rejection_of(doubt: CommitUncertain) -> JobRejection:
-    if doubt.reason is CommitUncertainReason.NOT_WRITTEN:
+def _rejection_of(doubt: CommitFailure) -> JobRejection:
+    if doubt.reason is CommitFailureReason.NOT_WRITTEN:
         return JobRejection(JobRejectionReason.PLATFORM_DOWN)
     return JobRejection(JobRejectionReason.UNCERTAIN)
--- a/citrondyke/gateway/callers/error_responder.py
+++ b/citrondyke/gateway/callers/error_responder.py
@@ -75,7 +75,7 @@
             caller.abort()
             return RequestResult.CUT_MIDWAY
         if is_on_trial and forwarded.course.verdict is Verdict.NOT_RUN:
-            return self.reject(caller, forwarded, RequestResult.ON_TRIAL, PROBE_RETRY_MS)
+            return self.reject(caller, forwarded, RequestResult.PROBE_RUNNING, PROBE_RETRY_MS)
         return self._answer_without_retry(caller, forwarded, RequestResult.STOPPED, 502)
 
     def reject(
