--- a/citrondyke/decisions/accounts/slot_steward.py
+++ b/citrondyke/decisions/accounts/slot_steward.py
@@ -1,4 +1,4 @@
-"""The steward of one slot in one lease."""
+"""The steward of one slot during one lease."""
 
 from __future__ import annotations
 
@@ -37,39 +37,40 @@
 
 __all__ = ('SlotSteward',)
 
-#: Part of the rate that goes to callers who were told a time. Each of them takes the place of one
-#: who could be served at once, so that more of them would serve fewer callers within their target.
+#: Share of the rate for callers with a reservation. Each of them takes the capacity of a caller
+#: that could be served at once, so a larger share would serve fewer callers within their target.
 RESERVED_SHARE = 0.1
-#: A caller may come so much before its time: times are told in whole milliseconds.
+#: A caller may return this much before its due time: retry times are sent in whole milliseconds.
 EARLY_TOLERANCE_MS = 20.0
-#: Part of the time left that callers wait at the most before they come back.
+#: Largest share of its remaining time that a caller waits before it returns.
 MAX_WAIT_SHARE = 1 / 3
-#: Places are told with so much of that to spare: the way to the caller and back.
+#: Part of that wait that a reservation leaves unused, for the round trip to the caller.
 ROUND_TRIP_SLACK_MS = 50.0
-#: What callers are told at the most; beyond seconds it is no use to them.
+#: Longest retry time sent to callers; a longer one is of no use to them.
 MAX_RETRY_MS = 5_000.0
-#: Until the store has said which accounts had uses ahead of time; later it is taken for silent.
+#: Time to wait for the store's records of earlier advance grants before it counts as unresponsive.
 ADVANCE_GRANT_READ_TIMEOUT_MS = 80.0
-#: Until keepers have acknowledged that an account may fall further.
+#: Time to wait for replicas to acknowledge a lower floor.
 FLOOR_ACK_TIMEOUT_MS = 50.0
-#: Below this part of its depth an account is expected to use all of it up.
+#: An account whose remaining quota is below this share of its depth is expected to use it up.
 DEMAND_SHARE = 0.25
-#: Places told to an instance with a refusal, so that it lets their callers ask.
+#: Reservations sent to an instance with a rejection, so that it doesn't reject their callers
+#: locally.
 EXPECTED_WORKS_LIMIT = 100
 
 
 class _EarliestStart(msgspec.Struct, frozen=True):
     at_ms: float
-    #: Whether keepers allow it.
+    #: Whether the use keeps the account above the floor that replicas have acknowledged.
     is_within_floor: bool
 
 
 class SlotSteward:
-    """Decides about the accounts of a slot while its lease holds.
+    """Grants and rejects uses of the slot's accounts while its lease is held.
 
-    Answers one account that asks for many times its limit: it gets what its window allows, whoever
-    is over it waits for a place that comes in time or is told when to come back, and all others
-    are refused at once.
+    Handles an account that sends many times its limit: it gets the uses that its window allows.
+    Requests above the limit wait for a use that becomes free within their target, or get a
+    reservation for a later retry. All others are rejected at once.
     """
 
     def __init__(
@@ -78,31 +79,31 @@
         budget: OvershootBudget,
         lease: SlotLease,
         slot: int,
-        refusals: LocalRejectionCache,
-        find: Callable[[TenantId], Account | None],
+        local_rejections: LocalRejectionCache,
+        find_account: Callable[[TenantId], Account | None],
     ) -> None:
-        """Begin a lease that is held.
+        """Initialize the steward of a lease that is held.
 
-        :param find: finds an account in the configuration in force.
+        :param find_account: finds an account in the current configuration.
         """
-        self._find_account = find
+        self._find_account = find_account
         self._context = context
         self._budget = budget
         self._lease = lease
         self._slot = slot
-        self._local_rejections = refusals
-        #: Since when nobody else has counted, which names the lease here.
+        self._local_rejections = local_rejections
+        #: Time since which no other instance has counted the slot's accounts.
         self.since_ms = lease.held_since_ms
         self._previous_copy = lease.previous_copy
-        #: Whether the marks of the lease before are known, and who had one.
+        #: Whether the advance grant records of the previous lease are known, and their accounts.
         self._are_prior_grants_known = False
         self._prior_grant_accounts: frozenset[TenantId] = frozenset()
         self._quotas: dict[TenantId, AccountQuota] = {}
         era = context.random.getrandbits(32)
         filled_ms = -ADVANCE_GRANT_MS
         if self._previous_copy is not None:
-            # The copy is as of now; the lease may have begun to count before.
-            # From here on keepers are told of floors below the levels that it gives.
+            # The copy is valid as of now, while the lease may have started earlier. From here on
+            # the floors sent to replicas are below the remaining quotas given by the copy.
             self.since_ms, filled_ms = self._now_ms(), min(0.0, self._previous_copy.filled_ms)
         self.held_since_ms = lease.held_since_ms
         self._began_ms = self._now_ms()
@@ -111,45 +112,45 @@
         self._published_number = -1
         if self._previous_copy is not None:
             for account_id, floor in self._previous_copy.floors.items():
-                account = find(account_id)
-                spare = 0.0 if account is None else FLOOR_SHARE * self._bucket_depth(account)
-                self._floors.begin_at(account_id, floor - spare)
+                account = find_account(account_id)
+                margin = 0.0 if account is None else FLOOR_SHARE * self._bucket_depth(account)
+                self._floors.begin_at(account_id, floor - margin)
         lease.record_own_copy(self._floors.snapshot(self._now_ms()))
 
     def answer(
         self,
-        asker: InstanceId,
+        requester: InstanceId,
         number: int,
         account: Account,
         need: UseNeed,
         refused: tuple[int, ...] = (),
     ) -> UseAnswered:
-        """Decide about one use.
+        """Grant or reject one use.
 
-        :param refused: work of the account that the asker has refused alone.
+        :param refused: work of the account that the requesting instance has rejected locally.
         """
         now_ms = self._now_ms()
-        uses = self._quota_of(account)
-        uses.reservations.expire(now_ms)
-        uses.rejected_work.record(refused, now_ms)
-        place_ms = uses.reservations.due_ms_of(need.work)
-        if place_ms is None and uses.rejected_work.should_reject_retry(need.work, now_ms):
-            uses.record_rejected(now_ms)
-            return self._reject_with_pause(asker, number, account, need, now_ms)
-        free = self._earliest_start(account, uses, now_ms, is_reserved=place_ms is not None)
-        start_ms = free.at_ms
-        if place_ms is not None:
-            start_ms = max(start_ms, place_ms - EARLY_TOLERANCE_MS)
+        quota = self._quota_of(account)
+        quota.reservations.expire(now_ms)
+        quota.rejected_work.record(refused, now_ms)
+        due_ms = quota.reservations.due_ms_of(need.work)
+        if due_ms is None and quota.rejected_work.should_reject_retry(need.work, now_ms):
+            quota.record_rejected(now_ms)
+            return self._reject_with_pause(requester, number, account, need, now_ms)
+        earliest = self._earliest_start(account, quota, now_ms, is_reserved=due_ms is not None)
+        start_ms = earliest.at_ms
+        if due_ms is not None:
+            start_ms = max(start_ms, due_ms - EARLY_TOLERANCE_MS)
         wait_ms = max(0.0, start_ms - now_ms)
         is_in_time = wait_ms <= need.may_wait_ms and start_ms <= self._lease.held_until_ms
-        if free.is_within_floor and (wait_ms <= 0.0 or is_in_time):
-            if place_ms is not None:
-                uses.reservations.consume(need.work)
-            uses.consume(account, start_ms, now_ms)
-            self._adjust_floor(account, uses, now_ms)
+        if earliest.is_within_floor and (wait_ms <= 0.0 or is_in_time):
+            if due_ms is not None:
+                quota.reservations.consume(need.work)
+            quota.consume(account, start_ms, now_ms)
+            self._adjust_floor(account, quota, now_ms)
             return UseAnswered(number, UseOutcome.GRANTED, is_steward=True, start_in_ms=wait_ms)
-        self._adjust_floor(account, uses, now_ms)
-        uses.record_rejected(now_ms)
+        self._adjust_floor(account, quota, now_ms)
+        quota.record_rejected(now_ms)
         if (
             self._previous_copy is None
             and not self._are_prior_grants_known
@@ -158,41 +159,44 @@
             return self._rejection(
                 number, now_ms + ADVANCE_GRANT_READ_TIMEOUT_MS, now_ms, is_kept=False
             )
-        if place_ms is not None:
-            return self._rejection(number, max(start_ms, place_ms), now_ms, is_kept=True)
-        return self._grant_reservation(asker, number, account, need, start_ms)
+        if due_ms is not None:
+            return self._rejection(number, max(start_ms, due_ms), now_ms, is_kept=True)
+        return self._grant_reservation(requester, number, account, need, start_ms)
 
     def count(self, account: TenantId) -> StewardCount:
-        """Give what was counted of an account."""
-        uses = self._quotas.get(account)
-        if uses is None:
+        """Return the counts of an account."""
+        quota = self._quotas.get(account)
+        if quota is None:
             return StewardCount(0, 0)
         now_ms = self._now_ms()
-        uses.reservations.expire(now_ms)
-        counts = uses.reservations.counts
+        quota.reservations.expire(now_ms)
+        counts = quota.reservations.counts
         return StewardCount(
-            uses.window_uses_count(now_ms),
-            uses.rejected_count(now_ms),
-            len(uses.reservations),
+            quota.window_uses_count(now_ms),
+            quota.rejected_count(now_ms),
+            len(quota.reservations),
             counts.taken,
             counts.lapsed,
         )
 
     def reservation_counts(self) -> list[ReservationCounts]:
-        """Give what became of places, by account."""
+        """Return the reservation counts of each account."""
         now_ms = self._now_ms()
-        for uses in self._quotas.values():
-            uses.reservations.expire(now_ms)
-        return [uses.reservations.counts for uses in self._quotas.values()]
+        for quota in self._quotas.values():
+            quota.reservations.expire(now_ms)
+        return [quota.reservations.counts for quota in self._quotas.values()]
 
     def pending_floor_messages(self) -> list[Addressed]:
-        """Give what keepers are to be told now: a change at once, anything unheard by the tick."""
+        """Return floor messages if the floors have changed.
+
+        Floors that aren't acknowledged are sent again by :meth:`tick`.
+        """
         if self._floors.number == self._published_number:
             return []
         return self.tick()
 
     def tick(self) -> list[Addressed]:
-        """Tell the floors to each keeper that has not acknowledged them."""
+        """Return the floors for each replica that hasn't acknowledged them."""
         self._published_number = self._floors.number
         copy = self._floors.snapshot(self._now_ms())
         self._lease.record_own_copy(copy)
@@ -203,11 +207,11 @@
         ]
 
     def record_acknowledged(self, replica: InstanceId, era: int, number: int) -> None:
-        """Take in that a keeper knows the floors."""
+        """Record that a replica has stored the floors up to ``number``."""
         self._floors.record_acknowledged(replica, era, number)
 
     def next_store_call(self) -> AdvanceGrantStoreCall | None:
-        """Give what the store is to be asked."""
+        """Return the next call for the advance grant records, if any."""
         now_ms = self._now_ms()
         for account_id in self._advance_grants.accounts:
             account = self._find_account(account_id)
@@ -216,74 +220,75 @@
         return self._advance_grants.next_store_call(now_ms)
 
     def apply_row(self, call: AdvanceGrantStoreCall, row: AdvanceGrantRow | None) -> None:
-        """Take in what the store answered."""
+        """Apply the store's reply; ``None`` if the call failed."""
         if not self._advance_grants.is_call_of(call):
             return
-        is_first = (
+        is_first_read = (
             row is not None and not self._are_prior_grants_known and self._previous_copy is None
         )
         self._advance_grants.apply_row(row, self._now_ms())
-        if not is_first or row is None:
+        if not is_first_read or row is None:
             return
-        # Read after everybody else's lease had ended: who has no mark had nothing ahead of time.
+        # The row was read after all other leases had expired, so an account without a record can't
+        # have received advance grants.
         self._are_prior_grants_known = True
         self._floors.add_filled_ms(ADVANCE_GRANT_MS)
         self._prior_grant_accounts = row.accounts
-        for account, uses in self._quotas.items():
+        for account, quota in self._quotas.items():
             if account not in row.accounts:
                 found = self._find_account(account)
-                uses.add_remaining(0.0 if found is None else _advance_grant_uses(found))
+                quota.add_remaining(0.0 if found is None else _advance_grant_uses(found))
         for account in row.accounts:
             found = self._find_account(account)
             if found is not None:
                 self._floors.lower(account, -_advance_grant_uses(found))
 
     def _earliest_start(
-        self, account: Account, uses: AccountQuota, now_ms: float, *, is_reserved: bool
+        self, account: Account, quota: AccountQuota, now_ms: float, *, is_reserved: bool
     ) -> _EarliestStart:
         may_advance = self._advance_grants.is_recorded(account.id)
-        at_ms = uses.free_at_ms(account, now_ms, may_advance=may_advance, is_reserved=is_reserved)
-        lowest = self._floors.floor_of(account, uses.max_depth, now_ms)
-        if uses.remaining(account, now_ms) - 1.0 < lowest:
+        at_ms = quota.free_at_ms(account, now_ms, may_advance=may_advance, is_reserved=is_reserved)
+        floor_now = self._floors.floor_of(account, quota.max_depth, now_ms)
+        if quota.remaining(account, now_ms) - 1.0 < floor_now:
             return _EarliestStart(max(at_ms, now_ms + FLOOR_ACK_TIMEOUT_MS), False)
         return _EarliestStart(at_ms, True)
 
-    def _adjust_floor(self, account: Account, uses: AccountQuota, now_ms: float) -> None:
-        level = uses.remaining(account, now_ms)
-        if level < DEMAND_SHARE * uses.max_depth and uses.has_counted_full_window(now_ms):
+    def _adjust_floor(self, account: Account, quota: AccountQuota, now_ms: float) -> None:
+        remaining = quota.remaining(account, now_ms)
+        if remaining < DEMAND_SHARE * quota.max_depth and quota.has_counted_full_window(now_ms):
             self._advance_grants.request_record(account.id, now_ms)
-        self._floors.adjust(account, uses.max_depth, level, now_ms)
+        self._floors.adjust(account, quota.max_depth, remaining, now_ms)
 
     def _grant_reservation(
-        self, asker: InstanceId, number: int, account: Account, need: UseNeed, start_ms: float
+        self, requester: InstanceId, number: int, account: Account, need: UseNeed, start_ms: float
     ) -> UseAnswered:
         now_ms = self._now_ms()
-        uses = self._quota_of(account)
-        reservations = uses.reservations
-        earliest_ms = max(start_ms, uses.local_rejection_until_ms)
+        quota = self._quota_of(account)
+        reservations = quota.reservations
+        earliest_ms = max(start_ms, quota.local_rejection_until_ms)
         due_ms = reservations.next_due_ms(earliest_ms, 1e3 / (RESERVED_SHARE * account.rate_per_s))
-        is_reached = due_ms - now_ms <= need.left_ms * MAX_WAIT_SHARE - ROUND_TRIP_SLACK_MS
-        if need.work and is_reached and reservations.reserve(need.work, due_ms):
+        is_in_reach = due_ms - now_ms <= need.left_ms * MAX_WAIT_SHARE - ROUND_TRIP_SLACK_MS
+        if need.work and is_in_reach and reservations.reserve(need.work, due_ms):
             return self._rejection(number, due_ms, now_ms, is_kept=True)
-        uses.rejected_work.record((need.work,), now_ms)
-        uses.rejected_work.record_overload(now_ms)
-        return self._reject_with_pause(asker, number, account, need, due_ms)
+        quota.rejected_work.record((need.work,), now_ms)
+        quota.rejected_work.record_overload(now_ms)
+        return self._reject_with_pause(requester, number, account, need, due_ms)
 
     def _reject_with_pause(
-        self, asker: InstanceId, number: int, account: Account, need: UseNeed, due_ms: float
+        self, requester: InstanceId, number: int, account: Account, need: UseNeed, due_ms: float
     ) -> UseAnswered:
-        """Refuse a request for which nothing is kept, and spare the asker the next questions."""
+        """Reject a request without a reservation, and let the instance pause its queries."""
         now_ms = self._now_ms()
-        uses = self._quota_of(account)
+        quota = self._quota_of(account)
         uses_per_s = account.rate_per_s * (
             ADVANCE_RATE_FACTOR if self._advance_grants.is_recorded(account.id) else 1.0
         )
-        pause_ms = self._local_rejections.pause_ms(account, asker, uses_per_s)
-        expected = uses.reservations.keys_due_by(now_ms + pause_ms + EARLY_TOLERANCE_MS)
+        pause_ms = self._local_rejections.pause_ms(account, requester, uses_per_s)
+        expected = quota.reservations.keys_due_by(now_ms + pause_ms + EARLY_TOLERANCE_MS)
         if len(expected) > EXPECTED_WORKS_LIMIT:
             pause_ms, expected = 0.0, []
-        uses.local_rejection_until_ms = max(uses.local_rejection_until_ms, now_ms + pause_ms)
-        # Nothing is kept, so the time that is told lies past the caller's deadline.
+        quota.local_rejection_until_ms = max(quota.local_rejection_until_ms, now_ms + pause_ms)
+        # There is no reservation, so the retry time is not before the caller's deadline.
         at_ms = max(due_ms, now_ms + need.left_ms)
         refused = self._rejection(number, at_ms, now_ms, is_kept=False)
         return msgspec.structs.replace(refused, pause_ms=pause_ms, expected=tuple(expected))
@@ -296,21 +301,21 @@
         )
 
     def _quota_of(self, account: Account) -> AccountQuota:
-        uses = self._quotas.get(account.id)
-        if uses is None:
+        quota = self._quotas.get(account.id)
+        if quota is None:
             bucket = TokenBucket(self.since_ms, self._initial_remaining(account))
-            uses = AccountQuota(self._budget, bucket, self.since_ms)
-            uses.remaining(account, self._now_ms())
-            self._quotas[account.id] = uses
-        return uses
+            quota = AccountQuota(self._budget, bucket, self.since_ms)
+            quota.remaining(account, self._now_ms())
+            self._quotas[account.id] = quota
+        return quota
 
     def _initial_remaining(self, account: Account) -> float:
         if self._previous_copy is None:
             is_free = self._are_prior_grants_known and account.id not in self._prior_grant_accounts
             return 0.0 if is_free else -_advance_grant_uses(account)
         depth = self._bucket_depth(account)
-        usual = default_floor(account, depth, self._previous_copy.filled_ms)
-        return min(depth, self._previous_copy.floors.get(account.id, usual))
+        default = default_floor(account, depth, self._previous_copy.filled_ms)
+        return min(depth, self._previous_copy.floors.get(account.id, default))
 
     def _bucket_depth(self, account: Account) -> float:
         return self._budget.depth(account.rate_per_s, account.burst)
