--- a/tests/test_batch/test_batch_waiting_bound.py
+++ b/tests/test_batch/test_batch_backlog_limit.py
@@ -1,4 +1,4 @@
-"""Ten instances accept jobs under one bound on waiting tokens."""
+"""Ten instances accept jobs under one limit on backlog tokens."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
 
 
 class YieldingTable(FlakyTable):
-    """Lets others run before each call, so that their calls interleave."""
+    """Yields to other greenlets before each call, so that calls interleave."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -88,7 +88,7 @@
 
 
 class Node:
-    """One life of one instance, without sockets."""
+    """One incarnation of one instance, without sockets."""
 
     def __init__(self, fleet: Fleet, number: int, life: str) -> None:
         self.fleet = fleet
@@ -112,7 +112,7 @@
         )
 
     def submit(self, job_id: str, count: int = ITEMS) -> int:
-        """Take a job in as the door does; give the status."""
+        """Accept a job as the endpoint does; return the status."""
         items = [
             JobItem(id=f'{job_id}-{n}', path='/l/x', headers={}, body=b'', tokens=ITEM_TOKENS)
             for n in range(count)
@@ -147,7 +147,7 @@
         return 202 if isinstance(accepted, StoredHead) else 504 if in_doubt else 503
 
     def finish(self, count: int) -> None:
-        """Have servers finish items, those of the oldest job first."""
+        """Let servers finish items, those of the oldest job first."""
         for job in list(self.owned.by_id.values()):
             for progress in list(job.open.values())[:count]:
                 count -= 1
@@ -163,13 +163,13 @@
 
 
 class Fleet:
-    """Ten instances on one store, and the truth about what waits."""
+    """Ten instances on one store, and the true size of the backlog."""
 
     def __init__(self, limit: int) -> None:
         self.clock = ManualClock()
         self.table = YieldingTable()
         self.config = RouteTable(ConfigVersion(1), (route(limit),))
-        #: When lives ended.
+        #: Times of death by incarnation.
         self.gone: dict[str, float] = {}
         self.finished: set[str] = set()
         self.lives_count = 0
@@ -189,7 +189,7 @@
         self.gone[node.life] = self.clock.ms
 
     def leave(self, node: Node, trouble: Trouble = Trouble.NONE) -> None:
-        """Stop a node as planned, with trouble in the first call that it makes for it."""
+        """Stop a node as planned, with a failure of the first store call that this makes."""
         self.table.trouble = trouble
         node.owned.is_stopping = True
         leaving = gevent.spawn(node.waiting.leave)
@@ -222,8 +222,8 @@
                         found.append(StoredHead(head, row.version))
         return found
 
-    def waiting_tokens(self) -> int:
-        """Count as the rule does."""
+    def unfinished_tokens(self) -> int:
+        """Return the size of the backlog by the definition of the limit."""
         return sum(
             ITEM_TOKENS
             for stored in self.open_jobs()
@@ -231,10 +231,11 @@
             if f'{stored.head.job_id}-{n}' not in self.finished
         )
 
-    def lost_tokens(self) -> int:
-        """Count the finished items that their jobs' owners know nothing of.
+    def unrecorded_tokens(self) -> int:
+        """Return the tokens of finished items that the owners of their jobs do not know of.
 
-        They ended at an instance that died before it wrote so, and count until they end again.
+        They finished at an instance that died before it recorded that, and count until they finish
+        again.
         """
         return sum(
             ITEM_TOKENS
@@ -245,7 +246,7 @@
         )
 
     def burst(self, numbers: list[int], trouble: Trouble = Trouble.NONE) -> list[int]:
-        """Have jobs come at instances at the same moment."""
+        """Submit jobs to instances at the same moment."""
         statuses: list[int] = []
         self.table.trouble = trouble
 
@@ -253,21 +254,21 @@
             statuses.append(node.submit(job_id))
             if statuses[-1] == 202:
                 limit = self.route.waiting_tokens_limit
-                assert not limit or self.waiting_tokens() <= limit * (1 + OVERSHOOT)
+                assert not limit or self.unfinished_tokens() <= limit * (1 + OVERSHOOT)
 
         work = [gevent.spawn(submit, self.nodes[number], self.new_job()) for number in numbers]
         gevent.joinall(work, raise_error=True)
         self.table.trouble = Trouble.NONE
         return statuses
 
-    def look_all(self) -> None:
+    def poll_all(self) -> None:
         self.clock.ms += 300.0
         for node in self.nodes:
             node.waiting.look(self.route, self.config.version)
 
 
-class BoundMachine(RuleBasedStateMachine):
-    """Jobs come, items end, instances die and the bound changes, in any order."""
+class BacklogMachine(RuleBasedStateMachine):
+    """Jobs arrive, items finish, instances die and the limit changes, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -344,39 +345,39 @@
 
     @rule(number=WHO)
     def fitting_job_is_taken(self, number: int) -> None:
-        # Everybody has told what it has finished, the jobs of those who are gone are claimed and
-        # nothing that they sent can come any more: a job that fits must be taken.
+        # All instances have published their finished items, the jobs of dead ones are claimed, and
+        # none of their writes can still take effect: a job that fits must be accepted.
         fleet = self.fleet
         for each in range(INSTANCES):
             self.claim(each)
         fleet.table.apply_late()
         fleet.clock.ms += 9_000.0
-        fleet.look_all()
+        fleet.poll_all()
         limit = fleet.route.waiting_tokens_limit
-        waiting = fleet.waiting_tokens() + fleet.lost_tokens()
+        waiting = fleet.unfinished_tokens() + fleet.unrecorded_tokens()
         fits = not limit or waiting + JOB_TOKENS <= limit
         (status,) = fleet.burst([number])
         assert status == 202 or not fits
 
 
-BoundMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
-test_bound_machine = BoundMachine.TestCase
+BacklogMachine.TestCase.settings = settings(max_examples=60, stateful_step_count=30, deadline=None)
+test_backlog_machine = BacklogMachine.TestCase
 
 
 @pytest.mark.parametrize('jobs', [1, 5, 16])
-def test_ten_at_once_do_not_pass_the_bound(jobs: int) -> None:
-    # Ten instances get a job each within the same millisecond, again and again. Counted by what
-    # each has read before, all ten would fit.
+def test_ten_concurrent_acceptances_respect_the_limit(jobs: int) -> None:
+    # Ten instances get a job each within the same millisecond, repeatedly. By what each has read
+    # before, all ten would fit.
     fleet = Fleet(jobs * JOB_TOKENS)
     statuses = [status for _ in range(3) for status in fleet.burst(list(range(INSTANCES)))]
     assert statuses.count(202) == jobs
-    assert fleet.waiting_tokens() == jobs * JOB_TOKENS
+    assert fleet.unfinished_tokens() == jobs * JOB_TOKENS
 
 
-def test_acceptance_far_from_the_bound_is_one_transaction() -> None:
-    # Also the first one of an instance: on a quiet day nearly each is.
+def test_acceptance_far_from_the_limit_is_one_transaction() -> None:
+    # Also the first acceptance of an instance: under low load most are the first one.
     fleet = Fleet(10_000 * JOB_TOKENS)
-    fleet.look_all()
+    fleet.poll_all()
     for node in fleet.nodes:
         before = fleet.table.calls_count
         assert node.submit(fleet.new_job()) == 202
@@ -386,24 +387,24 @@
 def test_idle_instance_with_its_share_makes_no_calls() -> None:
     fleet = Fleet(10_000 * JOB_TOKENS)
     for _ in range(3):
-        fleet.look_all()
+        fleet.poll_all()
     before = fleet.table.calls_count
-    fleet.look_all()
+    fleet.poll_all()
     assert fleet.table.calls_count == before
 
 
-def test_room_is_given_out_again_when_items_are_finished() -> None:
+def test_finished_items_free_their_tokens() -> None:
     fleet = Fleet(2 * JOB_TOKENS)
     assert sorted(fleet.burst([0, 1, 2])) == [202, 202, 429]
     for node in fleet.nodes:
         node.finish(5)
-    fleet.look_all()
+    fleet.poll_all()
     assert fleet.burst([4]) == [202]
 
 
-def test_late_acceptance_of_a_killed_instance_keeps_its_room() -> None:
-    # An instance sends an acceptance and dies. The store does it seconds later. With the room
-    # given away meanwhile, more would wait than the operator allows.
+def test_late_acceptance_of_a_killed_instance_keeps_its_tokens() -> None:
+    # An instance sends an acceptance and dies. The write takes effect seconds later. If its tokens
+    # had been granted to others meanwhile, the backlog would exceed the limit.
     fleet = Fleet(2 * JOB_TOKENS)
     assert fleet.burst([0]) == [202]
     node = fleet.nodes[1]
@@ -411,39 +412,39 @@
     reserved = node.waiting.reserve(fleet.route, JobId('late'), JOB_TOKENS, 1e9)
     assert reserved is BacklogReservation.DONE
     fleet.kill(node)
-    fleet.look_all()
+    fleet.poll_all()
     assert fleet.burst([2]) == [429]
     fleet.clock.ms += 9_000.0
     assert fleet.burst([2]) == [202]
 
 
-def test_room_under_a_lowered_bound_is_not_given_out_again() -> None:
-    # The operator lowers the bound below what waits. As jobs end, what the instance held for them
-    # is no room: another job would still pass the new bound.
+def test_tokens_above_a_lowered_limit_are_not_granted_again() -> None:
+    # The operator lowers the limit below the current backlog. The tokens of jobs that then finish
+    # allow no acceptance: another job would still exceed the new limit.
     fleet = Fleet(8 * JOB_TOKENS)
     assert fleet.burst([0, 0, 0]) == [202, 202, 202]
     fleet.route = route(JOB_TOKENS)
-    fleet.look_all()
+    fleet.poll_all()
     fleet.nodes[0].finish(ITEMS)
     assert fleet.burst([0, 1]) == [429, 429]
     fleet.nodes[0].finish(2 * ITEMS)
     assert sorted(fleet.burst([0, 1])) == [202, 429]
 
 
-def test_share_from_before_a_time_without_bound_is_not_believed() -> None:
-    # The operator takes the bound away and brings it back; jobs came meanwhile. By what their
-    # owner's share says from before there would be room for more than there is.
+def test_share_from_before_a_time_without_limit_is_invalid() -> None:
+    # The operator removes the limit and restores it; jobs were accepted meanwhile. By their owner's
+    # share from before, more tokens would be free than there are.
     fleet = Fleet(8 * JOB_TOKENS)
-    fleet.look_all()
+    fleet.poll_all()
     fleet.route = route(0)
     assert fleet.burst([0] * 6 + [1]) == [202] * 7
     fleet.route = route(8 * JOB_TOKENS)
     assert sorted(fleet.burst([0, 2])) == [202, 429]
 
 
-def test_share_in_doubt_does_not_outlive_a_time_without_bound() -> None:
-    # The first share of an instance is written without its reply. The bound goes, the instance
-    # accepts jobs, and the bound comes back: by the row those jobs would not be there.
+def test_uncertain_share_is_invalid_after_a_time_without_limit() -> None:
+    # The reply to the write of an instance's first share is lost. The limit is removed, the
+    # instance accepts jobs, and the limit is restored: by the row those jobs would not exist.
     fleet = Fleet(3 * JOB_TOKENS)
     fleet.table.trouble = Trouble.REPLY_LOST
     fleet.nodes[8].waiting.look(fleet.route, fleet.config.version)
@@ -453,9 +454,9 @@
     assert fleet.burst([0]) == [429]
 
 
-def test_idle_fleet_forgets_the_share_of_a_life_long_gone() -> None:
-    # An instance dies with a share and no job while nobody else has one, so that nobody looks.
-    # The next job would be turned away for room that nothing uses.
+def test_share_of_a_dead_incarnation_is_dropped_in_an_idle_fleet() -> None:
+    # An instance dies with a share and no job while no other instance has one, so none polls the
+    # shares. The next job would be rejected because of tokens that no job uses.
     fleet = Fleet(JOB_TOKENS)
     assert fleet.burst([0]) == [202]
     fleet.nodes[0].finish(ITEMS)
@@ -465,14 +466,14 @@
     assert fleet.burst([0]) == [202]
 
 
-def test_too_large_a_job_is_told_no_time_to_come_back() -> None:
+def test_job_above_the_limit_gets_no_retry_time() -> None:
     bound = BacklogLimit(1_000, OVERSHOOT, 3)
-    nobody = PeerShares(0, 0, 0)
-    assert bound.check(0, 1_001, nobody, 0.0) == BacklogFull(1, None)
-    assert isinstance(bound.check(0, 1_000, nobody, 0.0), WithinBacklogLimit)
+    no_shares = PeerShares(0, 0, 0)
+    assert bound.check(0, 1_001, no_shares, 0.0) == BacklogFull(1, None)
+    assert isinstance(bound.check(0, 1_000, no_shares, 0.0), WithinBacklogLimit)
 
 
-def test_caller_without_room_is_asked_back_when_there_is_some() -> None:
+def test_retry_time_follows_the_drain_rate() -> None:
     bound = BacklogLimit(1_000, OVERSHOOT, 3)
     others = PeerShares(900, 900, 0)
     assert bound.check(0, 200, others, 100.0) == BacklogFull(100, 1_000.0)
@@ -480,7 +481,7 @@
     assert bound.check(0, 200, others, 0.1) == BacklogFull(100, 5_000.0)
 
 
-def test_share_of_a_life_that_is_gone_is_not_counted_beside_its_claimed_jobs() -> None:
+def test_share_of_a_dead_incarnation_is_not_counted_beside_its_claimed_jobs() -> None:
     shares = {'a': TokenShare(InstanceId('i'), 500, 400)}
     counted = sum_peer_shares(shares, 'b', lambda _life, _share: ShareValidity.DEAD, [], ROUTE)
     assert counted == PeerShares(0, 0, 0)
@@ -488,10 +489,10 @@
     assert counted.held == 500
 
 
-def test_share_from_before_the_bound_was_raised_and_lowered_is_not_believed() -> None:
-    # The operator raises the bound and lowers it again before an instance with a share has
-    # looked. Its share is from before, others have filled the room since: another job would pass
-    # the bound.
+def test_share_from_before_a_raised_and_lowered_limit_is_invalid() -> None:
+    # The operator raises the limit and lowers it again before an instance with a share has polled.
+    # Its share is from before, and others have used the tokens since: another job would exceed the
+    # limit.
     fleet = Fleet(3 * JOB_TOKENS)
     assert fleet.burst([5]) == [202]
     fleet.nodes[5].finish(ITEMS)
@@ -501,27 +502,28 @@
     assert fleet.burst([5]) == [429]
 
 
-def test_late_acceptance_of_a_stopped_instance_keeps_its_room() -> None:
-    # An instance sends an acceptance whose reply is lost, and is stopped as planned. The store
-    # does it seconds later. With the share gone at once the room would have been given away.
+def test_late_acceptance_of_a_stopped_instance_keeps_its_tokens() -> None:
+    # An instance sends an acceptance whose reply is lost, and is stopped as planned. The write
+    # takes effect seconds later. If its share were removed at once, its tokens would have been
+    # granted to others.
     fleet = Fleet(2 * JOB_TOKENS)
     assert fleet.burst([0]) == [202]
     node = fleet.nodes[1]
     reserved = node.waiting.reserve(fleet.route, JobId('late'), JOB_TOKENS, 1e9)
     assert reserved is BacklogReservation.DONE
     node.waiting.settle(ROUTE, JobId('late'), in_doubt=True)
-    fleet.look_all()
+    fleet.poll_all()
     fleet.clock.ms += 6_000.0
     fleet.leave(node)
-    fleet.look_all()
+    fleet.poll_all()
     assert fleet.burst([2]) == [429]
     fleet.clock.ms += 9_000.0
     assert fleet.burst([2]) == [202]
 
 
-def test_share_whose_shrinking_is_in_doubt_allows_the_smaller() -> None:
-    # An instance has finished its jobs and gives room back; the reply is lost. Others fill the
-    # room that they see. By what it held before it would accept as much again.
+def test_uncertain_shrinking_of_a_share_allows_the_smaller_one() -> None:
+    # An instance has finished its jobs and shrinks its share; the reply is lost. Others use the
+    # tokens that they see as free. By its previous share it would accept the same amount again.
     fleet = Fleet(8 * JOB_TOKENS)
     assert fleet.burst([0] * 4) == [202] * 4
     fleet.nodes[0].finish(4 * ITEMS)
@@ -531,19 +533,20 @@
     assert fleet.burst([0] * 4) == [429] * 4
 
 
-def test_growth_whose_reply_was_lost_is_given_back() -> None:
-    # An instance's share grows for a job, the reply is lost and the job is turned away. Without a
-    # job it never looked again, and the room stayed taken.
+def test_share_growth_with_a_lost_reply_is_released() -> None:
+    # An instance's share grows for a job, the reply is lost and the job is rejected. Without a job
+    # the instance never polled again, and the tokens stayed reserved.
     fleet = Fleet(8 * JOB_TOKENS)
-    fleet.look_all()
+    fleet.poll_all()
     assert fleet.burst([1], Trouble.REPLY_LOST) == [503]
-    fleet.look_all()
+    fleet.poll_all()
     assert fleet.burst([0] * 8) == [202] * 8
 
 
-def test_finished_items_of_a_job_do_not_hide_an_acceptance_in_doubt() -> None:
-    # An instance dies with a job that is nearly done and an acceptance that comes late. The job
-    # counts as a whole then; taken off the share, it would leave nothing for the other.
+def test_finished_items_do_not_hide_an_uncertain_acceptance() -> None:
+    # An instance dies with a job that is nearly finished and an acceptance that takes effect late.
+    # The job then counts as a whole; subtracted from the share, it would leave nothing for the
+    # acceptance.
     shares = {'a': TokenShare(InstanceId('i'), 1_100, 1_100, finished=900)}
     head = msgspec.structs.replace(new_head(0), route=ROUTE, owner_life='a', tokens=1_000)
     counted = sum_peer_shares(
--- a/tests/test_batch/test_batch_needs.py
+++ b/tests/test_batch/test_batch_demand.py
@@ -1,4 +1,4 @@
-"""Owners tell each other what waits, and share free places by it."""
+"""Owners publish their batch demand and divide free capacity by it."""
 
 from __future__ import annotations
 
@@ -36,94 +36,94 @@
 
 
 class Owner:
-    """One owner and what it has heard."""
+    """One owner and the demand that it knows of."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
-        self.book = BatchDemandTable(manual_context(self.clock))
+        self.table = BatchDemandTable(manual_context(self.clock))
 
-    def wait_for(
+    def demand(
         self, count: int, prospect: CompletionLikelihood = DOABLE, start_in_ms: float = 9e3
     ) -> None:
         need = BatchDemand(SERVICE, prospect, count, self.clock.ms + start_in_ms)
-        self.book.record_own_demand([need])
+        self.table.record_own_demand([need])
 
-    def hear(
+    def receive(
         self,
         count: int,
         prospect: CompletionLikelihood = DOABLE,
         start_in_ms: float = 9e3,
         peer: InstanceId = PEER,
     ) -> None:
-        self.book.record_peer_demand(peer, [DemandNotice(SERVICE, prospect, count, start_in_ms)])
+        self.table.record_peer_demand(peer, [DemandNotice(SERVICE, prospect, count, start_in_ms)])
 
-    def part(self, free_count: int) -> float:
-        return self.book.own_share_of_capacity(SERVICE, free_count)
+    def share(self, free_count: int) -> float:
+        return self.table.own_share_of_capacity(SERVICE, free_count)
 
 
-def test_only_those_who_have_items_waiting_share_free_places() -> None:
+def test_only_owners_with_waiting_items_share_capacity() -> None:
     owner = Owner()
-    assert owner.part(10) == 0.0
-    owner.wait_for(30)
-    assert owner.part(10) == 10.0
-    owner.hear(10)
-    assert owner.part(8) == pytest.approx(6.0)
+    assert owner.share(10) == 0.0
+    owner.demand(30)
+    assert owner.share(10) == 10.0
+    owner.receive(10)
+    assert owner.share(8) == pytest.approx(6.0)
 
 
-def test_most_urgent_items_get_the_free_places() -> None:
+def test_most_urgent_items_get_the_free_capacity() -> None:
     owner = Owner()
-    owner.wait_for(30, start_in_ms=9_000.0)
-    owner.hear(6, start_in_ms=2_000.0)
-    assert owner.part(10) == 4.0
-    assert owner.part(6) == 0.0
+    owner.demand(30, start_in_ms=9_000.0)
+    owner.receive(6, start_in_ms=2_000.0)
+    assert owner.share(10) == 4.0
+    assert owner.share(6) == 0.0
 
 
 @pytest.mark.parametrize('prospect', [DOUBTFUL, LATE])
-def test_items_that_may_be_late_leave_the_places_to_those_in_time(
+def test_doubtful_and_late_items_yield_to_doable_ones(
     prospect: CompletionLikelihood,
 ) -> None:
     owner = Owner()
-    owner.wait_for(30, prospect, start_in_ms=-100.0)
-    owner.hear(6, start_in_ms=60_000.0)
-    assert owner.part(6) == 0.0
-    assert owner.part(7) == 1.0
+    owner.demand(30, prospect, start_in_ms=-100.0)
+    owner.receive(6, start_in_ms=60_000.0)
+    assert owner.share(6) == 0.0
+    assert owner.share(7) == 1.0
 
 
-def test_need_of_a_dead_owner_lapses() -> None:
+def test_demand_of_a_dead_owner_expires() -> None:
     owner = Owner()
-    owner.wait_for(30)
-    owner.hear(99, start_in_ms=1_000.0)
-    assert owner.part(10) == 0.0
+    owner.demand(30)
+    owner.receive(99, start_in_ms=1_000.0)
+    assert owner.share(10) == 0.0
     owner.clock.ms += EXPIRY_MS
-    assert owner.part(10) == 10.0
+    assert owner.share(10) == 10.0
 
 
-def test_need_that_is_over_is_told_at_once_and_one_that_lasts_again() -> None:
+def test_ended_demand_is_published_and_lasting_demand_renewed() -> None:
     owner = Owner()
-    assert owner.book.take_due_notices() is None
-    owner.wait_for(30)
-    told = owner.book.take_due_notices()
-    assert told == [DemandNotice(SERVICE, DOABLE, 30, 9_000.0)]
+    assert owner.table.take_due_notices() is None
+    owner.demand(30)
+    notices = owner.table.take_due_notices()
+    assert notices == [DemandNotice(SERVICE, DOABLE, 30, 9_000.0)]
     owner.clock.ms += PUBLISH_EVERY_MS
-    assert owner.book.take_due_notices() is None
+    assert owner.table.take_due_notices() is None
     owner.clock.ms += RENEW_MS
-    assert owner.book.take_due_notices() is not None
-    owner.book.record_own_demand([])
+    assert owner.table.take_due_notices() is not None
+    owner.table.record_own_demand([])
     owner.clock.ms += PUBLISH_EVERY_MS
-    assert owner.book.take_due_notices() == []
+    assert owner.table.take_due_notices() == []
     owner.clock.ms += RENEW_MS
-    assert owner.book.take_due_notices() is None
+    assert owner.table.take_due_notices() is None
 
 
-def test_owner_shares_with_all_until_others_had_the_time_to_tell() -> None:
+def test_peer_demand_is_unknown_until_peers_could_publish() -> None:
     owner = Owner()
-    owner.wait_for(5)
-    assert not owner.book.is_peer_demand_known(SERVICE)
+    owner.demand(5)
+    assert not owner.table.is_peer_demand_known(SERVICE)
     owner.clock.ms += RENEW_MS
-    assert owner.book.is_peer_demand_known(SERVICE)
+    assert owner.table.is_peer_demand_known(SERVICE)
 
 
-def test_items_start_by_due_time_and_doubtful_ones_by_their_chance() -> None:
+def test_doable_items_start_by_due_time_and_doubtful_ones_by_slack() -> None:
     margin_ms = 1_000.0
     slacks_ms = [5_000.0, 900.0, 1_500.0, 100.0, LATE_SLACK_MS - 1.0]
     priorities = sorted(
@@ -141,7 +141,7 @@
     assert cut.order < priorities[0].order
 
 
-def test_places_kept_follow_the_rises_of_online_requests() -> None:
+def test_headroom_follows_the_rises_of_online_load() -> None:
     clock = ManualClock()
     headroom = OnlineHeadroom(manual_context(clock))
     assert headroom.headroom_for(SERVICE, 12) == 12
@@ -161,7 +161,7 @@
     assert headroom.headroom_for(SERVICE, 12) == 12
 
 
-def test_needs_pass_between_instances() -> None:
+def test_demand_survives_encoding() -> None:
     needs = [DemandNotice(SERVICE, LATE, 7, -1_200.0)]
     message = PeerMessage(PEER, ConfigVersion(3), BatchNeeds(needs))
     assert decode_message(encode_message(message)) == message
@@ -180,6 +180,6 @@
         pack_needs([DemandNotice(SERVICE, DOABLE, 1, math.inf)]),
     ],
 )
-def test_needs_that_cannot_be_are_no_message(data: bytes) -> None:
+def test_invalid_demand_is_rejected(data: bytes) -> None:
     with pytest.raises(ValueError, match=r'.'):
         unpack_needs(data)
--- a/tests/test_batch/test_batch_machine.py
+++ b/tests/test_batch/test_batch_machine.py
@@ -1,4 +1,4 @@
-"""Two owners, lost replies, late writes: nothing is lost, nothing stands twice."""
+"""Two owners with lost replies and late writes neither lose nor duplicate a result."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class JobMachine(RuleBasedStateMachine):
-    """Owners that claim, run and commit as they like, over a store that fails as it likes."""
+    """Owners claim, run and commit in any order, over a store that fails at any call."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -134,7 +134,7 @@
 
     @invariant()
     def results_only_grow(self) -> None:
-        """Nothing listed changes, nothing is added after the end, owners show no more than that."""
+        """Listed results never change, none is added after the end, owners show no others."""
         results = self.store.results(JOB, 0)
         assert isinstance(results, list)
         assert results[: len(self.listed)] == self.listed
@@ -148,7 +148,7 @@
             assert job.results == results[: len(job.results)]
 
     def teardown(self) -> None:
-        """Whatever happened, a last owner without troubles finishes the job."""
+        """A last owner on a store without failures finishes the job."""
         self.table.apply_late()
         stored = self.store.head(JOB)
         if isinstance(stored, NoJob):
--- a/tests/test_batch/test_batch_owned_job.py
+++ b/tests/test_batch/test_batch_owned_job.py
@@ -1,4 +1,4 @@
-"""Outcomes of items in the hands of their owner."""
+"""Outcomes of items at their job's owner."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
     assert [(each.id, each.state) for each in job.finished] == [('i0', ItemState.ERRORED)]
 
 
-def test_cut_runs_count_as_no_attempt() -> None:
-    # Servers crash again and again under an item. It was never answered with a failure, so it is
-    # not given up before its time.
+def test_interrupted_runs_count_as_no_attempt() -> None:
+    # Servers crash repeatedly while they run an item. No run has reported a failure, so the item is
+    # not abandoned before its time.
     job = owned()
     for _ in range(20):
         progress = job.next_item(1e9)
@@ -43,9 +43,9 @@
     assert len(job.finished) == 3
 
 
-def test_begun_item_goes_first() -> None:
-    # An item that gave way to online requests has its first events already; starting another one
-    # in its place would leave two half done.
+def test_interrupted_item_starts_first() -> None:
+    # An item preempted by online requests already has its first events; starting another one first
+    # would leave two items unfinished.
     job = owned()
     first = job.next_item(0.0)
     assert first is not None
@@ -59,9 +59,9 @@
     assert job.next_item(0.0) is second
 
 
-def test_commit_in_doubt_is_tried_again_as_it_was() -> None:
-    # A commit's reply is lost, and another item ends before the next try. The next try must put
-    # the same results at the same positions, or a reader could see two at one.
+def test_uncertain_commit_is_retried_unchanged() -> None:
+    # A commit's reply is lost, and another item finishes before the retry. The retry must write the
+    # same results at the same positions, or a reader could see two results at one position.
     job = owned()
     for item_id in ('i0', 'i1'):
         progress = job.open[item_id]
@@ -73,9 +73,9 @@
     assert [each.id for each in job.next_commit()] == ['i1']
 
 
-def test_failures_of_an_item_pass_to_the_next_owner() -> None:
-    # An item fails at each run while instances are stopped in turn. Each owner gives it two runs
-    # and hands it over; without its count it would reach servers on and on.
+def test_failure_count_is_transferred_to_the_next_owner() -> None:
+    # An item fails at each run while instances are stopped one after another. Each owner runs it
+    # twice and transfers the job; without the failure count it would be sent to servers forever.
     store = JobStore(FlakyTable(), MemoryObjects(), 65_536)
     accepted = store.accept(new_head(0), ITEMS)
     assert isinstance(accepted, StoredHead)
--- a/tests/test_batch/test_batch_read_budget.py
+++ b/tests/test_batch/test_batch_read_budget.py
@@ -1,4 +1,4 @@
-"""All instances start at once with hundreds of jobs open."""
+"""All instances start at the same time while hundreds of jobs are open."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 JOBS = 600
 
 
-def test_start_of_all_leaves_the_store_half_of_its_reads() -> None:
-    # 195 instances read the heads of 600 open jobs. At once these were 117,000 reads, seven
-    # seconds of all that the store takes, and no instance got the configuration meanwhile.
+def test_fleet_start_leaves_half_of_the_read_capacity() -> None:
+    # 195 instances read the heads of 600 open jobs. Without a budget these 117,000 reads used the
+    # whole capacity of the store for seven seconds, and no instance got the configuration.
     clock = ManualClock()
     budget = ReadBudget(manual_context(clock), READS_PER_S, lambda: INSTANCES)
     started_ms = clock.ms
@@ -24,7 +24,7 @@
         reads_ms.append(clock.ms - started_ms)
     for second in range(10):
         upto = sum(at_ms < (second + 1) * 1e3 for at_ms in reads_ms)
-        # What was saved up comes on top, once.
+        # The full buckets at the start add their size once.
         assert upto * INSTANCES <= READS_PER_S * READS_SHARE * (second + 2) + INSTANCES
 
 
--- a/tests/test_batch/wave_world.py
+++ b/tests/test_batch/wave_world.py
@@ -26,16 +26,16 @@
 SERVICE = ServiceName('lm')
 SLOTS = 8
 TARGET_MS = 300.0
-LOOK_MS = 25.0
+POLL_MS = 25.0
 COUNT_MS = 100.0
-#: A request stays on a server for so long; a run that goes on elsewhere reads its prompt again.
+#: Mean service time of a request, and time in which a resumed run processes its prompt again.
 SERVICE_TIME_MS = 700.0
-AGAIN_MS = 30.0
+PREFILL_MS = 30.0
 LONGEST_MS = 120_000.0
 
 
 class Item(msgspec.Struct, eq=False):
-    """A batch item, or an online request where it is due at no time."""
+    """A batch item; an online request if ``due_ms`` is 0."""
 
     left_ms: float
     due_ms: float = 0.0
@@ -45,48 +45,48 @@
     started_ms: float | None = None
     ended_ms: float | None = None
     done_ms: float = 0.0
-    cuts_count: int = 0
+    preemptions_count: int = 0
 
 
 class ZoneTotals(msgspec.Struct):
-    """What all instances have on the servers of a zone."""
+    """Load of all instances on the servers of a zone."""
 
     loads: list[ServerLoad]
 
 
-Told = ZoneTotals | list[ServerLoad] | list[DemandNotice]
+Notice = ZoneTotals | list[ServerLoad] | list[DemandNotice]
 
 
 class Instance:
-    """One owner, which takes online requests in as well."""
+    """One owner of batch items that also receives online requests."""
 
     def __init__(self, clock: ManualClock, number: int, zone: str) -> None:
         context = manual_context(clock, f'i{number}', zone, seed=number)
         self.context = context
         self.book = ServerRegistry(context)
-        self.book.on_choose(self.look)
-        self.pace = StartRateLimiter(context, self.book.neighbours)
-        self.way = BatchScheduler(context, self.book, self.pace)
+        self.book.on_choose(self.process_inbox)
+        self.rate_limiter = StartRateLimiter(context, self.book.neighbours)
+        self.scheduler = BatchScheduler(context, self.book, self.rate_limiter)
         self.notices = LoadNotices(context, self.book)
-        self.inbox: list[tuple[InstanceId, Told]] = []
+        self.inbox: list[tuple[InstanceId, Notice]] = []
         self.waiting: list[Item] = []
         self.running: list[Item] = []
         self.is_dead = False
-        self.is_telling = False
+        self.is_publishing = False
 
-    def look(self) -> None:
+    def process_inbox(self) -> None:
         for sender, told in self.inbox:
             if isinstance(told, ZoneTotals):
                 self.notices.record_totals(told.loads)
             elif told and isinstance(told[0], ServerLoad):
                 self.notices.note(sender, told)
             else:
-                self.pace.demand.record_peer_demand(sender, told)  # type: ignore[arg-type]
+                self.rate_limiter.demand.record_peer_demand(sender, told)  # type: ignore[arg-type]
         self.inbox.clear()
 
 
 class Server:
-    """Eight places and a queue in order of arrival."""
+    """A capacity of eight and a queue in order of arrival."""
 
     def __init__(self) -> None:
         self.running: list[Item] = []
@@ -128,8 +128,8 @@
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
         for each in self.instances:
-            self.after(self.random.uniform(0, LOOK_MS), partial(self._look, each))
-            self.after(self.random.uniform(0, TOTALS_EVERY_MS), partial(self._tell_totals, each))
+            self.after(self.random.uniform(0, POLL_MS), partial(self._poll, each))
+            self.after(self.random.uniform(0, TOTALS_EVERY_MS), partial(self._publish_totals, each))
 
     def after(self, wait_ms: float, work: Callable[[], None]) -> None:
         heapq.heappush(self._heap, (self.clock.ms + wait_ms, next(self._numbers), work))
@@ -141,7 +141,7 @@
             work()
 
     def add(self, instance: Instance, count: int, due_in_ms: float) -> None:
-        """Hand a job in."""
+        """Submit a job."""
         for _ in range(count):
             length_ms = max(0.1, self.random.gauss(1.0, self.spread)) * self.item_ms
             item = Item(length_ms, self.clock.ms + due_in_ms)
@@ -149,9 +149,9 @@
             instance.waiting.append(item)
 
     def online(self, per_s: Callable[[float], float]) -> None:
-        """Let online requests come from now on.
+        """Generate online requests from now on.
 
-        :param per_s: gives the rate at a time.
+        :param per_s: returns the rate at a time.
         """
 
         def arrive() -> None:
@@ -164,8 +164,8 @@
 
         arrive()
 
-    def crash(self, server_id: ServerId) -> None:
-        """End a server, with all who hear of it."""
+    def crash_server(self, server_id: ServerId) -> None:
+        """Stop a server and remove it from the registries of all instances."""
         server = self.servers[server_id]
         server.is_down = True
         runs = [*server.running, *server.queue]
@@ -176,42 +176,42 @@
             for item in [run for run in runs if run in each.running]:
                 self._stop(each, item)
 
-    def kill(self, instance: Instance, heir: Instance) -> None:
-        """End an owner; another one claims its items after some time."""
+    def kill(self, instance: Instance, successor: Instance) -> None:
+        """Stop an owner; another one claims its items after some time."""
         instance.is_dead = True
         items = instance.waiting + instance.running
         for item in list(instance.running):
             self._stop(instance, item)
         instance.waiting = []
-        self.after(1_000.0, lambda: heir.waiting.extend(items))
+        self.after(1_000.0, lambda: successor.waiting.extend(items))
 
-    def _look(self, each: Instance) -> None:
+    def _poll(self, each: Instance) -> None:
         if each.is_dead:
             return
-        self.after(LOOK_MS, lambda: self._look(each))
-        each.look()
+        self.after(POLL_MS, lambda: self._poll(each))
+        each.process_inbox()
         if not each.waiting and not each.running:
             return
-        self._cut(each)
+        self._preempt(each)
         now_ms = self.clock.ms
         if each.waiting:
-            each.way.observe_online_load(SERVICE)
-        if int(now_ms / COUNT_MS) != int((now_ms - LOOK_MS) / COUNT_MS):
+            each.scheduler.observe_online_load(SERVICE)
+        if int(now_ms / COUNT_MS) != int((now_ms - POLL_MS) / COUNT_MS):
             priorities = [self._priority(item) for item in each.waiting]
             own = [batch_demand_of(SERVICE, priorities, now_ms)] if priorities else []
-            each.pace.demand.record_own_demand(own)
-            told = each.pace.demand.take_due_notices()
+            each.rate_limiter.demand.record_own_demand(own)
+            told = each.rate_limiter.demand.take_due_notices()
             if told is not None:
                 self._send(each, told, each.book.neighbours.near())
         self._start(each)
 
     def _priority(self, item: Item) -> ItemPriority:
         slack_ms = item.due_ms - self.clock.ms - self._expected_ms(item)
-        has_begun = item.cuts_count > 0
+        has_begun = item.preemptions_count > 0
         return priority_of(slack_ms, self.item_ms * self.spread, has_begun=has_begun)
 
     def _expected_ms(self, item: Item) -> float:
-        """Expect what an item still takes: how long it is nobody knows before its end."""
+        """Return the expected remaining run time; the true one is unknown until the item ends."""
         return max(1.0, self.item_ms - item.done_ms)
 
     def _start(self, each: Instance) -> None:
@@ -219,20 +219,20 @@
         while each.waiting:
             item = each.waiting[0]
             urgency_now = urgency(item.due_ms, self.clock.ms, self._expected_ms(item))
-            state = each.way.choose_server(SERVICE, urgency_now)
+            state = each.scheduler.choose_server(SERVICE, urgency_now)
             if state is None:
                 return
             each.waiting.pop(0)
             each.running.append(item)
             self._enter(each, state.listed.id, item)
 
-    def _cut(self, each: Instance) -> None:
+    def _preempt(self, each: Instance) -> None:
         lives = {
             state.life: state
             for item in each.running
             if item.server and (state := each.book.state(item.server)) is not None
         }
-        overloaded_servers = each.way.overloaded_servers(lives)
+        overloaded_servers = each.scheduler.overloaded_servers(lives)
         items = [
             (item, life)
             for item in each.running
@@ -245,9 +245,9 @@
             left_ms = self._expected_ms(item) - ran_ms
             stands = urgency(item.due_ms, self.clock.ms, left_ms)
             running.append(RunningItem(number, life, item.entered_ms, stands, left_ms, TARGET_MS))
-        for chosen in each.way.items_to_preempt(running):
+        for chosen in each.scheduler.items_to_preempt(running):
             item = items[chosen.number][0]
-            item.cuts_count += 1
+            item.preemptions_count += 1
             self._stop(each, item)
 
     def _enter(self, each: Instance, server_id: ServerId, item: Item) -> None:
@@ -279,8 +279,8 @@
     def _stop(self, each: Instance, item: Item) -> None:
         if item.started_ms is not None:
             ran_ms = self.clock.ms - item.started_ms
-            item.left_ms += AGAIN_MS - ran_ms
-            item.done_ms += ran_ms - AGAIN_MS
+            item.left_ms += PREFILL_MS - ran_ms
+            item.done_ms += ran_ms - PREFILL_MS
         self._leave(each, item)
         if not each.is_dead:
             each.waiting.append(item)
@@ -306,26 +306,26 @@
             state.own.batch += change
         else:
             state.own.online += change
-        if not each.is_telling:
-            each.is_telling = True
-            self.after(each.notices.next_pause_ms(), lambda: self._tell(each))
+        if not each.is_publishing:
+            each.is_publishing = True
+            self.after(each.notices.next_pause_ms(), lambda: self._publish(each))
 
-    def _tell(self, each: Instance) -> None:
-        each.is_telling = False
+    def _publish(self, each: Instance) -> None:
+        each.is_publishing = False
         if each.is_dead:
             return
         for addressed in each.notices.address(each.notices.take()):
             self._send(each, addressed.loads, addressed.receivers)
 
-    def _tell_totals(self, each: Instance) -> None:
-        self.after(TOTALS_EVERY_MS, lambda: self._tell_totals(each))
+    def _publish_totals(self, each: Instance) -> None:
+        self.after(TOTALS_EVERY_MS, lambda: self._publish_totals(each))
         totals = [] if each.is_dead else each.notices.take_totals()
         if totals:
             turn = each.notices.totals_turn
             receivers = each.book.neighbours.one_in_each_other_zone(turn)
             self._send(each, ZoneTotals(totals), receivers)
 
-    def _send(self, each: Instance, told: Told, receivers: list[InstanceId]) -> None:
+    def _send(self, each: Instance, told: Notice, receivers: list[InstanceId]) -> None:
         sender = each.context.instance_id
         for receiver in receivers:
             if self.random.random() >= self.loss:
--- a/tests/test_jobs/test_jobs_part_committer.py
+++ b/tests/test_jobs/test_jobs_outcome_committer.py
@@ -75,7 +75,7 @@
     held.record_outcome(position, ItemOutcome(is_success=True, line=b'{}'))
 
 
-def test_order_that_ended_during_a_commit_is_not_sent_by_the_next_holder() -> None:
+def test_item_finished_during_a_commit_stays_marked_as_started() -> None:
     # Orders of a job are at their service. While the outcome of the first is on its way to the
     # object store, the second ends as well; then the holder dies. What the commit wrote must
     # still say that the second was sent: the next holder would place that order once more.
@@ -90,7 +90,7 @@
     assert list(ItemSet.parse(row.started)) == [1, 2, 3]
 
 
-def test_segment_is_not_handed_back_with_an_outcome_that_is_not_visible() -> None:
+def test_segment_with_an_uncommitted_outcome_is_not_released() -> None:
     # A holder that stops gives its segment back when its last order ends during a commit. That
     # order's outcome is not in the commit; handed back now, it would be placed once more.
     held = new_segment()
@@ -117,7 +117,7 @@
     assert held.is_unowned
 
 
-def test_repeatable_item_that_ended_is_not_blamed_for_its_holders_death() -> None:
+def test_finished_repeatable_item_is_not_marked_as_started() -> None:
     # The same with items that may be repeated, whose holder died once before. The item that has
     # ended did not kill the holder, and must not be taken for the one that does.
     held = new_segment(is_repeatable=True)
--- a/tests/test_jobs/test_jobs_outcomes.py
+++ b/tests/test_jobs/test_jobs_outcomes.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.fleet(instances=3, engines=2)
-def test_killed_holders_lose_and_double_nothing(fleet: Fleet) -> None:
+def test_killed_holders_lose_and_duplicate_nothing(fleet: Fleet) -> None:
     # The caller sees every item answered once. Both engines are slow enough that instances hold
     # segments when they are killed, one after the other; a third takes over what they held once
     # their leases have stood still, and their half-written parts stay unseen.
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.fleet(instances=2, engines=2)
-def test_frozen_holder_wakes_up_to_nothing(fleet: Fleet) -> None:
+def test_frozen_holder_commits_nothing_after_its_lease(fleet: Fleet) -> None:
     # An instance freezes with segments in its hands and its lease runs out; the other takes over
     # and finishes. The first wakes up with answers in its memory and tries to commit them: its
     # fence is old, so nothing of it is seen and no outcome changes.
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.fleet(instances=2, engines=2)
-def test_lost_replies_double_nothing(fleet: Fleet) -> None:
+def test_lost_replies_duplicate_nothing(fleet: Fleet) -> None:
     # Every reply of the table service is lost for a while, though the writes take effect: at the
     # job's acceptance, then at claims and commits. Writers find their own write ids.
     caller = fleet.caller()
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize('mode', ['down', 'hang'])
 @pytest.mark.fleet(instances=2, engines=2)
-def test_outage_in_the_middle_and_again_after(fleet: Fleet, mode: str) -> None:
+def test_repeated_table_outages_lose_nothing(fleet: Fleet, mode: str) -> None:
     # The table service goes down in the middle of a job for longer than a lease, comes back for
     # a moment, and goes down again. No counter moved meanwhile, but nobody takes that for the
     # death of the holders; the job ends with every item answered once.
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.fleet(instances=2, engines=1)
-def test_object_store_outage_delays_and_loses_nothing(fleet: Fleet) -> None:
+def test_object_store_outage_delays_outcomes_and_loses_none(fleet: Fleet) -> None:
     # The object store refuses while segments finish: outcomes wait in memory until it is back,
     # and an upload meanwhile is refused with a time to come back.
     job_id = fleet.submit(fleet.caller(), chat_lines(200), CHAT)
--- a/tests/test_jobs/test_jobs_poison.py
+++ b/tests/test_jobs/test_jobs_poison.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.fleet(instances=2, engines=2)
-def test_items_that_kill_their_server_are_set_aside(fleet: Fleet) -> None:
+def test_items_that_crash_servers_exhaust_their_attempts(fleet: Fleet) -> None:
     # Two items make any engine drop everything it runs. Each ends after its attempts, typed; the
     # items that ran beside them are cut again and again, and all of them are answered.
     lines = chat_lines(150)
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.fleet(instances=1, engines=0)
-def test_service_that_says_no_is_told_with_its_answer(fleet: Fleet) -> None:
+def test_service_rejection_is_reported_with_its_answer(fleet: Fleet) -> None:
     # The service answers some orders of a job with 503. It may have run them, so they are not
     # sent again, and their outcome carries the service's answer.
     fleet.server_faults('orders-server', refuse_left=4)
