--- a/citrondyke/decisions/accounts/slot_steward.py
+++ b/citrondyke/decisions/accounts/slot_steward.py
@@ -123,16 +123,16 @@
         number: int,
         account: Account,
         need: UseNeed,
-        refused: tuple[int, ...] = (),
+        rejected_works: tuple[int, ...] = (),
     ) -> UseAnswered:
         """Grant or reject one use.
 
-        :param refused: work of the account that the requesting instance has rejected locally.
+        :param rejected_works: work of the account that the requester has rejected locally.
         """
         now_ms = self._now_ms()
         quota = self._quota_of(account)
         quota.reservations.expire(now_ms)
-        quota.rejected_work.record(refused, now_ms)
+        quota.rejected_work.record(rejected_works, now_ms)
         due_ms = quota.reservations.due_ms_of(need.work)
         if due_ms is None and quota.rejected_work.should_reject_retry(need.work, now_ms):
             quota.record_rejected(now_ms)
@@ -290,8 +290,8 @@
         quota.local_rejection_until_ms = max(quota.local_rejection_until_ms, now_ms + pause_ms)
         # There is no reservation, so the retry time is not before the caller's deadline.
         at_ms = max(due_ms, now_ms + need.left_ms)
-        refused = self._rejection(number, at_ms, now_ms, is_kept=False)
-        return msgspec.structs.replace(refused, pause_ms=pause_ms, expected=tuple(expected))
+        rejection = self._rejection(number, at_ms, now_ms, is_kept=False)
+        return msgspec.structs.replace(rejection, pause_ms=pause_ms, expected=tuple(expected))
 
     @staticmethod
     def _rejection(number: int, at_ms: float, now_ms: float, *, is_kept: bool) -> UseAnswered:
--- a/citrondyke/decisions/accounts/steward_rate_limiter.py
+++ b/citrondyke/decisions/accounts/steward_rate_limiter.py
@@ -108,9 +108,9 @@
                 continue
             if replica != own_id:
                 self._last_number += 1
-                refused = self._local_rejections.pop_locally_rejected(account.id)
-                asked = UseAsked(self._last_number, account.id, need, refused)
-                return QuotaQuery(replica, asked, self._last_number)
+                rejected_works = self._local_rejections.pop_locally_rejected(account.id)
+                message = UseAsked(self._last_number, account.id, need, rejected_works)
+                return QuotaQuery(replica, message, self._last_number)
             answer = self._answer(own_id, account, UseAsked(0, account.id, need))
             verdict = self.apply_answer(account, own_id, answer)
             self._outbox += self._pending_floor_messages(slot_of(account.id))
@@ -173,8 +173,8 @@
             self._steward_of(slot)
             return self._pending_floor_messages(slot)
         if isinstance(message, FloorsTold) and self._leases[slot].merge_copy(sender, message.copy):
-            told = FloorsAcknowledged(slot, message.copy.era, message.copy.number)
-            return [Addressed(sender, told)]
+            acknowledgement = FloorsAcknowledged(slot, message.copy.era, message.copy.number)
+            return [Addressed(sender, acknowledgement)]
         if isinstance(message, FloorsAcknowledged):
             steward = self._steward_of(slot)
             if steward is not None:
@@ -183,7 +183,7 @@
 
     def tick(self) -> list[Addressed]:
         """Request the leases of this instance's slots, and publish the floors of held ones."""
-        sent = [asked for lease in self._leases for asked in lease.tick()]
+        sent = [request for lease in self._leases for request in lease.tick()]
         for slot in range(SLOTS_COUNT):
             steward = self._steward_of(slot)
             if steward is not None:
@@ -246,14 +246,14 @@
             ),
         )
 
-    def _answer(self, asker: InstanceId, account: Account, asked: UseAsked) -> UseAnswered:
-        number = asked.number
+    def _answer(self, requester: InstanceId, account: Account, query: UseAsked) -> UseAnswered:
+        number = query.number
         slot = slot_of(account.id)
         steward = self._steward_of(slot)
         if not account.has_limit:
             return UseAnswered(number, UseOutcome.GRANTED, is_steward=steward is not None)
         if steward is not None:
-            return steward.answer(asker, number, account, asked.need, asked.refused)
+            return steward.answer(requester, number, account, query.need, query.refused)
         replicas = self._placement.replicas(slot)
         is_granted = self._context.instance_id in replicas and self._fallback.try_consume(
             account, self._context.clock.fence_ms()
--- a/citrondyke/decisions/memory/__init__.py
+++ b/citrondyke/decisions/memory/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes that an instance holds for callers and servers."""
+"""Memory held by an instance for callers and servers."""
--- a/citrondyke/decisions/memory/byte_budget.py
+++ b/citrondyke/decisions/memory/byte_budget.py
@@ -1,4 +1,4 @@
-"""One bound on the bytes that an instance holds for callers and servers together."""
+"""A common limit on the bytes that an instance holds for callers and servers."""
 
 from __future__ import annotations
 
@@ -6,48 +6,48 @@
 
 __all__ = ('ByteBudget', 'HeldBytes', 'HeldKind', 'budget_for')
 
-#: Part of an instance's memory; the rest is for the process itself, the items of jobs, and what
-#: its sockets hold.
+#: Share of an instance's memory; the rest is for the process itself, the items of jobs and socket
+#: buffers.
 MEMORY_SHARE = 0.3
-#: Part of the budget that one kind may take: full of slow callers' requests an instance still
-#: passes answers on, and full of answers that nobody reads it still takes requests.
+#: Share of the budget that one kind may use. An instance full of slow callers' requests can still
+#: forward responses, and one full of unread responses can still accept requests.
 KIND_SHARE = 0.75
 
 
 class HeldKind(Enum):
-    """What the bytes are."""
+    """Kind of held bytes."""
 
     #: Bodies of requests, until they are answered.
     REQUEST = 'request'
-    #: Answers that are read whole before they are passed on.
+    #: Responses that are read completely before they are forwarded.
     ANSWER = 'answer'
 
 
 class ByteBudget:
-    """Counts what is held, by kind.
+    """Limits the total held bytes, and those of each kind.
 
-    Answers many large bodies at once, or callers who read slowly while large answers come: each
-    has a bound of its own, and the sum of many would end the process with all its callers.
+    Handles many large bodies at once, or slow readers of large responses: each body has a limit of
+    its own, but the sum of many would exhaust the memory and terminate the process.
     """
 
     def __init__(self, limit_bytes: float) -> None:
-        """Hold nothing yet."""
+        """Initialize an empty budget."""
         self._limit_bytes = limit_bytes
         self._held: dict[HeldKind, dict[HeldBytes, int]] = {kind: {} for kind in HeldKind}
 
     def open(self, kind: HeldKind) -> HeldBytes:
-        """Begin to hold one body."""
+        """Start to hold a body."""
         return HeldBytes(self, kind)
 
     def bytes_of(self, kind: HeldKind) -> int:
-        """Count what is held of a kind."""
+        """Return the held bytes of a kind."""
         return sum(self._held[kind].values())
 
     def try_acquire(self, held: HeldBytes, size_bytes: int) -> bool:
-        """Count more bytes of a body, if there is room.
+        """Acquire more bytes for a body; return false if the budget is used up.
 
-        The oldest of a kind always has room, within its own bound: if several waited for each
-        other with a part of their bytes each, none would come to its end.
+        The oldest body of a kind always gets its bytes, within its own limit: if several bodies
+        waited for each other with a part of their bytes each, none would complete.
         """
         of_kind = self._held[held.kind]
         is_oldest = not of_kind or next(iter(of_kind)) is held
@@ -57,7 +57,7 @@
         return True
 
     def release(self, held: HeldBytes) -> None:
-        """Forget a body."""
+        """Release all bytes of a body."""
         self._held[held.kind].pop(held, None)
 
     def _fits(self, kind: HeldKind, size_bytes: int) -> bool:
@@ -67,22 +67,22 @@
 
 
 class HeldBytes:
-    """One body in the budget."""
+    """The bytes of one body in the budget."""
 
     def __init__(self, budget: ByteBudget, kind: HeldKind) -> None:
-        """Hold nothing of it yet."""
+        """Initialize the body without bytes."""
         self._budget = budget
         self.kind = kind
 
     def try_acquire(self, size_bytes: int) -> bool:
-        """Count more of its bytes; tell whether there was room."""
+        """Acquire more bytes; return false if the budget is used up."""
         return self._budget.try_acquire(self, size_bytes)
 
     def release(self) -> None:
-        """Let it go."""
+        """Release all bytes of the body."""
         self._budget.release(self)
 
 
 def budget_for(memory_bytes: int) -> ByteBudget:
-    """Make the budget of an instance with so much memory."""
+    """Create the budget of an instance with ``memory_bytes`` of memory."""
     return ByteBudget(memory_bytes * MEMORY_SHARE)
--- a/citrondyke/decisions/reservations/rejected_work.py
+++ b/citrondyke/decisions/reservations/rejected_work.py
@@ -1,4 +1,4 @@
-"""Work for which no place was kept, and that comes back all the same."""
+"""Work that was rejected without a reservation and may be retried nevertheless."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 __all__ = ('RejectedWork',)
 
-#: Callers come back within a third of the time that they have.
+#: Time for which rejected work is remembered. Callers retry within a third of their remaining time.
 REJECTED_MEMORY_MS = 3_000.0
 REMEMBERED_WORKS_LIMIT = 4_000
-#: Without a refusal of new work for so long there is room for what comes back.
+#: If no new work was rejected for this time, there is capacity for retries.
 OVERLOAD_MEMORY_MS = 300.0
 
 
 class RejectedWork:
-    """Tells who comes back without a place while there is not enough for who comes first.
+    """Detects retries without a reservation while new work is being rejected.
 
-    Answers a flood of which each caller comes twice: whoever comes back is late by then, and takes
-    the use of one who could still be served within its target.
+    Handles bursts in which every rejected caller retries: a retry has already missed its target,
+    and would take the use of a caller that can still be served within its target.
     """
 
     def __init__(self) -> None:
-        """Remember nothing yet."""
+        """Initialize without rejected work."""
         self._rejected_ms: dict[int, float] = {}
         self._overload_ms = float('-inf')
 
     def record(self, works: Iterable[int], now_ms: float) -> None:
-        """Take in what was turned away without a place."""
+        """Record work that was rejected without a reservation."""
         for work in works:
             self._rejected_ms.pop(work, None)
             if work:
@@ -42,9 +42,9 @@
             del self._rejected_ms[oldest]
 
     def record_overload(self, now_ms: float) -> None:
-        """Take in that new work was turned away."""
+        """Record that new work was rejected."""
         self._overload_ms = now_ms
 
     def should_reject_retry(self, work: int, now_ms: float) -> bool:
-        """Tell whether work comes back while new work is turned away."""
+        """Return whether ``work`` is a retry that must yield to new work."""
         return now_ms <= self._overload_ms + OVERLOAD_MEMORY_MS and work in self._rejected_ms
--- a/citrondyke/decisions/reservations/reservations.py
+++ b/citrondyke/decisions/reservations/reservations.py
@@ -1,4 +1,4 @@
-"""Places that callers were told, kept until they come back."""
+"""Reservations for callers that were sent a retry time."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 
 __all__ = ('RESERVATION_HOLD_MS', 'ReservationCounts', 'Reservations')
 
-#: A place is kept for so long after its time: a caller needs a new connection and the way to an
-#: instance, and timers fire late on a machine that is busy.
+#: Time for which a reservation is held after it falls due: a caller needs a new connection and a
+#: round trip to an instance, and timers fire late on a busy machine.
 RESERVATION_HOLD_MS = 400.0
-#: Places kept in one line; beyond it nobody is told a time.
+#: Number of reservations in one queue; above it no further ones are made.
 RESERVATIONS_LIMIT = 2_000
 
 
 class ReservationCounts(msgspec.Struct):
-    """What became of places since the line began."""
+    """Reservations made, used and expired since the queue was created."""
 
     kept: int = 0
     taken: int = 0
@@ -25,16 +25,16 @@
 
 
 class Reservations:
-    """One line of places, each the next caller's of one key.
+    """A queue of reservations, each for the next caller with a given key.
 
-    Answers callers that were all told to come back soon, met the same crowd again and were refused
-    for good: a place that is kept is not given to whoever else asks meanwhile. A place that nobody
-    takes lapses, so that what it kept free goes to the next one that asks.
+    Handles bursts in which rejected callers retry at about the same time, are rejected again and
+    give up: a reserved use isn't granted to other callers meanwhile. A reservation that isn't used
+    expires, and its use goes to the next request.
     """
 
     def __init__(self) -> None:
-        """Keep nothing yet."""
-        #: Times of the places that are kept, and the key of each, in order of time.
+        """Initialize an empty queue."""
+        #: Due times of the reservations in ascending order, and the key of each.
         self._due_ms: list[float] = []
         self._keys: list[int] = []
         self._due_times_by_key: dict[int, deque[float]] = {}
@@ -42,18 +42,18 @@
         self.counts = ReservationCounts()
 
     def __len__(self) -> int:
-        """Count the places that are kept."""
+        """Return the number of reservations."""
         return len(self._due_ms)
 
     def next_due_ms(self, earliest_ms: float, gap_ms: float) -> float:
-        """Give the time of the next place, one gap behind the last one that was kept."""
+        """Return the due time of the next reservation, one gap after the last one."""
         return max(earliest_ms, self._last_due_ms + gap_ms)
 
     def reserve(self, key: int, due_ms: float) -> bool:
-        """Keep a place at the end of the line; tell whether there was room for it."""
+        """Append a reservation; return false if the queue is full."""
         if len(self._due_ms) >= RESERVATIONS_LIMIT:
             return False
-        # Times of one line only grow, so that places by key and by time have one order.
+        # Due times never decrease, so reservations have the same order by key and by time.
         due_ms = max(due_ms, self._last_due_ms)
         self._due_ms.append(due_ms)
         self._keys.append(key)
@@ -63,12 +63,12 @@
         return True
 
     def due_ms_of(self, key: int) -> float | None:
-        """Give the time of a key's first place; ``None`` without one."""
+        """Return the due time of a key's first reservation; ``None`` if there is none."""
         due_times_ms = self._due_times_by_key.get(key)
         return due_times_ms[0] if due_times_ms else None
 
     def consume(self, key: int) -> None:
-        """Use a key's first place up; it serves once."""
+        """Remove a key's first reservation, which is valid for one use."""
         due_ms = self._due_times_by_key[key].popleft()
         if not self._due_times_by_key[key]:
             del self._due_times_by_key[key]
@@ -79,15 +79,15 @@
         self.counts.taken += 1
 
     def count_due(self, at_ms: float) -> int:
-        """Count the places whose time has come by a moment."""
+        """Return the number of reservations that fall due by ``at_ms``."""
         return bisect_right(self._due_ms, at_ms)
 
     def keys_due_by(self, at_ms: float) -> list[int]:
-        """List the keys that are expected by a moment."""
+        """Return the keys of the reservations that fall due by ``at_ms``."""
         return self._keys[: bisect_right(self._due_ms, at_ms)]
 
     def expire(self, now_ms: float) -> int:
-        """Drop places that nobody took in time; give how many."""
+        """Drop the reservations that weren't used in time; return their number."""
         count = bisect_right(self._due_ms, now_ms - RESERVATION_HOLD_MS)
         for key in self._keys[:count]:
             due_times_ms = self._due_times_by_key[key]
--- a/citrondyke/decisions/sharing/__init__.py
+++ b/citrondyke/decisions/sharing/__init__.py
@@ -1,3 +1,3 @@
-"""How batch work uses what online work leaves of a backend server."""
+"""Batch shares: how batch work uses the server capacity that online work leaves free."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/sharing/engine_share.py
+++ b/citrondyke/decisions/sharing/engine_share.py
@@ -1,4 +1,4 @@
-"""The share of batch work on a continuous-batching engine."""
+"""The batch share of a continuous-batching engine."""
 
 from __future__ import annotations
 
@@ -14,61 +14,63 @@
 
 __all__ = ('EngineShare', 'engine_share')
 
-#: Streams that are tried on an engine of which nothing is known.
+#: Limit of streams on an engine without step times.
 INITIAL_LIMIT = 8
-#: Steps that are watched at one limit before another is tried.
+#: Steps observed at one limit before another one is tried.
 STEPS_PER_LIMIT = 6
-#: Until the first bad limit the next one tried is so many times the last.
+#: Growth factor of the limit until the first excessive one is found.
 START_GROWTH = 1.5
-#: Pace below this part of the best one means that the knee is behind.
+#: Throughput below this share of the peak means that the engine is beyond its saturation point.
 MIN_THROUGHPUT_RATIO = 0.98
-#: A step counts as unharmed up to so many times the engine's fastest, whatever the target: where
-#: the target is out of reach anyway, keeping batch work off would win nobody anything.
+#: Steps of up to this multiple of the engine's fastest step are acceptable whatever the target: if
+#: the target can't be met even so, rejecting batch work wouldn't help online requests.
 ACCEPTABLE_SLOWDOWN = 1.03
-#: How long the best limit is kept before one stream more is tried again.
+#: Interval between attempts to raise the best limit by one stream.
 RAISE_INTERVAL_MS = 5000.0
-#: Part of the target up to which steps are filled; the rest is for prefill and noise.
+#: Share of the target that steps may use; the rest is for prefill and noise.
 TARGET_MARGIN = 0.9
-#: Where requests are turned away anyway, they are let in up to so many times the best number of
-#: streams: beyond it the engine makes no more tokens, only later ones.
+#: When online requests have to be rejected anyway, they are admitted up to this multiple of the
+#: best number of streams. Above it the engine makes no more tokens, only later ones.
 SATURATION_SLACK = 1.05
-#: Batch requests that may start in the time of one step. Each start is a prefill, which makes
-#: the step longer for everyone on the engine; those of a whole batch at once show as a stall.
+#: Batch requests that may start per step. Each start is a prefill, which lengthens the step for all
+#: streams on the engine; the prefills of a whole batch at once would appear as a stall.
 STARTS_PER_STEP = 0.5
 STARTS_BURST = 1.0
-#: Shorter waits for a start are not worth a timer.
+#: Minimum wait for a start; a timer for a shorter one isn't worthwhile.
 MIN_WAIT_MS = 0.5
 ROUNDING = 1e-6
-#: Filling stays below cutting by so many times the square root of the online requests, which is
-#: how far their number strays by chance. Without the gap every request that comes cuts a stream
-#: and every one that goes resumes it, each time with its prompt to compute again.
+#: Gap between the fill limit and the preemption limit, as a multiple of the square root of the
+#: online requests, which is the random variation of their number. Without the gap each request that
+#: arrives would preempt a stream and each one that ends would resume it, recomputing its prompt
+#: each time.
 DEADBAND = 1.0
-#: Step assumed before one was seen.
+#: Step time assumed before any was observed.
 INITIAL_STEP_MS = 10.0
-#: Gaps longer than this are stalls, not steps.
+#: Longer gaps between tokens are stalls, not steps.
 MAX_STEP_MS = 5000.0
 
 
 def engine_share(token_gap_target_ms: float, max_running: int, online_limit: int) -> EngineShare:
-    """Make the share of one engine.
+    """Create the batch share of one engine.
 
-    :param token_gap_target_ms: the tightest target of the online classes.
-    :param max_running: limit used until the engine reports its own.
+    :param token_gap_target_ms: the shortest target of the online classes.
+    :param max_running: limit of streams used until the engine reports its own.
     :param online_limit: limit of online requests used until one is learned.
     """
     return EngineShare(token_gap_target_ms, max_running, online_limit)
 
 
 class EngineShare(ServerShare):
-    """Fills the engine to the most tokens a second that the online targets allow.
+    """Fills the engine up to the highest throughput that the online targets allow.
 
-    The curve of step times is not configured: every batch stream measures it, as the gap
-    between two of its tokens is one step. The limit grows fast until a step is too slow or the
-    pace falls, closes in on the best number, and tries one stream more now and then.
+    Step times aren't configured but learned from batch streams: the gap between two tokens of a
+    stream is one step. The limit grows fast until a step is too slow or the throughput falls, then
+    converges on the best number of streams by bisection, and tries one stream more from time to
+    time.
     """
 
     def __init__(self, token_gap_target_ms: float, max_running: int, online_limit: int) -> None:
-        """Start careful."""
+        """Initialize the share with a low limit."""
         super().__init__()
         self.step_times = StepTimeModel()
         self._target_ms = token_gap_target_ms
@@ -84,53 +86,53 @@
         self._starts_at_ms = 0.0
 
     def free_capacity(self, now_ms: float) -> int:
-        """Count the batch requests that may start now."""
+        """Return the number of batch requests that may start now."""
         self._refill_start_tokens(now_ms)
         return min(super().free_capacity(now_ms), int(self._start_tokens + ROUNDING))
 
     def next_capacity_ms(self, now_ms: float) -> float:
-        """Give when the next start is due, where only the pace of starts holds it back."""
+        """Return when the next start is due if only the start rate delays it."""
         if super().free_capacity(now_ms) == 0:
             return float('inf')
         wait_ms = (1.0 - self._start_tokens) * self._ms_per_start()
         return now_ms + max(MIN_WAIT_MS, wait_ms)
 
     def on_batch_start(self, request_id: RequestId, now_ms: float) -> None:
-        """Count a batch request that goes to the server."""
+        """Count a batch request that is sent to the server."""
         super().on_batch_start(request_id, now_ms)
         self._start_tokens -= 1.0
 
     def set_target(self, token_gap_target_ms: float) -> None:
-        """Take a changed target."""
+        """Update the target of the time between two tokens."""
         self._target_ms = token_gap_target_ms
 
     def on_load(self, load: ServerLoad, now_ms: float) -> None:
-        """Take in the engine's report and its own limit of streams."""
+        """Apply the engine's load report and its own limit of streams."""
         super().on_load(load, now_ms)
         self._max_running = load.max_running
 
     def fill_limit(self, now_ms: float) -> int:
-        """Give how many streams in all batch work may fill the engine up to."""
+        """Return the total number of streams up to which batch work may be started."""
         return max(1, self.batch_preempt_limit(now_ms) - self._deadband())
 
     def batch_preempt_limit(self, now_ms: float) -> int:
-        """Give above how many streams in all batch work must yield."""
+        """Return the total number of streams above which batch work is preempted."""
         return min(self._limit, self._max_running - 1)
 
     def online_limit(self) -> int:
-        """Give how many online requests the engine bears within their targets."""
+        """Return the number of online requests that the engine serves within their targets."""
         estimates = self.step_times.estimates()
         too_slow = next((pair for pair in estimates if pair[1] > self._target_ms), None)
         if too_slow is None:
             return min(self._first_online_limit, self._max_running)
         within = self.step_times.max_streams(self._target_ms)
         if not within:
-            # Nothing faster was seen yet: come down in proportion, and look again there.
+            # No step was within the target yet: reduce the limit in proportion and observe again.
             within = int(too_slow[0] * self._target_ms / too_slow[1])
         return min(max(within, self.comfort_limit()), self._max_running)
 
     def comfort_limit(self) -> int:
-        """Give up to how many requests each one more makes the engine do more work."""
+        """Return the number of requests up to which the throughput still increases."""
         allowed_ms = self._allowed_ms()
         best_streams, best_throughput = self.step_times.peak_throughput(allowed_ms)
         excessive_streams = self.step_times.first_excessive(
@@ -141,7 +143,7 @@
         return min(max(int(best_streams * SATURATION_SLACK), INITIAL_LIMIT), self._max_running)
 
     def on_frame(self, request_id: RequestId, now_ms: float) -> None:
-        """Learn a step from the gap between two tokens of one stream."""
+        """Learn a step time from the gap between two tokens of the sampled stream."""
         if self._sampled_request != request_id:
             if self._sampled_request is None or self._sampled_request not in self._batch:
                 self._sampled_request = request_id
@@ -159,25 +161,25 @@
         self._adapt(streams, now_ms)
 
     def on_online_step(self, step_ms: float) -> None:
-        """Learn a step that an entry instance saw in an online answer.
+        """Learn a step time that an entry instance observed in an online response.
 
-        Without these nothing would be learned where online work alone fills the engine, which
-        is when its limit matters most.
+        Otherwise nothing would be learned while online work alone fills the engine, which is when
+        its limit matters most.
         """
         if 0 < step_ms < MAX_STEP_MS:
             self.step_times.observe(self.running_count, step_ms)
 
     def on_call_end(self, took_ms: float) -> None:
-        """Learn nothing: the steps have said it all."""
+        """Ignore the duration; step times are learned from tokens."""
 
     def on_batch_end(self, request_id: RequestId, now_ms: float) -> None:
-        """Count a stream that left, and watch another one."""
+        """Remove a stream that has ended, and sample another one."""
         super().on_batch_end(request_id, now_ms)
         if request_id == self._sampled_request:
             self._sampled_request = None
 
     def _deadband(self) -> int:
-        """Leave a gap between filling and cutting where online requests come and go."""
+        """Return the gap between the fill limit and the preemption limit."""
         return int(DEADBAND * math.sqrt(self.online_count) + 0.5)
 
     def _ms_per_start(self) -> float:
@@ -194,7 +196,7 @@
         )
 
     def _adapt(self, streams: int, now_ms: float) -> None:
-        """Move the limit once enough steps were seen at it."""
+        """Adapt the limit after enough steps were observed at it."""
         if streams < self.fill_limit(now_ms):
             return
         self._steps_at_limit += 1
@@ -218,8 +220,8 @@
         if excessive_streams - best_streams > 1:
             return (best_streams + excessive_streams) // 2
         if now_ms >= self._next_raise_ms:
-            # The smallest bad number has to be tried again now and then, to learn that the
-            # engine has become faster; a few steps at it are all that it costs.
+            # The smallest excessive number is tried again from time to time, to learn whether the
+            # engine has become faster. That costs only a few steps.
             self._next_raise_ms = now_ms + RAISE_INTERVAL_MS
             return excessive_streams
         return best_streams
--- a/citrondyke/decisions/sharing/server_share.py
+++ b/citrondyke/decisions/sharing/server_share.py
@@ -1,4 +1,4 @@
-"""What a steward decides for one of its backend servers."""
+"""Base class of the batch shares that a steward computes for its servers."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 __all__ = ('ServerShare',)
 
-#: An entry instance that says nothing for so long has nothing there any more.
+#: Notices expire after this time: an entry instance that sends none has no more requests there.
 NOTICE_EXPIRY_MS = 100_000.0
-#: Reports are compared with the most that was known to run within this time before.
+#: A load report is compared with the largest known number of requests within this time before.
 REPORT_WINDOW_MS = 1000.0
 EXTERNAL_LOAD_SMOOTHING = 0.2
 
 
 class ServerShare(ABC):
-    """Counts what runs on a server and bounds the batch work on it."""
+    """Counts the requests on a server and limits the batch work on it."""
 
     def __init__(self) -> None:
-        """Start with nothing running."""
+        """Initialize the share with no running requests."""
         self._online: dict[InstanceId, tuple[int, float]] = {}
         self._online_sum = 0
-        #: Batch requests by start, oldest first.
+        #: Batch requests in order of their start, oldest first.
         self._batch: OrderedDict[RequestId, None] = OrderedDict()
         self._external_count = 0.0
         self._peak_count = 0
@@ -35,23 +35,23 @@
 
     @property
     def batch_count(self) -> int:
-        """Count the batch requests on the server."""
+        """Number of batch requests on the server."""
         return len(self._batch)
 
     @property
     def online_count(self) -> int:
-        """Count the online requests on the server, by the latest notices."""
+        """Number of online requests on the server, by the latest notices."""
         return self._online_sum
 
     @property
     def running_count(self) -> int:
-        """Count everything on the server, with what others than us seem to run there."""
+        """Number of all requests on the server, with the estimated ones of other clients."""
         return self._online_sum + len(self._batch) + int(self._external_count)
 
     def on_notice(self, instance_id: InstanceId, online_count: int, now_ms: float) -> bool:
-        """Take in how many online requests an entry instance has on the server.
+        """Apply a notice of how many online requests an entry instance has on the server.
 
-        :returns: whether there are more than it said before.
+        :returns: whether there are more than in its previous notice.
         """
         before = self._online.get(instance_id, (0, 0.0))[0]
         self._online_sum += online_count - before
@@ -62,16 +62,16 @@
         return online_count > before
 
     def expire_notices(self, now_ms: float) -> None:
-        """Drop what an instance said that has gone silent."""
-        for instance_id, (_, heard_ms) in list(self._online.items()):
-            if now_ms - heard_ms > NOTICE_EXPIRY_MS:
+        """Drop the notices of instances that have sent none for a long time."""
+        for instance_id, (_, received_ms) in list(self._online.items()):
+            if now_ms - received_ms > NOTICE_EXPIRY_MS:
                 self._drop_notice(instance_id)
 
     def retain_notices_of(self, live: set[InstanceId]) -> None:
-        """Drop what instances said that are believed dead.
+        """Drop the notices of instances that are considered dead.
 
-        An instance that died with requests in flight never says that they ended; without this
-        they would keep batch work off the server for a long time.
+        An instance that crashes with requests in flight never reports their end. Its notices would
+        keep batch work off the server until they expire.
         """
         for instance_id in [each for each in self._online if each not in live]:
             self._drop_notice(instance_id)
@@ -81,19 +81,19 @@
         self._online_sum -= count
 
     def on_batch_start(self, request_id: RequestId, now_ms: float) -> None:
-        """Count a batch request that goes to the server."""
+        """Count a batch request that is sent to the server."""
         self._batch[request_id] = None
         self._record_peak(now_ms)
 
     def on_batch_end(self, request_id: RequestId, now_ms: float) -> None:
-        """Count a batch request that left the server."""
+        """Remove a batch request that has left the server."""
         self._record_peak(now_ms)
         self._batch.pop(request_id, None)
 
     def on_load(self, load: ServerLoad, now_ms: float) -> None:
-        """Compare the server's own lagging report with what is known here.
+        """Compare the server's own delayed load report with the known requests.
 
-        More than was known is another steward's work for a moment, or a caller from outside.
+        The surplus is temporarily work of another steward, or requests of other clients.
         """
         self._record_peak(now_ms)
         surplus = max(0, load.running + load.waiting - self._peak_count)
@@ -102,17 +102,17 @@
             self._peak_count = 0
 
     def free_capacity(self, now_ms: float) -> int:
-        """Count the batch requests that may start now."""
+        """Return the number of batch requests that may start now."""
         return max(0, self.fill_limit(now_ms) - self.running_count)
 
     def next_capacity_ms(self, now_ms: float) -> float:
-        """Give when to look for room again, where time alone makes it; else infinity."""
+        """Return when capacity becomes free by time alone; infinity if it doesn't."""
         return float('inf')
 
     def runs_to_preempt(self, now_ms: float) -> list[RequestId]:
-        """Name the batch requests that stand in the way of online ones, youngest first.
+        """Return the batch requests to preempt in favor of online ones, youngest first.
 
-        The youngest have the least to do again when they resume.
+        The youngest have the least work to repeat when they resume.
         """
         excess = self.running_count - self.batch_preempt_limit(now_ms)
         if excess <= 0:
@@ -121,18 +121,18 @@
 
     @abstractmethod
     def fill_limit(self, now_ms: float) -> int:
-        """Give how many requests in all batch work may fill the server up to."""
+        """Return the total number of requests up to which batch work may be started."""
 
     @abstractmethod
     def batch_preempt_limit(self, now_ms: float) -> int:
-        """Give above how many requests in all batch work must yield."""
+        """Return the total number of requests above which batch work is preempted."""
 
     @abstractmethod
     def online_limit(self) -> int:
-        """Give how many online requests the server bears within their targets."""
+        """Return the number of online requests that the server serves within their targets."""
 
     def comfort_limit(self) -> int:
-        """Give up to how many requests each one more makes the server do more work."""
+        """Return the number of requests up to which the throughput still increases."""
         return self.online_limit()
 
     @abstractmethod
@@ -140,14 +140,14 @@
         """Learn from a token of a batch request."""
 
     def on_online_step(self, step_ms: float) -> None:  # noqa: B027  (nothing to learn by default)
-        """Learn a step that an entry instance saw in an online answer."""
+        """Learn a step time that an entry instance observed in an online response."""
 
     @abstractmethod
     def on_call_end(self, took_ms: float) -> None:
-        """Learn from a whole batch request."""
+        """Learn from the duration of a batch request."""
 
     def _record_peak(self, now_ms: float) -> None:
-        known = self._online_sum + len(self._batch)
-        if known >= self._peak_count:
-            self._peak_count = known
+        known_count = self._online_sum + len(self._batch)
+        if known_count >= self._peak_count:
+            self._peak_count = known_count
             self._peak_at_ms = now_ms
--- a/citrondyke/decisions/sharing/service_share.py
+++ b/citrondyke/decisions/sharing/service_share.py
@@ -1,4 +1,4 @@
-"""The share of batch work on a plain service."""
+"""The batch share of a plain service."""
 
 from __future__ import annotations
 
@@ -13,44 +13,47 @@
 
 INITIAL_LIMIT = 4.0
 MAX_LIMIT = 64.0
-#: A call that takes so many times the fastest seen means that calls wait for each other.
+#: A call that takes this multiple of the fastest time indicates that calls wait for each other.
 SLOW_RATIO = 2.0
-#: The fastest time is let rise by this factor a call, so that an old one is forgotten.
+#: The fastest time grows by this factor per call, so that an outdated one is forgotten.
 MIN_TIME_DRIFT = 1.001
 SLOW_SLACK_MS = 2.0
 
 
 def service_share() -> ServiceShare:
-    """Make the share of one plain service's server."""
+    """Create the batch share of one server of a plain service."""
     return ServiceShare()
 
 
 class ServiceShare(ServerShare):
-    """Adds a call while calls are fast and halves at once when they get slow."""
+    """Additive-increase, multiplicative-decrease limit of concurrent calls.
+
+    The limit grows by one per round of fast calls and is halved on a slow call.
+    """
 
     def __init__(self) -> None:
-        """Start careful."""
+        """Initialize the share with a low limit."""
         super().__init__()
         self._limit = INITIAL_LIMIT
         self._fastest_ms = float('inf')
 
     def fill_limit(self, now_ms: float) -> int:
-        """Give how many calls in all batch work may fill the service up to."""
+        """Return the total number of calls up to which batch work may be started."""
         return int(self._limit)
 
     def batch_preempt_limit(self, now_ms: float) -> int:
-        """Cut nothing: a call of a plain service cannot be resumed."""
+        """Return a limit that preempts nothing: a call of a plain service can't be resumed."""
         return self.running_count
 
     def online_limit(self) -> int:
-        """Give how many online calls the service bears."""
+        """Return the number of online calls that the service serves."""
         return int(MAX_LIMIT)
 
     def on_frame(self, request_id: RequestId, now_ms: float) -> None:
-        """Learn nothing: a plain service has no tokens."""
+        """Ignore the call; a plain service has no tokens."""
 
     def on_call_end(self, took_ms: float) -> None:
-        """Learn from how long a call took."""
+        """Adapt the limit to the duration of a call."""
         self._fastest_ms = min(self._fastest_ms * MIN_TIME_DRIFT, took_ms)
         if took_ms > self._fastest_ms * SLOW_RATIO + SLOW_SLACK_MS:
             self._limit = max(1.0, self._limit / 2)
--- a/citrondyke/decisions/sharing/step_time_model.py
+++ b/citrondyke/decisions/sharing/step_time_model.py
@@ -1,4 +1,4 @@
-"""An engine's step time by running streams, learned from the gaps between tokens."""
+"""Step times of an engine by number of running streams, learned from token gaps."""
 
 from __future__ import annotations
 
@@ -6,28 +6,27 @@
 
 __all__ = ('StepTimeModel',)
 
-#: Samples kept for each number of streams.
+#: Samples stored for each number of streams.
 SAMPLES_LIMIT = 40
-#: Samples from which their estimate is trusted.
+#: Minimum number of samples for an estimate.
 MIN_SAMPLES = 6
-#: The estimate has this part of the samples below it. Steps that also prefill are longer, and
-#: are no sign of too many streams; a low quantile leaves them out as long as some steps prefill
-#: nothing.
+#: The estimate is this quantile of the samples. Steps with a prefill are longer without indicating
+#: too many streams; a low quantile excludes them as long as some steps have no prefill.
 QUANTILE = 0.1
-#: Numbers of streams not seen among so many samples are forgotten.
+#: Estimates of stream counts that don't occur in this number of samples are dropped.
 FORGET_AFTER = 20_000
 
 
 class StepTimeModel:
-    """Estimates of the step without prefill, by number of running streams.
+    """Estimates the time of a step without prefill by number of running streams.
 
-    A step never gets shorter by more streams, so whatever is seen at a larger number bounds the
-    smaller ones. On a busy engine nearly every step prefills something, and single numbers look
-    slow by chance; their larger neighbours set that right.
+    More streams never shorten a step, so the estimate at a larger number is an upper bound for
+    smaller ones. On a busy engine nearly every step includes a prefill, and the estimate of a
+    single number may be too high by chance; the bounds from larger numbers correct it.
     """
 
     def __init__(self) -> None:
-        """Start knowing nothing."""
+        """Initialize the model without samples."""
         self._samples: dict[int, deque[float]] = {}
         self._last_seen: dict[int, int] = {}
         self._count = 0
@@ -35,7 +34,7 @@
         self._monotonic: list[tuple[int, float]] | None = []
 
     def observe(self, streams: int, step_ms: float) -> None:
-        """Take in one step."""
+        """Add the time of one step."""
         samples = self._samples.get(streams)
         if samples is None:
             samples = self._samples[streams] = deque(maxlen=SAMPLES_LIMIT)
@@ -51,7 +50,7 @@
             self._drop_unseen()
 
     def estimates(self) -> list[tuple[int, float]]:
-        """List what is known, by rising number of streams; the steps never fall."""
+        """Return pairs of streams and step time, both in ascending order."""
         if self._monotonic is None:
             monotonic: list[tuple[int, float]] = []
             shortest = float('inf')
@@ -63,14 +62,16 @@
         return self._monotonic
 
     def fastest_ms(self) -> float:
-        """Give the fastest step known, 0 for none."""
+        """Return the fastest estimated step; 0 if there is none."""
         estimates = self.estimates()
         return estimates[0][1] if estimates else 0.0
 
     def peak_throughput(self, allowed_ms: float) -> tuple[int, float]:
-        """Give the number of streams with the most tokens a millisecond, and that pace.
+        """Return the number of streams with the highest throughput, and that throughput.
 
-        :param allowed_ms: longest step that counts.
+        The throughput is in tokens per millisecond.
+
+        :param allowed_ms: longest step that is considered.
         """
         best_streams, best_throughput = 0, 0.0
         for streams, step_ms in self.estimates():
@@ -82,7 +83,7 @@
         return best_streams, best_throughput
 
     def max_streams(self, allowed_ms: float) -> int:
-        """Give the largest number of streams whose step is within ``allowed_ms``."""
+        """Return the largest number of streams whose step is within ``allowed_ms``."""
         max_streams = 0
         for streams, step_ms in self.estimates():
             if step_ms > allowed_ms:
@@ -91,10 +92,10 @@
         return max_streams
 
     def first_excessive(self, above: int, allowed_ms: float, min_throughput: float) -> int | None:
-        """Give the smallest number of streams that is too many, ``None`` for none known.
+        """Return the smallest number of streams that is excessive; ``None`` if none is known.
 
-        :param above: only larger numbers are looked at.
-        :param min_throughput: tokens a millisecond that must be reached.
+        :param above: only larger numbers are considered.
+        :param min_throughput: required throughput in tokens per millisecond.
         """
         for streams, step_ms in self.estimates():
             if streams > above and (step_ms > allowed_ms or streams / step_ms < min_throughput):
