--- a/citrondyke/decisions/accounts/advance_grant_records.py
+++ b/citrondyke/decisions/accounts/advance_grant_records.py
@@ -29,9 +29,9 @@
 
     slot: int
     #: Epoch of the lease that made the call. Replies to calls of other leases are ignored.
-    era: int
+    lease_epoch: int
     #: New contents of the row; ``None`` for a read that is no older than the call.
-    wanted: frozenset[TenantId] | None = None
+    new_accounts: frozenset[TenantId] | None = None
     version: int = 0
 
 
@@ -42,13 +42,13 @@
     account gets advance grants only after a write of the row that lists it has been acknowledged.
     """
 
-    def __init__(self, slot: int, era: int) -> None:
+    def __init__(self, slot: int, lease_epoch: int) -> None:
         """Initialize the records with an unknown row.
 
-        :param era: epoch of the lease.
+        :param lease_epoch: epoch of the lease.
         """
         self._slot = slot
-        self._lease_epoch = era
+        self._lease_epoch = lease_epoch
         self._row: AdvanceGrantRow | None = None
         #: Accounts whose record is requested, with the time until which each is kept.
         self._requested_until_ms: dict[TenantId, float] = {}
@@ -84,15 +84,15 @@
         for account in expired:
             # From here on the account can't get advance grants, whatever the outcome of the write.
             del self._requested_until_ms[account]
-        wanted = frozenset(self._requested_until_ms)
-        if wanted == self._row.accounts and (self._row.is_written or not wanted):
+        new_accounts = frozenset(self._requested_until_ms)
+        if new_accounts == self._row.accounts and (self._row.is_written or not new_accounts):
             return None
         self._is_calling = True
-        return AdvanceGrantStoreCall(self._slot, self._lease_epoch, wanted, self._row.version)
+        return AdvanceGrantStoreCall(self._slot, self._lease_epoch, new_accounts, self._row.version)
 
     def is_call_of(self, call: AdvanceGrantStoreCall) -> bool:
         """Return whether a call was made under this lease."""
-        return call.era == self._lease_epoch
+        return call.lease_epoch == self._lease_epoch
 
     def apply_row(self, row: AdvanceGrantRow | None, now_ms: float) -> None:
         """Apply the row that the store returned; ``None`` if the call failed."""
--- a/citrondyke/decisions/accounts/quota_floors.py
+++ b/citrondyke/decisions/accounts/quota_floors.py
@@ -38,13 +38,15 @@
     one as soon as it is published. So no replica ever passes on a floor above the remaining quota.
     """
 
-    def __init__(self, era: int, replica_set_id: int, filled_ms: float, since_ms: float) -> None:
+    def __init__(
+        self, lease_epoch: int, replica_set_id: int, filled_ms: float, since_ms: float
+    ) -> None:
         """Initialize the floors at the start of a lease.
 
-        :param era: epoch of the lease.
+        :param lease_epoch: epoch of the lease.
         :param filled_ms: time for which accounts are known to have refilled at the start.
         """
-        self._lease_epoch = era
+        self._lease_epoch = lease_epoch
         self._replica_set_id = replica_set_id
         self._filled_ms = filled_ms
         self._since_ms = since_ms
@@ -123,9 +125,9 @@
             dict(self._published),
         )
 
-    def record_acknowledged(self, replica: InstanceId, era: int, number: int) -> None:
+    def record_acknowledged(self, replica: InstanceId, lease_epoch: int, number: int) -> None:
         """Record that a replica has stored the changes up to ``number``."""
-        if era != self._lease_epoch:
+        if lease_epoch != self._lease_epoch:
             return
         self._acknowledged[replica] = max(self._acknowledged.get(replica, -1), number)
         for account, changed_at in self._changed_at.items():
--- a/citrondyke/decisions/accounts/slot_lease.py
+++ b/citrondyke/decisions/accounts/slot_lease.py
@@ -41,7 +41,7 @@
 class _LeaseRequest(msgspec.Struct):
     asked_ms: float
     #: Time since which each replica that granted the request has voted for no other instance.
-    granted: dict[InstanceId, float] = {}
+    granted_since_ms: dict[InstanceId, float] = {}
     #: Copy of the last lease at each of these replicas.
     copies: dict[InstanceId, SlotCopy | None] = {}
     is_rejected: bool = False
@@ -187,11 +187,11 @@
         if request is None or sender not in replicas:
             return
         if reply.is_granted:
-            request.granted[sender] = self._now_ms() - reply.free_ms
+            request.granted_since_ms[sender] = self._now_ms() - reply.free_ms
             request.copies[sender] = reply.copy
         else:
             request.is_rejected = True
-        has_majority = len(request.granted) + 1 > len(replicas) / 2
+        has_majority = len(request.granted_since_ms) + 1 > len(replicas) / 2
         if has_majority and (self.is_held or self._may_acquire(request, replicas)):
             self._acquire_or_renew(request, replicas)
 
@@ -289,13 +289,13 @@
             max(
                 self._no_other_vote_since_ms,
                 self._held_until_ms,
-                *request.granted.values(),
+                *request.granted_since_ms.values(),
                 0.0,
             ),
         )
 
     def _missing_votes(self, request: _LeaseRequest, replicas: list[InstanceId]) -> set[InstanceId]:
-        return set(replicas) - request.granted.keys() - {self._context.instance_id}
+        return set(replicas) - request.granted_since_ms.keys() - {self._context.instance_id}
 
     def _now_ms(self) -> float:
         return self._context.clock.fence_ms()
--- a/citrondyke/decisions/accounts/slot_steward.py
+++ b/citrondyke/decisions/accounts/slot_steward.py
@@ -99,7 +99,7 @@
         self._are_prior_grants_known = False
         self._prior_grant_accounts: frozenset[TenantId] = frozenset()
         self._quotas: dict[TenantId, AccountQuota] = {}
-        era = context.random.getrandbits(32)
+        lease_epoch = context.random.getrandbits(32)
         filled_ms = -ADVANCE_GRANT_MS
         if self._previous_copy is not None:
             # The copy is valid as of now, while the lease may have started earlier. From here on
@@ -107,8 +107,8 @@
             self.since_ms, filled_ms = self._now_ms(), min(0.0, self._previous_copy.filled_ms)
         self.held_since_ms = lease.held_since_ms
         self._began_ms = self._now_ms()
-        self._floors = QuotaFloors(era, lease.replica_set_id(), filled_ms, self.since_ms)
-        self._advance_grants = AdvanceGrantRecords(slot, era)
+        self._floors = QuotaFloors(lease_epoch, lease.replica_set_id(), filled_ms, self.since_ms)
+        self._advance_grants = AdvanceGrantRecords(slot, lease_epoch)
         self._published_number = -1
         if self._previous_copy is not None:
             for account_id, floor in self._previous_copy.floors.items():
@@ -206,9 +206,9 @@
             if not self._floors.is_acknowledged_by(replica)
         ]
 
-    def record_acknowledged(self, replica: InstanceId, era: int, number: int) -> None:
+    def record_acknowledged(self, replica: InstanceId, lease_epoch: int, number: int) -> None:
         """Record that a replica has stored the floors up to ``number``."""
-        self._floors.record_acknowledged(replica, era, number)
+        self._floors.record_acknowledged(replica, lease_epoch, number)
 
     def next_store_call(self) -> AdvanceGrantStoreCall | None:
         """Return the next call for the advance grant records, if any."""
--- a/citrondyke/decisions/reservations/__init__.py
+++ b/citrondyke/decisions/reservations/__init__.py
@@ -1,1 +1,1 @@
-"""Reservations: due times at which returning callers are served."""
+"""Places in the future: who may come back when, and that it is served then."""
--- a/citrondyke/gateway/accounts/__init__.py
+++ b/citrondyke/gateway/accounts/__init__.py
@@ -1,1 +1,1 @@
-"""Client accounts: whether one may have another request."""
+"""Rate limits of client accounts: communication with peers and the store."""
--- a/citrondyke/gateway/accounts/advance_grant_store.py
+++ b/citrondyke/gateway/accounts/advance_grant_store.py
@@ -1,4 +1,4 @@
-"""Marks of accounts in the store, so that they outlive every instance."""
+"""Advance grant records in the store, where they survive a crash of all instances."""
 
 from __future__ import annotations
 
@@ -32,29 +32,31 @@
 
 
 class AdvanceGrantStore:
-    """Reads and writes a slot's row; what it reads is never older than the call."""
+    """Reads and writes the row of a slot; a read is never older than the call."""
 
     def __init__(self, table: PartitionedTable) -> None:
-        """Use the store."""
+        """Initialize the adapter with the store's table."""
         self._table = table
 
     def run(self, call: AdvanceGrantStoreCall) -> AdvanceGrantRow | None:
-        """Carry a call out and give the row as it then stands; ``None`` if that is not known."""
+        """Run a call and return the resulting row; ``None`` if the row is unknown."""
         key = str(call.slot)
-        version = IMPOSSIBLE_VERSION if call.wanted is None else call.version
+        version = IMPOSSIBLE_VERSION if call.new_accounts is None else call.version
         condition = RowCondition(ADVANCE_GRANTS_TABLE, key, version)
         puts: tuple[RowPut, ...] = ()
-        if call.wanted is not None:
-            value = msgspec.json.encode(sorted(call.wanted))
+        if call.new_accounts is not None:
+            value = msgspec.json.encode(sorted(call.new_accounts))
             puts = (RowPut(ADVANCE_GRANTS_TABLE, key, value),)
         answer = self._table.transact(PartTransaction('', (condition,), puts))
         if isinstance(answer, PlatformFailure):
             log.info('limit.marks_unknown', extra={'slot': key, 'reason': answer.reason.value})
             return None
         if isinstance(answer, PartCommitted):
-            marked = sorted(call.wanted or ())
-            log.info('limit.marks', extra={'slot': key, 'accounts': marked[:10]})
-            return AdvanceGrantRow(call.wanted or frozenset(), answer.version, is_written=True)
+            recorded = sorted(call.new_accounts or ())
+            log.info('limit.marks', extra={'slot': key, 'accounts': recorded[:10]})
+            return AdvanceGrantRow(
+                call.new_accounts or frozenset(), answer.version, is_written=True
+            )
         return self._row(key, answer)
 
     @staticmethod
--- a/citrondyke/gateway/accounts/limit_exchange.py
+++ b/citrondyke/gateway/accounts/limit_exchange.py
@@ -1,4 +1,4 @@
-"""Asks the stewards of accounts, and answers as one."""
+"""Exchange of rate limit messages with the stewards of accounts."""
 
 from __future__ import annotations
 
@@ -46,27 +46,29 @@
 
 log = logbook.Logger(__name__)
 
-#: A keeper that has not answered within this is taken for silent: some tens of ways there and back
-#: between availability zones, a tenth of the time in which an answer is expected.
+#: A replica that hasn't answered within this time counts as unresponsive. That is some tens of
+#: round trips between availability zones, and a tenth of the time in which a caller expects an
+#: answer.
 ANSWER_MS = 40.0
-#: Datagrams get lost; who was silent is asked once more before a caller is told "unknown".
+#: Datagrams may be lost, so unresponsive replicas are queried once more before the verdict is
+#: "unknown".
 QUERY_ROUNDS = 2
 DATAGRAM_LIMIT_BYTES = 65_535
-#: Pause between two looks whether some account has a limit by now.
+#: Interval between checks whether an account has a limit.
 IDLE_POLL_MS = 1_000.0
-#: Between two questions for leases in the first seconds of a life, in which requests are refused
-#: until there is a steward.
+#: Interval between lease requests of a newly started incarnation. Requests are rejected until there
+#: is a steward.
 STARTUP_RENEW_MS = 50.0
-#: Requests of one instance that wait for their place: each holds its body and a connection.
+#: Requests of one instance that wait for their start: each holds its body and a connection.
 WAITING_REQUESTS_LIMIT = 100
 RESERVATIONS_LOG_MS = 1_000.0
-#: From the port for other messages between instances. Those may lie unread for a while in a large
-#: fleet; a caller waits for these.
+#: Offset from the port for other messages between instances. In a large fleet those may stay unread
+#: for a while, but a caller is waiting for the messages on this port.
 PORT_AFTER_PEERS = 1
 
 
 class LimitExchange:
-    """Carries questions for uses, and leases, over datagrams of their own."""
+    """Exchanges use queries, leases and floors with peers over a separate UDP port."""
 
     def __init__(
         self,
@@ -79,7 +81,7 @@
         tasks: Tasks,
         table: PartitionedTable,
     ) -> None:
-        """Use the parts handed in; nothing is sent before ``start``."""
+        """Initialize the exchange; nothing is sent before :meth:`start`."""
         self._context = context
         self._limits = limits
         self._config = config
@@ -101,22 +103,22 @@
         return lambda: float(getattr(self._limits.reservation_counts(), name))
 
     def start(self, ip: str) -> None:
-        """Listen and begin to ask for leases."""
+        """Bind the socket, and start to receive messages and request leases."""
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind((ip, self._limit_port))
         self._tasks.keep(self._run_receive)
         self._tasks.keep(self._run_leases)
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Close the socket."""
         if self._socket is not None:
             self._socket.close()
 
     def use(self, account: Account, need: UseNeed) -> LimitVerdict:
-        """Find out whether an account may have one more request, and wait until it may begin.
+        """Return whether an account may send one more request; wait until it may begin.
 
-        A grant that is not used at once is asked for anew: by then it is counted in a window that
-        may be over.
+        A grant that wasn't used in time is requested again, because the window in which it was
+        counted may have ended.
         """
         if not account.has_limit:
             return self._limits.next_step(account, need, set())  # type: ignore[return-value]
@@ -176,7 +178,7 @@
             self._send_all(self._limits.apply_advance_grant_row(call, row))
 
     def held_slots(self) -> tuple[int, ...]:
-        """List the slots whose accounts this instance counts."""
+        """Return the slots whose lease this instance holds."""
         return self._limits.held_slots()
 
     def _record_verdict(self, account: Account, verdict: LimitVerdict) -> LimitVerdict:
@@ -236,7 +238,7 @@
             self._log_reservations()
 
     def _log_reservations(self) -> None:
-        """Tell what became of places, at most every second."""
+        """Log changed reservation counts, at most once per second."""
         now_ms = self._context.now_ms()
         if now_ms < self._reservations_logged_ms + RESERVATIONS_LOG_MS:
             return
@@ -248,7 +250,7 @@
             log.info('limit.places', extra=extra)
 
     def _pause_ms(self) -> float:
-        """Give the pause until leases are asked for again; it is short while there may be none."""
+        """Return the interval between lease requests, which is short after a start."""
         return STARTUP_RENEW_MS if self._limits.is_newly_started else RENEW_MS
 
     def _send_all(self, addressed: list[Addressed]) -> None:
--- a/tests/support/limit_world.py
+++ b/tests/support/limit_world.py
@@ -294,9 +294,9 @@
 
     def _run_at_store(self, node: Node, call: AdvanceGrantStoreCall, back_ms: float) -> None:
         row = self.rows.get(call.slot, AdvanceGrantRow(frozenset(), 0))
-        if call.wanted is not None and call.version == row.version:
-            self.rows[call.slot] = AdvanceGrantRow(call.wanted, row.version + 1)
-            row = AdvanceGrantRow(call.wanted, row.version + 1, is_written=True)
+        if call.new_accounts is not None and call.version == row.version:
+            self.rows[call.slot] = AdvanceGrantRow(call.new_accounts, row.version + 1)
+            row = AdvanceGrantRow(call.new_accounts, row.version + 1, is_written=True)
         is_lost = self.random.random() < self.lost_share
         self.at(back_ms, partial(self._apply_row, node, call, None if is_lost else row))
 
