--- a/citrondyke/gateway/callers/admission_controller.py
+++ b/citrondyke/gateway/callers/admission_controller.py
@@ -8,7 +8,7 @@
 
 from citrondyke.decisions.accounts.fleet_rate_limiter import VerdictKind
 from citrondyke.decisions.accounts.limit_messages import UseNeed
-from citrondyke.decisions.crashes.suspect_registry import SuspectVerdict
+from citrondyke.decisions.crashes.suspect_registry import SuspectStatus
 from citrondyke.decisions.forwarding.admission_rule import Rejected
 from citrondyke.decisions.forwarding.send_history import Verdict
 from citrondyke.decisions.forwarding.server_state import ServerState
@@ -72,7 +72,7 @@
         self._rule.record_service_time(forwarded.route, stay_ms)
 
     def admit(
-        self, caller: CallerConnection, forwarded: ForwardedRequest, suspect_verdict: SuspectVerdict
+        self, caller: CallerConnection, forwarded: ForwardedRequest, suspect_verdict: SuspectStatus
     ) -> ChosenServer | RequestResult | None:
         """Choose a server with capacity in time and count the request against its account.
 
@@ -170,10 +170,10 @@
         return bool(self._config.current.account_of(digest, is_public=is_public))
 
     def _choose(
-        self, forwarded: ForwardedRequest, suspect_verdict: SuspectVerdict
+        self, forwarded: ForwardedRequest, suspect_verdict: SuspectStatus
     ) -> ServerState | None:
         service = forwarded.route.pick_service(self._context.random)
-        if suspect_verdict is not SuspectVerdict.FREE:
+        if suspect_verdict is not SuspectStatus.FREE:
             digest = forwarded.content.digest
             return self._book.choose_excluding(service, forwarded.course.avoid, digest)
         return self._book.choose(
--- a/citrondyke/gateway/callers/forwarded_request.py
+++ b/citrondyke/gateway/callers/forwarded_request.py
@@ -7,7 +7,10 @@
 import msgspec
 
 from citrondyke.decisions.accounts.account import Account
-from citrondyke.decisions.crashes.content import LazyRequestContent, RequestContent
+from citrondyke.decisions.crashes.request_fingerprint import (
+    LazyRequestFingerprint,
+    RequestFingerprint,
+)
 from citrondyke.decisions.forwarding.route import Route
 from citrondyke.decisions.forwarding.send_history import SendHistory
 from citrondyke.gateway.callers.caller_request import CallerRequest
@@ -39,7 +42,7 @@
     #: Too many servers have crashed while running the same content.
     STOPPED = 'stopped'
     #: A probe is running to find out whether the content crashes servers.
-    ON_TRIAL = 'on_trial'
+    PROBE_RUNNING = 'on_trial'
 
 
 class ForwardedRequest(msgspec.Struct):
@@ -47,7 +50,7 @@
 
     request: CallerRequest
     #: Content of the request; it is the same for all attempts of a caller.
-    work: LazyRequestContent
+    work: LazyRequestFingerprint
     facts: RequestMetadata
     account: Account
     route: Route
@@ -67,6 +70,6 @@
     server_first_ms: float | None = None
 
     @property
-    def content(self) -> RequestContent:
+    def content(self) -> RequestFingerprint:
         """Content of the request; computing it hashes the body."""
-        return self.work.content
+        return self.work.fingerprint
--- a/citrondyke/gateway/callers/forwarder.py
+++ b/citrondyke/gateway/callers/forwarder.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from citrondyke.decisions.crashes.content import LazyRequestContent
-from citrondyke.decisions.crashes.suspect_registry import SuspectVerdict
+from citrondyke.decisions.crashes.request_fingerprint import LazyRequestFingerprint
+from citrondyke.decisions.crashes.suspect_registry import SuspectStatus
 from citrondyke.decisions.forwarding.failover_timeouts import EVENT_MS, FailoverTimeouts
 from citrondyke.decisions.forwarding.route import RouteKind
 from citrondyke.decisions.forwarding.send_history import SendHistory, SendOutcome
@@ -83,7 +83,7 @@
         within_ms = min(route.timeout_ms, metadata.within_ms or route.timeout_ms)
         forwarded = ForwardedRequest(
             request=request,
-            work=LazyRequestContent(request.method, request.host, request.target, request.body),
+            work=LazyRequestFingerprint(request.method, request.host, request.target, request.body),
             facts=metadata,
             account=account,
             route=route,
@@ -109,7 +109,7 @@
             if history.sends_count and not self._admission.is_key_valid(forwarded):
                 return self._answers.reject_revoked_key(caller, forwarded)
             verdict = self._guard.verdict(forwarded.work)
-            if verdict in (SuspectVerdict.STOPPED, SuspectVerdict.ON_TRIAL):
+            if verdict in (SuspectStatus.STOPPED, SuspectStatus.PROBE_RUNNING):
                 if failure is not None:
                     break
                 return self._stop(caller, forwarded, verdict)
@@ -118,7 +118,7 @@
                 return admitted
             if admitted is None:
                 break
-            if verdict is SuspectVerdict.TRIAL_DUE and not self._claim_probe(forwarded):
+            if verdict is SuspectStatus.PROBE_DUE and not self._claim_probe(forwarded):
                 return self._stop(caller, forwarded, self._guard.verdict(forwarded.work))
             state = admitted.state
             self._log.sent(forwarded, state, admitted.expected_wait_ms)
@@ -127,7 +127,7 @@
                 return result
             if isinstance(result, DeferredFailure):
                 failure = result
-            if verdict is SuspectVerdict.TRIAL_DUE and not history.may_have_run_at(state.life):
+            if verdict is SuspectStatus.PROBE_DUE and not history.may_have_run_at(state.life):
                 self._guard.record_probe_refused(forwarded.content)
         return self._answers.answer_failed(
             caller, forwarded, failure, is_out_of_time=self._is_out_of_time(forwarded)
@@ -137,12 +137,12 @@
         return self._guard.claim_probe(forwarded.content, forwarded.facts.request_id)
 
     def _stop(
-        self, caller: CallerConnection, forwarded: ForwardedRequest, verdict: SuspectVerdict
+        self, caller: CallerConnection, forwarded: ForwardedRequest, verdict: SuspectStatus
     ) -> RequestResult:
         self._log.stopped(forwarded, verdict, self._guard.exits_count(forwarded.content))
         # A probe that could not be claimed because the store did not answer leaves the verdict open
         # too.
-        is_open = verdict is not SuspectVerdict.STOPPED
+        is_open = verdict is not SuspectStatus.STOPPED
         return self._answers.stop(caller, forwarded, is_on_trial=is_open)
 
     def _send(
--- a/citrondyke/gateway/callers/request_log.py
+++ b/citrondyke/gateway/callers/request_log.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.fleet_rate_limiter import LimitVerdict
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.crashes.suspect_registry import SuspectVerdict
+    from citrondyke.decisions.crashes.suspect_registry import SuspectStatus
     from citrondyke.decisions.forwarding.admission_rule import Rejected
     from citrondyke.decisions.forwarding.server_state import ServerState
     from citrondyke.gateway.callers.forwarded_request import ForwardedRequest
@@ -139,7 +139,7 @@
         )
 
     def stopped(
-        self, forwarded: ForwardedRequest, standing: SuspectVerdict, exits_count: float
+        self, forwarded: ForwardedRequest, standing: SuspectStatus, exits_count: float
     ) -> None:
         """Log that a request is stopped because its content has crashed servers."""
         log.info(
--- a/citrondyke/gateway/servers/suspect_store.py
+++ b/citrondyke/gateway/servers/suspect_store.py
@@ -9,9 +9,9 @@
 import msgspec
 from gevent.event import Event
 
-from citrondyke.decisions.crashes.content import RequestContent
+from citrondyke.decisions.crashes.request_fingerprint import RequestFingerprint
 from citrondyke.decisions.crashes.suspect import SuspectRow
-from citrondyke.decisions.crashes.suspect_registry import STORED_SCORE, SuspectVerdict
+from citrondyke.decisions.crashes.suspect_registry import STORED_SCORE, SuspectStatus
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.gateway.replication.change_feed import ChangeFeed
 from citrondyke.gateway.replication.unreadable_rows import UnreadableRows
@@ -82,7 +82,7 @@
         self._store = store
         self._suspects = suspects
         self._versions: dict[str, int] = {}
-        self._pending: dict[str, RequestContent] = {}
+        self._pending: dict[str, RequestFingerprint] = {}
         #: Calls without a response of the store.
         self.failed_count = 0
         self._has_pending = Event()
@@ -97,13 +97,13 @@
         tasks.keep(self._run_writes)
         tasks.keep(self._run_cleanup)
 
-    def save(self, content: RequestContent) -> None:
+    def save(self, content: RequestFingerprint) -> None:
         """Schedule a write of a row if its score requires one, else a read of it."""
         if len(self._pending) < PENDING_LIMIT:
             self._pending[content.digest] = content
             self._has_pending.set()
 
-    def claim_probe(self, content: RequestContent, *, is_item: bool) -> bool:
+    def claim_probe(self, content: RequestFingerprint, *, is_item: bool) -> bool:
         """Claim the one probe that is due; return whether this instance got it.
 
         If the store does not respond, the claim fails: two concurrent probes would crash two
@@ -112,18 +112,18 @@
         for _ in range(ATTEMPTS_LIMIT):
             if self._store.unanswered_ms > UNRESPONSIVE_MS:
                 return False
-            if self._suspects.standing(content, is_item=is_item) is not SuspectVerdict.TRIAL_DUE:
+            if self._suspects.status_of(content, is_item=is_item) is not SuspectStatus.PROBE_DUE:
                 return False
             row = self._suspects.probe_row(content)
             written = self._write_once(row)
             if written is None:
                 return False
             if written:
-                self._suspects.join(row)
+                self._suspects.merge(row)
                 return True
         return False
 
-    def read_row(self, content: RequestContent) -> None:
+    def read_row(self, content: RequestFingerprint) -> None:
         """Read a row that other instances may have written.
 
         An instance that was partitioned has missed their datagrams and waits on a dead feed.
@@ -178,7 +178,7 @@
                 continue
             if known.digest != row.key:
                 continue
-            is_news = self._suspects.join(known)
+            is_news = self._suspects.merge(known)
             self._save_missing(known)
             if is_news:
                 log.info(
@@ -199,7 +199,7 @@
         become known to its peers. And a row that the instance had not seen when the request
         succeeded would stop that request again after the next start.
         """
-        content = RequestContent(ContentDigest(known.digest), known.target)
+        content = RequestFingerprint(ContentDigest(known.digest), known.target)
         own = self._suspects.row(content)
         if own is None:
             return
@@ -229,10 +229,10 @@
                 gevent.sleep(self._context.jittered_ms(RETRY_MS) / 1e3)
             gevent.sleep(WRITE_GAP_S)
 
-    def _should_store(self, content: RequestContent) -> bool:
+    def _should_store(self, content: RequestFingerprint) -> bool:
         return content.digest in self._versions or self._suspects.score(content) >= STORED_SCORE
 
-    def _write(self, content: RequestContent) -> bool:
+    def _write(self, content: RequestFingerprint) -> bool:
         """Write a row, merged with what other instances have written; return whether it is stored.
 
         A conflict merges the stored row into the local state, so the next attempt includes it.
--- a/tests/test_gateway/test_servers/test_servers_crashes.py
+++ b/tests/test_gateway/test_servers/test_servers_crashes.py
@@ -5,7 +5,7 @@
 import gevent
 import pytest
 
-from citrondyke.decisions.crashes.content import content_of
+from citrondyke.decisions.crashes.request_fingerprint import fingerprint_of
 from citrondyke.gateway.servers.suspect_store import SUSPECTS_TABLE
 from citrondyke.standin.platform_server import Act
 from citrondyke.storage.partitioned_table import Listing
@@ -97,7 +97,7 @@
     for server in fleet.servers.values():
         server.deadly_bodies.clear()
     assert fleet.call('/fetch/a', DEADLY, request_id='well').status == 200
-    content = content_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
+    content = fingerprint_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
     for instance in fleet.instances:
         wait_until_seen(lambda: not instance.guard.exits_count(content), 'it to be cleared')  # noqa: B023
 
@@ -140,7 +140,7 @@
 def test_exits_seen_by_a_single_instance_are_merged_into_the_row(fleet: GatewayFleet) -> None:
     # Instances reach the store but not each other, and each has seen different servers exit. All
     # of them must learn of all three exits.
-    content = content_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
+    content = fingerprint_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
     for instance, servers in zip(fleet.instances, ((1,), (2, 3)), strict=True):
         instance.peers.stop()
         for server in servers:
@@ -157,7 +157,7 @@
     for server in fleet.servers.values():
         server.deadly_bodies.clear()
         server.acts.extend([Act.FAIL] * 4)
-    content = content_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
+    content = fingerprint_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
     assert fleet.call('/fetch/a', DEADLY, request_id='failed').status == 500
     assert fleet.instances[0].guard.exits_count(content) == 2.0
 
