--- a/citrondyke/gateway/callers/admission_controller.py
+++ b/citrondyke/gateway/callers/admission_controller.py
@@ -72,7 +72,7 @@
         self._rule.record_service_time(forwarded.route, stay_ms)
 
     def admit(
-        self, caller: CallerConnection, forwarded: ForwardedRequest, suspect_verdict: SuspectStatus
+        self, caller: CallerConnection, forwarded: ForwardedRequest, suspect_status: SuspectStatus
     ) -> ChosenServer | RequestResult | None:
         """Choose a server with capacity in time and count the request against its account.
 
@@ -83,7 +83,7 @@
             is eligible.
         """
         while True:
-            state = self._choose(forwarded, suspect_verdict)
+            state = self._choose(forwarded, suspect_status)
             if state is None:
                 return None
             admitted = self._rule.decide(
@@ -122,7 +122,7 @@
         now_ms = self._context.now_ms()
         waited_ms = now_ms - forwarded.request.arrived_ms
         return UseNeed(
-            int(forwarded.content.digest[:CONTENT_KEY_DIGITS], 16),
+            int(forwarded.fingerprint.digest[:CONTENT_KEY_DIGITS], 16),
             max(0.0, forwarded.until_ms - now_ms),
             max(0.0, LIMIT_WAIT_SHARE * forwarded.route.target_ms - waited_ms - expected_wait_ms),
         )
@@ -170,11 +170,11 @@
         return bool(self._config.current.account_of(digest, is_public=is_public))
 
     def _choose(
-        self, forwarded: ForwardedRequest, suspect_verdict: SuspectStatus
+        self, forwarded: ForwardedRequest, suspect_status: SuspectStatus
     ) -> ServerState | None:
         service = forwarded.route.pick_service(self._context.random)
-        if suspect_verdict is not SuspectStatus.FREE:
-            digest = forwarded.content.digest
+        if suspect_status is not SuspectStatus.FREE:
+            digest = forwarded.fingerprint.digest
             return self._book.choose_excluding(service, forwarded.course.avoid, digest)
         return self._book.choose(
             service,
--- a/citrondyke/gateway/callers/error_responder.py
+++ b/citrondyke/gateway/callers/error_responder.py
@@ -68,7 +68,7 @@
         return self._answer_without_retry(caller, forwarded, end, 504 if is_out_of_time else 502)
 
     def stop(
-        self, caller: CallerConnection, forwarded: ForwardedRequest, *, is_on_trial: bool
+        self, caller: CallerConnection, forwarded: ForwardedRequest, *, is_probe_running: bool
     ) -> RequestResult:
         """Answer a request whose content has crashed too many servers.
 
@@ -79,7 +79,7 @@
         if forwarded.has_begun:
             caller.abort()
             return RequestResult.CUT_MIDWAY
-        if is_on_trial and forwarded.course.verdict is Verdict.NOT_RUN:
+        if is_probe_running and forwarded.course.verdict is Verdict.NOT_RUN:
             return self.reject(caller, forwarded, RequestResult.PROBE_RUNNING, PROBE_RETRY_MS)
         return self._answer_without_retry(caller, forwarded, RequestResult.STOPPED, 502)
 
--- a/citrondyke/gateway/callers/forwarded_request.py
+++ b/citrondyke/gateway/callers/forwarded_request.py
@@ -49,7 +49,7 @@
     """Online request in flight, with what has happened to it so far."""
 
     request: CallerRequest
-    #: Content of the request; it is the same for all attempts of a caller.
+    #: Fingerprint of the request; it is the same for all attempts of a caller.
     work: LazyRequestFingerprint
     facts: RequestMetadata
     account: Account
@@ -70,6 +70,6 @@
     server_first_ms: float | None = None
 
     @property
-    def content(self) -> RequestFingerprint:
-        """Content of the request; computing it hashes the body."""
+    def fingerprint(self) -> RequestFingerprint:
+        """Fingerprint of the request's content; computing it hashes the body."""
         return self.work.fingerprint
--- a/citrondyke/gateway/callers/forwarder.py
+++ b/citrondyke/gateway/callers/forwarder.py
@@ -108,18 +108,18 @@
         while history.may_send and self._left_ms(forwarded) > 0:
             if history.sends_count and not self._admission.is_key_valid(forwarded):
                 return self._answers.reject_revoked_key(caller, forwarded)
-            verdict = self._guard.verdict(forwarded.work)
-            if verdict in (SuspectStatus.STOPPED, SuspectStatus.PROBE_RUNNING):
+            suspect_status = self._guard.status_of(forwarded.work)
+            if suspect_status in (SuspectStatus.STOPPED, SuspectStatus.PROBE_RUNNING):
                 if failure is not None:
                     break
-                return self._stop(caller, forwarded, verdict)
-            admitted = self._admission.admit(caller, forwarded, verdict)
+                return self._stop(caller, forwarded, suspect_status)
+            admitted = self._admission.admit(caller, forwarded, suspect_status)
             if isinstance(admitted, RequestResult):
                 return admitted
             if admitted is None:
                 break
-            if verdict is SuspectStatus.PROBE_DUE and not self._claim_probe(forwarded):
-                return self._stop(caller, forwarded, self._guard.verdict(forwarded.work))
+            if suspect_status is SuspectStatus.PROBE_DUE and not self._claim_probe(forwarded):
+                return self._stop(caller, forwarded, self._guard.status_of(forwarded.work))
             state = admitted.state
             self._log.sent(forwarded, state, admitted.expected_wait_ms)
             result = self._send(caller, forwarded, state, admitted.expected_wait_ms)
@@ -127,23 +127,25 @@
                 return result
             if isinstance(result, DeferredFailure):
                 failure = result
-            if verdict is SuspectStatus.PROBE_DUE and not history.may_have_run_at(state.life):
-                self._guard.record_probe_refused(forwarded.content)
+            if suspect_status is SuspectStatus.PROBE_DUE and not history.may_have_run_at(
+                state.life
+            ):
+                self._guard.record_probe_refused(forwarded.fingerprint)
         return self._answers.answer_failed(
             caller, forwarded, failure, is_out_of_time=self._is_out_of_time(forwarded)
         )
 
     def _claim_probe(self, forwarded: ForwardedRequest) -> bool:
-        return self._guard.claim_probe(forwarded.content, forwarded.facts.request_id)
+        return self._guard.claim_probe(forwarded.fingerprint, forwarded.facts.request_id)
 
     def _stop(
-        self, caller: CallerConnection, forwarded: ForwardedRequest, verdict: SuspectStatus
+        self, caller: CallerConnection, forwarded: ForwardedRequest, suspect_status: SuspectStatus
     ) -> RequestResult:
-        self._log.stopped(forwarded, verdict, self._guard.exits_count(forwarded.content))
+        self._log.stopped(forwarded, suspect_status, self._guard.exits_count(forwarded.fingerprint))
         # A probe that could not be claimed because the store did not answer leaves the verdict open
         # too.
-        is_open = verdict is not SuspectStatus.STOPPED
-        return self._answers.stop(caller, forwarded, is_on_trial=is_open)
+        is_open = suspect_status is not SuspectStatus.STOPPED
+        return self._answers.stop(caller, forwarded, is_probe_running=is_open)
 
     def _send(
         self,
@@ -213,7 +215,7 @@
             self._guard.record_connect_failure(state, error)
             return
         self._guard.record_interrupted(
-            state, forwarded.content, error.break_kind, forwarded.server_first_ms
+            state, forwarded.fingerprint, error.break_kind, forwarded.server_first_ms
         )
 
     def _write_request(
--- a/citrondyke/gateway/callers/request_log.py
+++ b/citrondyke/gateway/callers/request_log.py
@@ -119,7 +119,7 @@
                 'last_event_id': forwarded.last_event_id,
                 'failures_in_row': state.failures_count,
                 'left_ms': round(forwarded.until_ms - self._context.now_ms(), 1),
-                'content': forwarded.content.digest if may_have_run else None,
+                'content': forwarded.fingerprint.digest if may_have_run else None,
                 'since_first_event_ms': (
                     None if first_ms is None else round(self._context.now_ms() - first_ms, 1)
                 ),
@@ -139,15 +139,15 @@
         )
 
     def stopped(
-        self, forwarded: ForwardedRequest, standing: SuspectStatus, exits_count: float
+        self, forwarded: ForwardedRequest, suspect_status: SuspectStatus, exits_count: float
     ) -> None:
         """Log that a request is stopped because its content has crashed servers."""
         log.info(
             'request.stopped',
             extra={
                 'request_id': forwarded.facts.request_id,
-                'content': forwarded.content.digest,
-                'standing': standing.value,
+                'content': forwarded.fingerprint.digest,
+                'standing': suspect_status.value,
                 'servers_ended': round(exits_count, 2),
                 'sends_before': forwarded.course.sends_count,
             },
--- a/citrondyke/gateway/jobs/job_runner.py
+++ b/citrondyke/gateway/jobs/job_runner.py
@@ -385,7 +385,7 @@
         self._pump()
 
     def _may_send(self, run: _Run) -> bool:
-        standing = self._guard.verdict(run.work, is_item=True)
+        standing = self._guard.status_of(run.work, is_item=True)
         if standing is SuspectStatus.PROBE_DUE:
             return self._guard.claim_probe(run.work.fingerprint, run.progress.item.id, is_item=True)
         return standing in (SuspectStatus.FREE, SuspectStatus.SUSPECTED)
--- a/citrondyke/gateway/servers/poison_request_guard.py
+++ b/citrondyke/gateway/servers/poison_request_guard.py
@@ -79,50 +79,54 @@
         self._store.start(self._tasks)
         self.publisher.start(self._tasks, send)
 
-    def verdict(self, work: LazyRequestFingerprint, *, is_item: bool = False) -> SuspectStatus:
+    def status_of(
+        self, lazy_fingerprint: LazyRequestFingerprint, *, is_item: bool = False
+    ) -> SuspectStatus:
         """Return whether a request may be sent; its body is hashed only if it may be a suspect."""
-        if not self._may_be_suspect(work):
+        if not self._may_be_suspect(lazy_fingerprint):
             return SuspectStatus.FREE
-        return self._suspects.status_of(work.fingerprint, is_item=is_item)
+        return self._suspects.status_of(lazy_fingerprint.fingerprint, is_item=is_item)
 
-    def _may_be_suspect(self, work: LazyRequestFingerprint) -> bool:
-        return len(self._suspects) > 0 and self._suspects.has_suspects_for(work.target)
+    def _may_be_suspect(self, lazy_fingerprint: LazyRequestFingerprint) -> bool:
+        return len(self._suspects) > 0 and self._suspects.has_suspects_for(lazy_fingerprint.target)
 
-    def exits_count(self, content: RequestFingerprint) -> float:
+    def exits_count(self, fingerprint: RequestFingerprint) -> float:
         """Return the weighted number of servers that exited while running a request."""
-        return self._suspects.score(content)
+        return self._suspects.score(fingerprint)
 
-    def claim_probe(self, content: RequestFingerprint, who: str, *, is_item: bool = False) -> bool:
+    def claim_probe(
+        self, fingerprint: RequestFingerprint, who: str, *, is_item: bool = False
+    ) -> bool:
         """Claim the probe of a suspect; return whether this instance got it.
 
         :param who: id of the request or item.
         """
-        is_granted = self._store.claim_probe(content, is_item=is_item)
+        is_granted = self._store.claim_probe(fingerprint, is_item=is_item)
         log.info(
             'suspect.trial',
             extra={
                 'item_id' if is_item else 'request_id': who,
-                'content': content.digest,
-                'servers': round(self._suspects.score(content), 2),
+                'content': fingerprint.digest,
+                'servers': round(self._suspects.score(fingerprint), 2),
                 'granted': is_granted,
             },
         )
         return is_granted
 
-    def record_probe_refused(self, content: RequestFingerprint) -> None:
+    def record_probe_refused(self, fingerprint: RequestFingerprint) -> None:
         """Record that no server ran a probe."""
-        self._suspects.record_probe_refused(content)
-        self._store.save(content)
+        self._suspects.record_probe_refused(fingerprint)
+        self._store.save(fingerprint)
 
-    def record_survived(self, work: LazyRequestFingerprint) -> None:
+    def record_survived(self, lazy_fingerprint: LazyRequestFingerprint) -> None:
         """Record a whole and successful response to a request; it clears a suspect.
 
         Error responses don't count: a server may fail requests before it begins to run them. If
         such a probe cleared a suspect, the request would go on to crash three more servers.
         """
-        if not self._may_be_suspect(work):
+        if not self._may_be_suspect(lazy_fingerprint):
             return
-        survivor = work.fingerprint
+        survivor = lazy_fingerprint.fingerprint
         was_known = self.publisher.is_known_to_all(survivor)
         if self._suspects.record_survived(survivor):
             self._log_cleared(survivor, 'own')
@@ -132,7 +136,7 @@
     def record_interrupted(
         self,
         state: ServerState,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         kind: BreakKind,
         first_event_ms: float | None,
         *,
@@ -156,9 +160,9 @@
             return
         since_ms = 0.0 if first_event_ms is None else self._context.now_ms() - first_event_ms
         is_fresh = since_ms <= FRESH_EVENTS_MS
-        if self._exit_detector.record_interrupted(server, content, is_fresh=is_fresh):
+        if self._exit_detector.record_interrupted(server, fingerprint, is_fresh=is_fresh):
             self._count_exits(
-                server, [InterruptedRequest(content, is_fresh, self._context.now_ms())]
+                server, [InterruptedRequest(fingerprint, is_fresh, self._context.now_ms())]
             )
             return
         if kind is not BreakKind.CUT:
@@ -237,11 +241,11 @@
             self._publish_suspect(each.content, was_known=was_known)
             self._store.save(each.content)
 
-    def _publish_suspect(self, content: RequestFingerprint, *, was_known: bool) -> None:
+    def _publish_suspect(self, fingerprint: RequestFingerprint, *, was_known: bool) -> None:
         """Publish a suspect to all peers if so far only its collecting instances knew of it."""
-        if not was_known and self.publisher.is_known_to_all(content):
-            self.publisher.notify_all_ends(content)
-            self._store.save(content)
+        if not was_known and self.publisher.is_known_to_all(fingerprint):
+            self.publisher.notify_all_ends(fingerprint)
+            self._store.save(fingerprint)
 
     def _log_ended(self, server: int, how: str, broken: list[InterruptedRequest]) -> None:
         state = self._book.by_digest(server)
@@ -257,22 +261,22 @@
         )
 
     def _log_counted(
-        self, content: RequestFingerprint, server: int, source: str, *, is_fresh: bool
+        self, fingerprint: RequestFingerprint, server: int, source: str, *, is_fresh: bool
     ) -> None:
         log.info(
             'suspect.counted',
             extra={
-                'content': content.digest,
+                'content': fingerprint.digest,
                 'server': f'{server:08x}',
                 'is_fresh': is_fresh,
-                'servers': round(self._suspects.score(content), 2),
-                'standing': self._suspects.status_of(content).value,
+                'servers': round(self._suspects.score(fingerprint), 2),
+                'standing': self._suspects.status_of(fingerprint).value,
                 'source': source,
             },
         )
 
-    def _log_cleared(self, content: RequestFingerprint, source: str) -> None:
-        log.info('suspect.cleared', extra={'content': content.digest, 'source': source})
+    def _log_cleared(self, fingerprint: RequestFingerprint, source: str) -> None:
+        log.info('suspect.cleared', extra={'content': fingerprint.digest, 'source': source})
 
 
 def _is_connection_refused(error: BrokenReplyError) -> bool:
--- a/citrondyke/gateway/servers/suspect_store.py
+++ b/citrondyke/gateway/servers/suspect_store.py
@@ -97,13 +97,13 @@
         tasks.keep(self._run_writes)
         tasks.keep(self._run_cleanup)
 
-    def save(self, content: RequestFingerprint) -> None:
+    def save(self, fingerprint: RequestFingerprint) -> None:
         """Schedule a write of a row if its score requires one, else a read of it."""
         if len(self._pending) < PENDING_LIMIT:
-            self._pending[content.digest] = content
+            self._pending[fingerprint.digest] = fingerprint
             self._has_pending.set()
 
-    def claim_probe(self, content: RequestFingerprint, *, is_item: bool) -> bool:
+    def claim_probe(self, fingerprint: RequestFingerprint, *, is_item: bool) -> bool:
         """Claim the one probe that is due; return whether this instance got it.
 
         If the store does not respond, the claim fails: two concurrent probes would crash two
@@ -112,9 +112,12 @@
         for _ in range(ATTEMPTS_LIMIT):
             if self._store.unanswered_ms > UNRESPONSIVE_MS:
                 return False
-            if self._suspects.status_of(content, is_item=is_item) is not SuspectStatus.PROBE_DUE:
+            if (
+                self._suspects.status_of(fingerprint, is_item=is_item)
+                is not SuspectStatus.PROBE_DUE
+            ):
                 return False
-            row = self._suspects.probe_row(content)
+            row = self._suspects.probe_row(fingerprint)
             written = self._write_once(row)
             if written is None:
                 return False
@@ -123,20 +126,20 @@
                 return True
         return False
 
-    def read_row(self, content: RequestFingerprint) -> None:
+    def read_row(self, fingerprint: RequestFingerprint) -> None:
         """Read a row that other instances may have written.
 
         An instance that was partitioned has missed their datagrams and waits on a dead feed.
         Without this read it would let the request crash three more servers before it stops it.
         """
-        listing = self._table.read(SUSPECTS_TABLE, '', content.digest, limit=1)
+        listing = self._table.read(SUSPECTS_TABLE, '', fingerprint.digest, limit=1)
         if isinstance(listing, PlatformFailure):
             log.info(
                 'suspect.not_read',
-                extra={'content': content.digest, 'reason': listing.reason.value},
+                extra={'content': fingerprint.digest, 'reason': listing.reason.value},
             )
             return
-        self._apply_rows(row for row in listing.rows if row.key == content.digest)
+        self._apply_rows(row for row in listing.rows if row.key == fingerprint.digest)
 
     def _write_once(self, row: SuspectRow) -> bool | None:
         """Try to write a row; return whether it is stored, ``None`` if that is uncertain."""
@@ -199,13 +202,13 @@
         become known to its peers. And a row that the instance had not seen when the request
         succeeded would stop that request again after the next start.
         """
-        content = RequestFingerprint(ContentDigest(known.digest), known.target)
-        own = self._suspects.row(content)
+        fingerprint = RequestFingerprint(ContentDigest(known.digest), known.target)
+        own = self._suspects.row(fingerprint)
         if own is None:
             return
         has_more_ends = own.era == known.era and own.lives.keys() - known.lives.keys()
         if own.era > known.era or has_more_ends:
-            self.save(content)
+            self.save(fingerprint)
 
     def _reread(self) -> int:
         listing = self._table.read_all(SUSPECTS_TABLE, '')
@@ -217,35 +220,40 @@
     def _run_writes(self) -> None:
         while True:
             self._has_pending.wait()
-            digest, content = next(iter(self._pending.items()))
+            digest, fingerprint = next(iter(self._pending.items()))
             del self._pending[digest]
             if not self._pending:
                 self._has_pending.clear()
-            if not self._should_store(content):
-                self.read_row(content)
-            elif not self._write(content):
+            if not self._should_store(fingerprint):
+                self.read_row(fingerprint)
+            elif not self._write(fingerprint):
                 # Without a retry the row would be lost if this instance exits.
-                self.save(content)
+                self.save(fingerprint)
                 gevent.sleep(self._context.jittered_ms(RETRY_MS) / 1e3)
             gevent.sleep(WRITE_GAP_S)
 
-    def _should_store(self, content: RequestFingerprint) -> bool:
-        return content.digest in self._versions or self._suspects.score(content) >= STORED_SCORE
+    def _should_store(self, fingerprint: RequestFingerprint) -> bool:
+        return (
+            fingerprint.digest in self._versions
+            or self._suspects.score(fingerprint) >= STORED_SCORE
+        )
 
-    def _write(self, content: RequestFingerprint) -> bool:
+    def _write(self, fingerprint: RequestFingerprint) -> bool:
         """Write a row, merged with what other instances have written; return whether it is stored.
 
         A conflict merges the stored row into the local state, so the next attempt includes it.
         """
         for _ in range(ATTEMPTS_LIMIT):
-            row = self._suspects.row(content)
+            row = self._suspects.row(fingerprint)
             written = row is None or self._write_once(row)
             if written:
                 return True
             if written is None:
                 return False
             gevent.sleep(self._context.jittered_ms(WRITE_GAP_S * 1e3, 0.5) / 1e3)
-        log.info('suspect.not_written', extra={'content': content.digest, 'reason': 'contended'})
+        log.info(
+            'suspect.not_written', extra={'content': fingerprint.digest, 'reason': 'contended'}
+        )
         return False
 
     def _run_cleanup(self) -> None:
