--- a/citrondyke/gateway/callers/forwarder.py
+++ b/citrondyke/gateway/callers/forwarder.py
@@ -1,4 +1,4 @@
-"""Brings one online request to its one answer."""
+"""Forwards an online request to servers until it has one response."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 class Forwarder:
-    """Sends, repeats what may be repeated, and answers."""
+    """Sends requests to servers, retries those that may be repeated, and responds."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         account: Account,
         route: Route,
     ) -> None:
-        """Answer one request of an account."""
+        """Forward a request of an account and respond to it."""
         within_ms = min(route.timeout_ms, metadata.within_ms or route.timeout_ms)
         forwarded = ForwardedRequest(
             request=request,
@@ -108,18 +108,18 @@
         while history.may_send and self._left_ms(forwarded) > 0:
             if history.sends_count and not self._admission.is_key_valid(forwarded):
                 return self._answers.reject_revoked_key(caller, forwarded)
-            verdict = self._guard.verdict(forwarded.work)
-            if verdict in (SuspectStatus.STOPPED, SuspectStatus.PROBE_RUNNING):
+            suspect_status = self._guard.status_of(forwarded.work)
+            if suspect_status in (SuspectStatus.STOPPED, SuspectStatus.PROBE_RUNNING):
                 if failure is not None:
                     break
-                return self._stop(caller, forwarded, verdict)
-            admitted = self._admission.admit(caller, forwarded, verdict)
+                return self._stop(caller, forwarded, suspect_status)
+            admitted = self._admission.admit(caller, forwarded, suspect_status)
             if isinstance(admitted, RequestResult):
                 return admitted
             if admitted is None:
                 break
-            if verdict is SuspectStatus.PROBE_DUE and not self._claim_probe(forwarded):
-                return self._stop(caller, forwarded, self._guard.verdict(forwarded.work))
+            if suspect_status is SuspectStatus.PROBE_DUE and not self._claim_probe(forwarded):
+                return self._stop(caller, forwarded, self._guard.status_of(forwarded.work))
             state = admitted.state
             self._log.sent(forwarded, state, admitted.expected_wait_ms)
             result = self._send(caller, forwarded, state, admitted.expected_wait_ms)
@@ -127,22 +127,25 @@
                 return result
             if isinstance(result, DeferredFailure):
                 failure = result
-            if verdict is SuspectStatus.PROBE_DUE and not history.may_have_run_at(state.life):
-                self._guard.record_probe_refused(forwarded.content)
+            if suspect_status is SuspectStatus.PROBE_DUE and not history.may_have_run_at(
+                state.life
+            ):
+                self._guard.record_probe_refused(forwarded.fingerprint)
         return self._answers.answer_failed(
             caller, forwarded, failure, is_out_of_time=self._is_out_of_time(forwarded)
         )
 
     def _claim_probe(self, forwarded: ForwardedRequest) -> bool:
-        return self._guard.claim_probe(forwarded.content, forwarded.facts.request_id)
+        return self._guard.claim_probe(forwarded.fingerprint, forwarded.facts.request_id)
 
     def _stop(
-        self, caller: CallerConnection, forwarded: ForwardedRequest, verdict: SuspectStatus
+        self, caller: CallerConnection, forwarded: ForwardedRequest, suspect_status: SuspectStatus
     ) -> RequestResult:
-        self._log.stopped(forwarded, verdict, self._guard.exits_count(forwarded.content))
-        # A trial that could not be had, as the store did not answer, leaves the verdict open too.
-        is_open = verdict is not SuspectStatus.STOPPED
-        return self._answers.stop(caller, forwarded, is_on_trial=is_open)
+        self._log.stopped(forwarded, suspect_status, self._guard.exits_count(forwarded.fingerprint))
+        # A probe that could not be claimed because the store did not answer leaves the verdict open
+        # too.
+        is_open = suspect_status is not SuspectStatus.STOPPED
+        return self._answers.stop(caller, forwarded, is_probe_running=is_open)
 
     def _send(
         self,
@@ -151,7 +154,7 @@
         state: ServerState,
         expected_wait_ms: float,
     ) -> RequestResult | DeferredFailure | None:
-        """Send to one server; ``None`` when another may be tried."""
+        """Send the request to one server; ``None`` if another server may be tried."""
         started_ms = self._context.now_ms()
         forwarded.server_first_ms = None
         outcome = SendOutcome.NOT_SENT
@@ -186,12 +189,12 @@
                 state.note_failure(self._context.now_ms())
             return None
         except CallerGoneError:
-            detail = 'caller gone'
+            detail = 'caller disconnected'
             now_ms = self._context.now_ms()
             if connection is not None and now_ms - connection.last_activity_ms > EVENT_MS:
-                # Callers leave a silent stream; without this the server that is silent would get
-                # as many requests as the others for as long as it is.
-                detail = 'caller gone, server silent'
+                # Callers disconnect from a stream that stalls. If that did not count as a failure,
+                # an unresponsive server would go on getting as many requests as the others.
+                detail = 'caller disconnected, server unresponsive'
                 state.note_failure(now_ms)
             raise
         finally:
@@ -212,7 +215,7 @@
             self._guard.record_connect_failure(state, error)
             return
         self._guard.record_interrupted(
-            state, forwarded.content, error.break_kind, forwarded.server_first_ms
+            state, forwarded.fingerprint, error.break_kind, forwarded.server_first_ms
         )
 
     def _write_request(
@@ -281,25 +284,25 @@
         connection: ServerConnection,
         expected_wait_ms: float,
     ) -> OpenReply:
-        """Wait for the head of an answer.
+        """Wait for the head of a response.
 
-        Where no other server may run the request it is waited for to the end; but its server is
-        suspected as soon as another would have been tried, so that later requests avoid it.
+        If no other server may run the request, wait until its deadline. A failure is still recorded
+        for the server once the failover timeout has passed, so that later requests avoid it.
 
-        :raises BrokenReplyError: when none comes, or one that is not the request's.
+        :raises BrokenReplyError: if no response arrives, or one to another request.
         """
         request_id = forwarded.facts.request_id
-        patience_ms = self._timeouts.first_answer_ms(forwarded.route, state, expected_wait_ms)
-        patient_until_ms = self._context.now_ms() + patience_ms
-        if patient_until_ms < forwarded.until_ms:
+        timeout_ms = self._timeouts.first_answer_ms(forwarded.route, state, expected_wait_ms)
+        failover_at_ms = self._context.now_ms() + timeout_ms
+        if failover_at_ms < forwarded.until_ms:
             try:
-                return self._sends.read_reply(state, connection, request_id, patient_until_ms)
+                return self._sends.read_reply(state, connection, request_id, failover_at_ms)
             except BrokenReplyError as error:
                 is_silent = error.break_kind is BreakKind.SILENT
                 if not is_silent or not forwarded.course.is_last_run:
                     raise
                 state.note_failure(self._context.now_ms())
-                self._log.suspected(forwarded, state, patience_ms)
+                self._log.suspected(forwarded, state, timeout_ms)
         return self._sends.read_reply(state, connection, request_id, forwarded.until_ms)
 
     def _record_first_answer(
