--- a/citrondyke/decisions/at_most_once/group_committer.py
+++ b/citrondyke/decisions/at_most_once/group_committer.py
@@ -32,7 +32,7 @@
 #: Writes that may wait at once; more are refused, as each holds a caller.
 WAITING_LIMIT = 10_000
 #: Writes that arrive within this time of the first go with it.
-GATHER_MS = 3.0
+COALESCE_MS = 3.0
 #: How long an ambiguous answer is followed up before the writers are told.
 NEXT_GROUP_DELAY_MS = 2000.0
 #: After a failure one group in this time tries the table service; the rest is refused at once.
@@ -96,7 +96,7 @@
         while True:
             yield from wait_for(self._filled, None)
             now_ms = self._context.now_ms()
-            yield from sleep_until(max(now_ms + GATHER_MS, self._pace.next_ms(now_ms)))
+            yield from sleep_until(max(now_ms + COALESCE_MS, self._pace.next_ms(now_ms)))
             group = self._take_group()
             if not self._waiting:
                 self._filled = Signal()
--- a/citrondyke/decisions/forwarding/admission_rule.py
+++ b/citrondyke/decisions/forwarding/admission_rule.py
@@ -27,10 +27,10 @@
 YIELD_SHARE = 0.4
 #: Time that a request occupies a place before the first one has ended, in ms.
 INITIAL_SERVICE_TIME_MS = 200.0
-SERVICE_TIME_SMOOTHING = 0.1
-SHORTEST_RETRY_MS = 60.0
+SERVICE_TIME_SMOOTHING_FACTOR = 0.1
+MIN_RETRY_MS = 60.0
 #: Callers wait no longer than a third of the time they have, which is 1.6 s of 5 s.
-LONGEST_RETRY_MS = 1_600.0
+MAX_RETRY_MS = 1_600.0
 #: Requests that were turned away within this time are expected back; it is the longest that they
 #: are asked to stay away.
 EXPECTED_RETURN_MS = 1_600.0
@@ -70,7 +70,7 @@
     def record_service_time(self, route: Route, stay_ms: float) -> None:
         """Take in how long a request occupied its place."""
         known = self._stay_ms.get(route.name, stay_ms)
-        self._stay_ms[route.name] = known + SERVICE_TIME_SMOOTHING * (stay_ms - known)
+        self._stay_ms[route.name] = known + SERVICE_TIME_SMOOTHING_FACTOR * (stay_ms - known)
 
     def decide(
         self,
@@ -113,6 +113,6 @@
         own_pace_per_ms = max(1, slots) / stay_ms / max(1, self._book.neighbours.instances_count)
         back_ms = len(recent) / own_pace_per_ms
         recent.append(now_ms)
-        retry_ms = min(LONGEST_RETRY_MS, max(SHORTEST_RETRY_MS, late_ms + back_ms))
+        retry_ms = min(MAX_RETRY_MS, max(MIN_RETRY_MS, late_ms + back_ms))
         # Spread, so that those who were turned away together do not come back together.
         return retry_ms * (0.75 + 0.5 * self._context.random.random())
--- a/citrondyke/decisions/forwarding/load_notices.py
+++ b/citrondyke/decisions/forwarding/load_notices.py
@@ -17,12 +17,12 @@
 __all__ = ('LoadNotices', 'ServerLoad')
 
 #: Counts that are not zero are told again, since datagrams get lost and counts lapse.
-RENEW_MS = 500.0
+RENEW_EVERY_MS = 500.0
 #: How often an instance of a large fleet tells one instance of each other zone what is on the
 #: servers of its own zone; with as many instances in each zone all hear of it that often.
 TOTALS_EVERY_MS = 500.0
 #: For so long after a server's last request somebody may still count what was told of it.
-TOTAL_KNOWN_MS = PEER_COUNT_MS + TOTALS_EVERY_MS
+TOTAL_LIFETIME_MS = PEER_COUNT_MS + TOTALS_EVERY_MS
 
 
 class ServerLoad(msgspec.Struct, frozen=True):
@@ -64,7 +64,7 @@
     def take(self) -> list[ServerLoad]:
         """Give what peers are to be told now; nothing when nothing changed."""
         now_ms = self._context.now_ms()
-        is_renewal = now_ms - self._renewed_ms >= RENEW_MS
+        is_renewal = now_ms - self._renewed_ms >= RENEW_EVERY_MS
         if is_renewal:
             self._renewed_ms = now_ms
         loads = []
@@ -128,7 +128,7 @@
         self._busy_ms = {
             life: busy_ms
             for life, busy_ms in self._busy_ms.items()
-            if now_ms - busy_ms <= TOTAL_KNOWN_MS
+            if now_ms - busy_ms <= TOTAL_LIFETIME_MS
         }
         totals = []
         for state in self._book.states():
--- a/citrondyke/decisions/forwarding/peer_topology.py
+++ b/citrondyke/decisions/forwarding/peer_topology.py
@@ -25,17 +25,17 @@
 #: In a large fleet an instance hears 80 notices a second and places one or two requests: woken up
 #: by each it took 20 ms of processor time a second for them, 4 with this (one instance, stand-ins).
 #: The tenth of a second is what its peers' news of crashes and jobs may wait.
-GATHER_MS = 100.0
+COALESCE_MS = 100.0
 #: ... and where batch items must make room: an online request waits for them so long at the most,
 #: a tenth of the time within which its first event is expected.
-OWNERS_GATHER_MS = 30.0
+OWNER_COALESCE_MS = 30.0
 #: Instances that collect what is seen of one thing: half of all may be lost at once, and then one
 #: of three is left seven times in eight.
-OWNER_REGISTRARS_COUNT = 3
+REGISTRARS_COUNT = 3
 #: Fleets beyond this call the store more rarely, in proportion, so that heartbeats and the reads
 #: of them, whose size grows with the fleet too, stay within its rates; at most three times.
-PACING_THRESHOLD = 45
-MAX_PACING_FACTOR = 3.0
+STORE_PACING_THRESHOLD = 45
+MAX_STORE_INTERVAL_FACTOR = 3.0
 
 
 class PeerTopology:
@@ -98,12 +98,14 @@
         """
         if not self.is_zoned:
             return 0.0
-        return OWNERS_GATHER_MS if is_owner else GATHER_MS
+        return OWNER_COALESCE_MS if is_owner else COALESCE_MS
 
     @property
     def store_pace(self) -> float:
         """Give the factor by which calls of the store are rarer than in a small fleet."""
-        return min(MAX_PACING_FACTOR, max(1.0, self.instances_count / PACING_THRESHOLD))
+        return min(
+            MAX_STORE_INTERVAL_FACTOR, max(1.0, self.instances_count / STORE_PACING_THRESHOLD)
+        )
 
     def near(self) -> list[InstanceId]:
         """List the instances that are told of every change."""
@@ -121,9 +123,7 @@
         All choose the same ones, as far as they know of the same instances.
         """
         everybody = [*self._zones, self._context.instance_id]
-        return nlargest(
-            OWNER_REGISTRARS_COUNT, everybody, key=lambda each: rendezvous_weight(each, name)
-        )
+        return nlargest(REGISTRARS_COUNT, everybody, key=lambda each: rendezvous_weight(each, name))
 
     def in_zone(self, zone: AvailabilityZone) -> list[InstanceId]:
         """List the other instances of an availability zone."""
--- a/citrondyke/decisions/forwarding/current_config.py
+++ b/citrondyke/decisions/forwarding/replicated_config.py
@@ -6,14 +6,14 @@
 from citrondyke.decisions.forwarding.route_table import EMPTY_ROUTE_TABLE, RouteTable
 from citrondyke.ids import ConfigVersion, TenantId
 
-__all__ = ('CurrentConfig',)
+__all__ = ('ReplicatedConfig',)
 
 #: A configuration that was confirmed within this time is current enough to say that a route does
 #: not exist. It is read every second, and pushed beside that.
-CONFIRMED_MS = 2_500.0
+CONFIRMATION_VALID_MS = 2_500.0
 
 
-class CurrentConfig:
+class ReplicatedConfig:
     """The newest version wins and nothing goes back.
 
     Reads of the store can be seconds old, and a peer may be behind; taking an older version
@@ -56,4 +56,4 @@
         good by an instance that is a moment behind.
         """
         is_behind = self._heard_version > self.current.version
-        return not is_behind and self.age_ms(now_ms) <= CONFIRMED_MS
+        return not is_behind and self.age_ms(now_ms) <= CONFIRMATION_VALID_MS
--- a/citrondyke/decisions/forwarding/replicated_rows.py
+++ b/citrondyke/decisions/forwarding/replicated_rows.py
@@ -16,7 +16,7 @@
 
 #: Deletions, and lives, that are remembered; reads lag by seconds, and no fleet replaces so many
 #: servers then.
-REMEMBERED_LIMIT = 2_000
+TOMBSTONES_LIMIT = 2_000
 
 
 class ObservedRow(msgspec.Struct, Generic[Value], frozen=True):
@@ -135,18 +135,18 @@
         if row.is_foreign:
             # Whoever wrote it, the server's own entry is not there any more; an outage of the
             # store is no reason to believe that it still is.
-            _remember(self._deleted, row.key, row.version)
-            _remember(self._gone, row.key, row.version)
+            _record_version(self._deleted, row.key, row.version)
+            _record_version(self._gone, row.key, row.version)
             self._forget(row.key)
             return
         if row.value is None:
-            _remember(self._deleted, row.key, row.version)
+            _record_version(self._deleted, row.key, row.version)
             if known is not None:
                 self._drop(row.key, row.version, now_ms, row.version)
             return
         if row.born_epoch_ms is not None:
             self._born[row.key] = row.born_epoch_ms
-            _bound(self._born)
+            _evict_oldest(self._born)
         self._missing.pop(row.key, None)
         self._rows[row.key] = row
         self.digest ^= _row_digest(row) ^ (0 if known is None else _row_digest(known))
@@ -169,8 +169,8 @@
         :param version: up to which writes of it are outdated.
         :param gone_version: as of which the store did not hold it, later than its last write.
         """
-        _remember(self._deleted, key, version)
-        _remember(self._gone, key, gone_version)
+        _record_version(self._deleted, key, version)
+        _record_version(self._gone, key, gone_version)
         if now_ms >= self._doubtful_until_ms:
             self._forget(key)
             return
@@ -188,11 +188,11 @@
     return content_bucket(f'{row.key}\0{row.version}'.encode())
 
 
-def _remember(versions: dict[str, int], key: str, version: int) -> None:
+def _record_version(versions: dict[str, int], key: str, version: int) -> None:
     versions[key] = max(version, versions.get(key, 0))
-    _bound(versions)
+    _evict_oldest(versions)
 
 
-def _bound(remembered: dict[str, int]) -> None:
-    if len(remembered) > REMEMBERED_LIMIT:
+def _evict_oldest(remembered: dict[str, int]) -> None:
+    if len(remembered) > TOMBSTONES_LIMIT:
         remembered.pop(min(remembered, key=remembered.__getitem__))
--- a/citrondyke/decisions/forwarding/send_history.py
+++ b/citrondyke/decisions/forwarding/send_history.py
@@ -13,7 +13,7 @@
 
 #: Servers that may turn one request away before it is given up: more tries would hold a caller
 #: who could be told at once.
-REFUSALS_LIMIT = 4
+REJECTIONS_LIMIT = 4
 
 
 class SendOutcome(Enum):
@@ -65,7 +65,7 @@
     @property
     def may_send(self) -> bool:
         """Tell whether another server may be tried."""
-        if self._refusals_count >= REFUSALS_LIMIT:
+        if self._refusals_count >= REJECTIONS_LIMIT:
             return False
         if not self._ran_at:
             return True
--- a/citrondyke/decisions/forwarding/server_registry.py
+++ b/citrondyke/decisions/forwarding/server_registry.py
@@ -9,9 +9,9 @@
 
 from citrondyke.decisions.forwarding.peer_topology import PeerTopology
 from citrondyke.decisions.forwarding.server_state import ServerState
+from citrondyke.decisions.servers.candidate_sampling import sample_candidates
 from citrondyke.decisions.servers.expected_finish import REQUEST_COST, expected_finish
-from citrondyke.decisions.servers.few_candidates import few_candidates
-from citrondyke.decisions.servers.health_routing import HealthRouting
+from citrondyke.decisions.servers.health_policy import HealthPolicy
 from citrondyke.ids import ServerId, ServerIncarnation
 from citrondyke.util.hashing import content_bucket, rendezvous_weight
 
@@ -24,23 +24,23 @@
 
 #: What a server in another availability zone must be better by, in requests: the way there costs
 #: a caller a millisecond and the operator bytes between zones, a request ahead tens of ms.
-OTHER_ZONE_COST = 0.4
+REMOTE_ZONE_COST = 0.4
 #: What a server that has read the shared part of a prompt before is better by, in requests: the
 #: caller's first event comes sooner by what need not be read again, less than by a free place.
-PREFIX_GAIN = 0.6
+PREFIX_CACHE_GAIN = 0.6
 #: A server's times count within these bounds of the service's mean.
-SLOWEST_FACTOR = 4.0
-FASTEST_FACTOR = 0.7
+MAX_SLOWDOWN = 4.0
+MIN_SLOWDOWN = 0.7
 #: ... and where its counts are heard of twice a second only: in that time its zone and two others
 #: may have chosen it as well.
-FAR_ZONE_COST = 1.5
+STALE_REMOTE_ZONE_COST = 1.5
 #: What a server that fails all requests is worse by, in requests. One that fails every second one
 #: seldom fails two in a row, so that it is not ejected: 400 requests to five servers, one of them
 #: such, had up to 23 failures without this and at most 10 with it (replay of
 #: even load, five seeds).
-FAILING_COST = 12.0
+FAILURE_SHARE_COST = 12.0
 #: Servers that are looked at for one request in a large fleet where the own zone has fewer.
-CANDIDATES_COUNT = 3
+MIN_CANDIDATES_COUNT = 3
 
 
 def server_digest(listed: ServerListEntry) -> int:
@@ -75,10 +75,10 @@
         self._lives_count = 0
         self._by_service: dict[ServiceName, list[ServerState]] = {}
         self._by_digest: dict[int, ServerState] = {}
-        self._look: Callable[[], None] = _nothing_new
+        self._look: Callable[[], None] = _no_update
         #: Instances that send to the same servers.
         self.neighbours = PeerTopology(context)
-        self.soundness = HealthRouting(context, self.neighbours)
+        self.soundness = HealthPolicy(context, self.neighbours)
 
     def on_choose(self, look: Callable[[], None]) -> None:
         """Have the counts of peers brought up to date before each choice."""
@@ -189,30 +189,30 @@
             return None
         now_ms = self._context.now_ms()
         if is_once:
-            usable = self.soundness.servers_for_single_run(
-                usable, lambda state: _would_wait(state, now_ms), now_ms
+            usable = self.soundness.servers_for_at_most_once(
+                usable, lambda state: _is_full(state, now_ms), now_ms
             )
         elif not avoid:
-            tried = self.soundness.servers_to_probe(open_ones)
+            tried = self.soundness.server_to_probe(open_ones)
             if tried is not None:
                 return tried
-        looked_at = self._sampled_servers(usable)
+        looked_at = self._zone_candidates(usable)
         preferred = self._preferred(looked_at, prefix)
         few = looked_at
         # One that has not answered this instance yet is taken for one of the middle.
         is_paced = any(state.pace.is_known for state in usable)
         if is_paced:
-            few = few_candidates(looked_at, self._context.random, now_ms)
+            few = sample_candidates(looked_at, self._context.random, now_ms)
             if preferred is not None and preferred not in few:
                 few = [*few, preferred]
-        mean_ms = None if is_paced else _mean_time(usable)
+        mean_ms = None if is_paced else _median_latency_ms(usable)
         best = self._cheapest(few, mean_ms, preferred, now_ms)
-        if len(few) < len(usable) and _would_wait(best, now_ms):
+        if len(few) < len(usable) and _is_full(best, now_ms):
             # A request must not wait or be turned away while a server elsewhere has a place.
             best = self._cheapest(usable, mean_ms, self._preferred(usable, prefix), now_ms)
         return best
 
-    def choose_excluding(
+    def choose_for_suspect(
         self, service: ServiceName, avoid: Collection[ServerIncarnation], name: str
     ) -> ServerState | None:
         """Choose the server of a request that may end it; ``None`` when none takes work.
@@ -229,7 +229,7 @@
         if not usable:
             return None
         now_ms = self._context.now_ms()
-        roomy = [state for state in usable if not _would_wait(state, now_ms)]
+        roomy = [state for state in usable if not _is_full(state, now_ms)]
         return max(roomy or usable, key=lambda state: rendezvous_weight(state.listed.id, name))
 
     def _cheapest(
@@ -248,12 +248,12 @@
             states,
             key=lambda state: (
                 self._cost(state, mean_ms, now_ms)
-                - PREFIX_GAIN * request_cost * (state is preferred),
+                - PREFIX_CACHE_GAIN * request_cost * (state is preferred),
                 self._context.random.random(),
             ),
         )
 
-    def _sampled_servers(self, usable: list[ServerState]) -> list[ServerState]:
+    def _zone_candidates(self, usable: list[ServerState]) -> list[ServerState]:
         """Leave the servers of other zones out of a large fleet's choice while there is room.
 
         Their counts are up to half a second old, and several zones choose the same one: of 271
@@ -264,24 +264,24 @@
             return usable
         near = [state for state in usable if state.listed.zone == self._context.zone]
         far = [state for state in usable if state.listed.zone != self._context.zone]
-        far_count = min(len(far), max(0, CANDIDATES_COUNT - len(near)))
+        far_count = min(len(far), max(0, MIN_CANDIDATES_COUNT - len(near)))
         return near + self._context.random.sample(far, far_count)
 
     def _cost(self, state: ServerState, mean_ms: float | None, now_ms: float) -> float:
-        zone_cost = FAR_ZONE_COST if self.neighbours.is_zoned else OTHER_ZONE_COST
+        zone_cost = STALE_REMOTE_ZONE_COST if self.neighbours.is_zoned else REMOTE_ZONE_COST
         if mean_ms is None:
             cost = expected_finish(state, now_ms)
             zone_cost *= REQUEST_COST
         else:
-            cost = self._counted_cost(state, mean_ms, now_ms)
+            cost = self._cost_by_count(state, mean_ms, now_ms)
         # Quick errors leave a server empty: each counts as a request that is on it.
-        cost += FAILING_COST * state.failing(now_ms) + state.record.failures
+        cost += FAILURE_SHARE_COST * state.failing(now_ms) + state.record.failures
         if state.listed.zone == self._context.zone:
             return cost
         return cost + zone_cost
 
     @staticmethod
-    def _counted_cost(state: ServerState, mean_ms: float, now_ms: float) -> float:
+    def _cost_by_count(state: ServerState, mean_ms: float, now_ms: float) -> float:
         slots = state.listed.slots_count
         total = state.total_count(now_ms)
         # Batch items make room where all places are taken, so that only online requests count
@@ -289,7 +289,7 @@
         cost = float(total) if total < slots else slots + state.online_count(now_ms)
         if not mean_ms or not state.mean_ms:
             return cost + 1.0
-        factor = min(SLOWEST_FACTOR, max(FASTEST_FACTOR, state.mean_ms / mean_ms))
+        factor = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, state.mean_ms / mean_ms))
         return (cost + 1.0) * factor
 
     @staticmethod
@@ -299,16 +299,16 @@
         return max(usable, key=lambda state: rendezvous_weight(state.listed.id, prefix))
 
 
-def _nothing_new() -> None:
+def _no_update() -> None:
     """Stand where counts come in by themselves."""
 
 
-def _would_wait(state: ServerState, now_ms: float) -> bool:
+def _is_full(state: ServerState, now_ms: float) -> bool:
     """Tell whether online requests and the batch items that keep places fill a server."""
     busy_count = state.online_count(now_ms) + state.held_count(now_ms)
     return busy_count >= state.listed.slots_count
 
 
-def _mean_time(states: list[ServerState]) -> float:
+def _median_latency_ms(states: list[ServerState]) -> float:
     times = sorted(state.mean_ms for state in states if state.mean_ms)
     return times[len(times) // 2] if times else 0.0
--- a/citrondyke/decisions/forwarding/server_state.py
+++ b/citrondyke/decisions/forwarding/server_state.py
@@ -9,35 +9,35 @@
 from citrondyke.decisions.servers.outcomes import NEVER_MS, Outcome
 from citrondyke.decisions.servers.reported_slowdown import ReportedSlowdown
 from citrondyke.decisions.servers.server_health import ServerHealth
-from citrondyke.decisions.servers.server_outcome_history import ServerOutcomeHistory
+from citrondyke.decisions.servers.server_health_record import ServerHealthRecord
 from citrondyke.ids import InstanceId, ServerIncarnation
 
 __all__ = ('PEER_COUNT_MS', 'RequestCounts', 'ServerState')
 
 #: Load that a server states of itself is believed for so long: it tells of the moment of its
 #: answer, and a request for tokens runs for some 700 ms.
-STATED_LOAD_MS = 250.0
+REPORTED_LOAD_MS = 250.0
 #: Times its places that a server may state to have; servers queue a few times their places.
-STATED_SLOTS = 16
+REPORTED_LOAD_FACTOR = 16
 #: Counts of a peer lapse: it renews them every 500 ms while they are not zero, and one datagram
 #: in a hundred is lost.
 PEER_COUNT_MS = 1_600.0
 #: Share of a new measurement in the mean of a server's times.
-MEAN_SHARE = 0.15
+SMOOTHING_FACTOR = 0.15
 #: First failures that take a server out, and for how long; each further one doubles it. A server
 #: that is down costs a caller about 1 ms (refused) to 1 s (silent) for each try.
 FAILURES_LIMIT = 2
 EJECT_MS = 800.0
-EJECT_LONGEST_MS = 4_000.0
+MAX_EJECT_MS = 4_000.0
 #: Part of a server's places that batch items keep where their jobs would be late otherwise. With
 #: none, 85% of the items of a service with two of its five servers left were late.
-HELD_SHARE = 0.25
+PROTECTED_BATCH_SHARE = 0.25
 
 
 #: Share of one outcome in a server's share of failures, and the time in which that halves without
 #: a new one: a server that recovers gets requests again within seconds.
-FAILING_SHARE = 0.3
-FAILING_HALVES_MS = 2_000.0
+FAILURE_SMOOTHING_FACTOR = 0.3
+FAILURE_HALF_LIFE_MS = 2_000.0
 
 
 class RequestCounts(msgspec.Struct):
@@ -82,7 +82,7 @@
         self.is_misplaced = False
         #: Mean time of its answers (of its first events, for streams); 0 before the first.
         self.mean_ms = 0.0
-        self.record = ServerOutcomeHistory(since_ms)
+        self.record = ServerHealthRecord(since_ms)
         self.speed = LatencyRatio()
         self.pace = ReportedSlowdown()
         self._peers: dict[InstanceId, _PeerCount] = {}
@@ -104,12 +104,14 @@
 
     def record_reported_load(self, running: int, waiting: int, now_ms: float) -> None:
         """Take in what the server says of itself; counts that it cannot hold are bounded."""
-        self._stated = min(running + waiting, STATED_SLOTS * max(1, self.listed.slots_count))
-        self._stated_until_ms = now_ms + STATED_LOAD_MS
+        self._stated = min(
+            running + waiting, REPORTED_LOAD_FACTOR * max(1, self.listed.slots_count)
+        )
+        self._stated_until_ms = now_ms + REPORTED_LOAD_MS
 
     def record_latency(self, took_ms: float) -> None:
         """Take in the time of an answer or a first event."""
-        share = MEAN_SHARE if self.mean_ms else 1.0
+        share = SMOOTHING_FACTOR if self.mean_ms else 1.0
         self.mean_ms += share * (took_ms - self.mean_ms)
 
     def record_work(self, took_ms: float, usual_ms: float, now_ms: float) -> None:
@@ -118,20 +120,20 @@
 
     def note_success(self) -> None:
         """Forget failures in a row; their share only shrinks."""
-        self._failing *= 1.0 - FAILING_SHARE
+        self._failing *= 1.0 - FAILURE_SMOOTHING_FACTOR
         self.failures_count = 0
         self.ejected_until_ms = 0.0
 
     def note_failure(self, now_ms: float, outcome: Outcome = Outcome.UNANSWERED) -> None:
         """Count a failure; enough of them in a row take the server out for a while, here."""
         self.record.note(outcome, now_ms)
-        self._failing *= 0.5 ** ((now_ms - self._failing_ms) / FAILING_HALVES_MS)
-        self._failing += FAILING_SHARE * (1.0 - self._failing)
+        self._failing *= 0.5 ** ((now_ms - self._failing_ms) / FAILURE_HALF_LIFE_MS)
+        self._failing += FAILURE_SMOOTHING_FACTOR * (1.0 - self._failing)
         self._failing_ms = now_ms
         self.failures_count += 1
         beyond = self.failures_count - FAILURES_LIMIT
         if beyond >= 0:
-            pause_ms = min(EJECT_LONGEST_MS, EJECT_MS * 2.0**beyond)
+            pause_ms = min(MAX_EJECT_MS, EJECT_MS * 2.0**beyond)
             self.ejected_until_ms = now_ms + pause_ms
 
     def is_out(self, now_ms: float) -> bool:
@@ -144,7 +146,7 @@
 
     def failing(self, now_ms: float) -> float:
         """Give the share of requests that it failed lately, by this instance or by all."""
-        halves_count = (now_ms - self._failing_ms) / FAILING_HALVES_MS
+        halves_count = (now_ms - self._failing_ms) / FAILURE_HALF_LIFE_MS
         return max(float(self._failing * 0.5**halves_count), self.record.failing_share)
 
     def record_unreachable(self, now_ms: float) -> None:
@@ -183,7 +185,7 @@
     @property
     def held_limit(self) -> int:
         """Give the places that batch items at risk may keep from online requests."""
-        return max(1, int(self.listed.slots_count * HELD_SHARE))
+        return max(1, int(self.listed.slots_count * PROTECTED_BATCH_SHARE))
 
     def held_count(self, now_ms: float) -> int:
         """Count the batch items that do not make room for online requests."""
--- a/citrondyke/decisions/forwarding/startup_hold.py
+++ b/citrondyke/decisions/forwarding/startup_hold.py
@@ -13,11 +13,11 @@
 #: more, and the caller needs most of its time there.
 HOLD_MS = 1_000.0
 #: Of what the caller will wait.
-HOLD_PART = 1 / 3
+HOLD_SHARE = 1 / 3
 #: A request that waits holds its connection and what came of its body.
 HELD_LIMIT = 256
 #: Of the time after which a caller who was turned away comes again.
-RETRY_LEAST_MS, RETRY_MOST_MS = 200.0, 1_500.0
+RETRY_MIN_MS, RETRY_MAX_MS = 200.0, 1_500.0
 RETRY_SPREAD = 0.5
 
 
@@ -42,7 +42,7 @@
         if self._held >= HELD_LIMIT:
             return None
         self._held += 1
-        hold_ms = HOLD_MS if within_ms is None else min(HOLD_MS, within_ms * HOLD_PART)
+        hold_ms = HOLD_MS if within_ms is None else min(HOLD_MS, within_ms * HOLD_SHARE)
         return self._context.now_ms() + hold_ms
 
     def end(self) -> None:
@@ -56,5 +56,5 @@
         away together from coming back together.
         """
         passed_ms = self._context.now_ms() - self._began_ms
-        expected_ms = min(max(passed_ms, RETRY_LEAST_MS), RETRY_MOST_MS)
+        expected_ms = min(max(passed_ms, RETRY_MIN_MS), RETRY_MAX_MS)
         return expected_ms * (1.0 + RETRY_SPREAD * self._context.random.random())
--- a/citrondyke/decisions/notices.py
+++ b/citrondyke/decisions/notices.py
@@ -19,7 +19,7 @@
 __all__ = ('Notices',)
 
 #: Changes within this time of each other travel together.
-GATHER_MS = 2.0
+COALESCE_MS = 2.0
 #: What is not zero is said again after this time, in case a notice was lost. At the target a node
 #: has over a hundred answers under way; to say each again every second would be most of its
 #: traffic.
@@ -55,7 +55,7 @@
         while True:
             fired = yield from wait_for(self._wake, repeat_at_ms)
             if fired:
-                yield from sleep_until(self._context.now_ms() + GATHER_MS)
+                yield from sleep_until(self._context.now_ms() + COALESCE_MS)
             if self._context.now_ms() >= repeat_at_ms:
                 repeat_at_ms = self._context.now_ms() + REPEAT_MS
                 self._repeat()
--- a/citrondyke/decisions/reservations/rejected_work.py
+++ b/citrondyke/decisions/reservations/rejected_work.py
@@ -11,7 +11,7 @@
 
 #: Callers come back within a third of the time that they have.
 REMEMBERED_MS = 3_000.0
-REMEMBERED_LIMIT = 4_000
+TOMBSTONES_LIMIT = 4_000
 #: Without a refusal of new work for so long there is room for what comes back.
 OVERLOAD_MEMORY_MS = 300.0
 
@@ -36,7 +36,7 @@
                 self._at_ms[work] = now_ms
         while self._at_ms:
             oldest = next(iter(self._at_ms))
-            is_full = len(self._at_ms) > REMEMBERED_LIMIT
+            is_full = len(self._at_ms) > TOMBSTONES_LIMIT
             if not is_full and self._at_ms[oldest] >= now_ms - REMEMBERED_MS:
                 break
             del self._at_ms[oldest]
--- a/citrondyke/decisions/server_list/reader_election.py
+++ b/citrondyke/decisions/server_list/reader_election.py
@@ -18,12 +18,12 @@
 #: The second one tells the same, so that the loss of one is no gap.
 READERS_COUNT = 2
 #: With fewer instances in a zone its readers would save next to nothing.
-LEAST_IN_ZONE = 5
+MIN_ZONE_SIZE = 5
 #: Bytes of one whole read of the list by all instances from which on few read it. Below, all of
 #: them together are a small part of a second of the store's link, and each is on its own.
-PAYS_BYTES = 16_000_000
+WORTHWHILE_BYTES = 16_000_000
 #: Part of it below which all read again.
-STOPS_SHARE = 0.5
+STOP_SHARE = 0.5
 
 
 class ReaderElection:
@@ -44,7 +44,7 @@
         :param list_bytes: of the values of the whole list.
         """
         all_bytes = list_bytes * instances_count
-        limit = PAYS_BYTES * (STOPS_SHARE if self._pays else 1.0)
+        limit = WORTHWHILE_BYTES * (STOP_SHARE if self._pays else 1.0)
         self._pays = all_bytes >= limit
         return self._pays
 
@@ -54,7 +54,7 @@
         :returns: none where the zone is too small.
         """
         members = list(zone_members)
-        if len(members) < LEAST_IN_ZONE:
+        if len(members) < MIN_ZONE_SIZE:
             return []
         seed = f'list {self._context.zone}'
         return nlargest(READERS_COUNT, members, key=lambda each: rendezvous_weight(each, seed))
--- a/citrondyke/decisions/server_list/reader_lease_tracker.py
+++ b/citrondyke/decisions/server_list/reader_lease_tracker.py
@@ -18,15 +18,15 @@
 #: Readers tell how far they are three times a second, and two of them do: two lost datagrams of
 #: each are no silence yet. Servers that leave may get requests for 2 s, in which a follower must
 #: have noticed the silence and asked the store.
-SILENT_MS = 900.0
+LEASE_MS = 900.0
 #: A reader that has not heard from the store for longer covers nobody. It asks each second.
 FRESH_MS = 1_600.0
 #: For so long lists may differ before all rows are asked for: one of the two hears of a change
 #: first, at most a pause of the other's feed before it.
-DIFFERS_MS = 1_500.0
+DIVERGENCE_LIMIT_MS = 1_500.0
 #: Time between two questions for all rows; two lists may differ for seconds after an outage, as
 #: each drops lapsed rows at its own time.
-FULL_RESEND_MS = 5_000.0
+FULL_REQUEST_EVERY_MS = 5_000.0
 READERS_LIMIT = 16
 
 
@@ -38,7 +38,7 @@
     EVERYTHING = 'everything'
 
 
-class _Heard(msgspec.Struct):
+class _ReaderState(msgspec.Struct):
     life: str
     #: Up to which all changes that this reader told are known here; -1 where none are.
     number: int
@@ -55,7 +55,7 @@
     def __init__(self, context: Context) -> None:
         """Start having heard of nobody."""
         self._context = context
-        self._heard: dict[InstanceId, _Heard] = {}
+        self._heard: dict[InstanceId, _ReaderState] = {}
         self._covered_until_ms = float('-inf')
         #: Whose word covered last.
         self.source: InstanceId | None = None
@@ -68,7 +68,7 @@
     @property
     def has_reader(self) -> bool:
         """Tell whether some reader was heard a moment ago."""
-        since_ms = self._context.now_ms() - SILENT_MS
+        since_ms = self._context.now_ms() - LEASE_MS
         return any(heard.heard_ms >= since_ms for heard in self._heard.values())
 
     def known(self, reader: InstanceId) -> ServerListCursor:
@@ -89,7 +89,7 @@
         if heard.is_level:
             heard.number = told.number
             heard.differs_since_ms = None
-            until_ms = now_ms + min(SILENT_MS, FRESH_MS - told.age_ms)
+            until_ms = now_ms + min(LEASE_MS, FRESH_MS - told.age_ms)
             if until_ms > self._covered_until_ms:
                 self._covered_until_ms = until_ms
                 self.source = reader
@@ -98,7 +98,7 @@
             heard.differs_since_ms = now_ms
         if 0 <= heard.number < told.number:
             return MissingRows.CHANGES
-        return self._lack_of_everything(heard, now_ms)
+        return self._missing_everything(heard, now_ms)
 
     def is_level(self, reader: InstanceId) -> bool:
         """Tell whether a reader's last word was that it has the list that is known here."""
@@ -120,24 +120,24 @@
             heard.number = max(heard.number, number)
         return is_whole
 
-    def _lack_of_everything(self, heard: _Heard, now_ms: float) -> MissingRows:
+    def _missing_everything(self, heard: _ReaderState, now_ms: float) -> MissingRows:
         """Ask for all rows where nobody covers, or where the lists differ for long."""
         since_ms = heard.differs_since_ms
-        differs_long = since_ms is not None and now_ms - since_ms >= DIFFERS_MS
+        differs_long = since_ms is not None and now_ms - since_ms >= DIVERGENCE_LIMIT_MS
         if self.is_covered and not differs_long:
             return MissingRows.NOTHING
         if heard.number >= 0 and not differs_long:
             return MissingRows.NOTHING
-        if now_ms - heard.whole_asked_ms < FULL_RESEND_MS:
+        if now_ms - heard.whole_asked_ms < FULL_REQUEST_EVERY_MS:
             return MissingRows.NOTHING
         heard.whole_asked_ms = now_ms
         heard.number = -1
         return MissingRows.EVERYTHING
 
-    def _of(self, reader: InstanceId, life: str) -> _Heard:
+    def _of(self, reader: InstanceId, life: str) -> _ReaderState:
         heard = self._heard.pop(reader, None)
         if heard is None or heard.life != life:
-            heard = _Heard(life, -1, self._context.now_ms())
+            heard = _ReaderState(life, -1, self._context.now_ms())
         self._heard[reader] = heard
         while len(self._heard) > READERS_LIMIT:
             del self._heard[next(iter(self._heard))]
--- a/citrondyke/decisions/server_list/server_list_change_log.py
+++ b/citrondyke/decisions/server_list/server_list_change_log.py
@@ -7,7 +7,7 @@
 __all__ = ('ServerListChangeLog',)
 
 #: Changes that are remembered beyond one of each row that is there.
-SPARE_LIMIT = 2_000
+EXTRA_KEYS_LIMIT = 2_000
 
 
 class ServerListChangeLog:
@@ -32,7 +32,7 @@
         self.number += 1
         self._numbers[key] = self.number
         self._numbers.move_to_end(key)
-        if len(self._numbers) > rows_count + SPARE_LIMIT:
+        if len(self._numbers) > rows_count + EXTRA_KEYS_LIMIT:
             _, self._floor = self._numbers.popitem(last=False)
 
     def changed_since(self, number: int) -> list[str] | None:
--- a/citrondyke/decisions/server_list/server_list_delta.py
+++ b/citrondyke/decisions/server_list/server_list_update.py
@@ -8,10 +8,10 @@
 from citrondyke.decisions.forwarding.route_table import RouteTable
 from citrondyke.decisions.forwarding.server_list_entry import ServerListEntry
 
-__all__ = ('ServerListDelta',)
+__all__ = ('ServerListUpdate',)
 
 
-class ServerListDelta(msgspec.Struct, frozen=True, omit_defaults=True):
+class ServerListUpdate(msgspec.Struct, frozen=True, omit_defaults=True):
     """Rows that changed between two numbers of the reader's journal, or all of them."""
 
     #: Of the reader whose numbers these are.
--- a/citrondyke/decisions/servers/baseline_latencies.py
+++ b/citrondyke/decisions/servers/baseline_latencies.py
@@ -10,7 +10,7 @@
 __all__ = ('BaselineLatencies',)
 
 #: Share of a new measurement in the mean.
-MEAN_SHARE = 0.05
+SMOOTHING_FACTOR = 0.05
 
 
 class BaselineLatencies:
@@ -27,6 +27,6 @@
     def note(self, route: RouteName, service: ServiceName, took_ms: float) -> float:
         """Take in an answer's time; give the usual one."""
         known_ms = self._mean_ms.get((route, service), took_ms)
-        mean_ms = known_ms + MEAN_SHARE * (took_ms - known_ms)
+        mean_ms = known_ms + SMOOTHING_FACTOR * (took_ms - known_ms)
         self._mean_ms[route, service] = mean_ms
         return mean_ms
--- a/citrondyke/decisions/servers/few_candidates.py
+++ b/citrondyke/decisions/servers/candidate_sampling.py
@@ -10,15 +10,15 @@
 
     from citrondyke.decisions.forwarding.server_state import ServerState
 
-__all__ = ('CANDIDATES', 'few_candidates')
+__all__ = ('DRAWN_CANDIDATES_COUNT', 'sample_candidates')
 
 #: Servers that are drawn. With fewer, slow ones are too often the only choice; with more, all
 #: instances choose the same one where counts are a tenth of a second old.
-CANDIDATES = 4
+DRAWN_CANDIDATES_COUNT = 4
 
 
-def few_candidates(
-    states: list[ServerState], random: Random, now_ms: float, count: int = CANDIDATES
+def sample_candidates(
+    states: list[ServerState], random: Random, now_ms: float, count: int = DRAWN_CANDIDATES_COUNT
 ) -> list[ServerState]:
     """Draw servers, a quick one more often than a slow one.
 
--- a/citrondyke/decisions/servers/evidence_notices.py
+++ b/citrondyke/decisions/servers/evidence_notices.py
@@ -19,7 +19,7 @@
 #: Datagrams that an instance sends for this in a second at the most, however large the fleet is.
 DATAGRAMS_PER_S = 200.0
 #: What is told is told once more after so long: one datagram in a hundred is lost.
-AGAIN_AFTER_MS = 150.0
+RESEND_AFTER_MS = 150.0
 
 
 class EvidenceNotices:
@@ -57,7 +57,7 @@
                 again_ms[state.life] = due_ms
             if is_news:
                 state.record.has_news = False
-                again_ms[state.life] = now_ms + AGAIN_AFTER_MS
+                again_ms[state.life] = now_ms + RESEND_AFTER_MS
         self._again_ms = again_ms
         if rows:
             self._sent_ms = now_ms
--- a/citrondyke/decisions/servers/health_evaluator.py
+++ b/citrondyke/decisions/servers/health_evaluator.py
@@ -24,22 +24,22 @@
 FAILURES_LIMIT = 3
 #: ... where they are this share of the results since the first one. Callers of a server that
 #: fails less are better served by it than by fuller ones; what may run once goes elsewhere.
-SHARE_LIMIT = 0.2
+FAILURE_SHARE_LIMIT = 0.2
 #: ... and this many times what the better servers of the service fail.
-OTHERS_FACTOR = 3
+BASELINE_FACTOR = 3
 #: Part of the servers, those with the fewest failures, that are taken for the better ones: where
 #: these fail as well, it is not the servers.
-COMPARISON_SHARE = 8
+BASELINE_DIVISOR = 8
 #: A witness that gets no answer from more than this part of a service is cut off itself.
-EJECTED_PART = 4
+PARTITIONED_DIVISOR = 4
 #: What one witness alone tells takes out this part of a service at the most.
-ALONE_PART = 3
+SINGLE_OBSERVER_DIVISOR = 3
 #: Instances that must get no answer from a server before others hold it to be out.
-UNANSWERED_WITNESSES = 2
+MIN_UNANSWERED_OBSERVERS = 2
 #: Successes in the own zone after which failures in other zones do not count here.
-ZONE_SUCCESSES = 3
+MIN_ZONE_SUCCESSES = 3
 #: ... where they are nearly all that other zones get there.
-OTHER_ZONES_SHARE = 0.9
+REMOTE_ZONES_FAILURE_SHARE = 0.9
 #: Successes after the last failure that bring a server back.
 SUCCESSES_TO_RECOVER = 2
 #: A server that nobody has seen fail for so long may be used again, in case no request that may be
@@ -54,7 +54,7 @@
     successes: int = 0
 
 
-class _View(msgspec.Struct):
+class _FleetView(msgspec.Struct):
     """All that is known of one server."""
 
     failed: int = 0
@@ -68,7 +68,7 @@
     @property
     def failures(self) -> int:
         """Count the failures that take a server out."""
-        is_certain = self.unanswered_witnesses >= UNANSWERED_WITNESSES
+        is_certain = self.unanswered_witnesses >= MIN_UNANSWERED_OBSERVERS
         return self.failed + (self.unanswered if is_certain else 0)
 
     @property
@@ -77,12 +77,12 @@
         return self.failures / max(1, self.failures + self.succeeded)
 
     @property
-    def is_healthy_here(self) -> bool:
+    def is_confirmed_healthy_here(self) -> bool:
         """Tell whether the own zone's results show that only other zones are failed."""
-        return self.is_good_here and self.own_zone.successes >= ZONE_SUCCESSES
+        return self.fails_elsewhere_only and self.own_zone.successes >= MIN_ZONE_SUCCESSES
 
     @property
-    def is_good_here(self) -> bool:
+    def fails_elsewhere_only(self) -> bool:
         """Tell whether zones see hardly anything but failures, and the own zone none.
 
         A server that fails a part of its requests may have served three in a row here.
@@ -90,7 +90,7 @@
         failed = [zone for zone in self.other_zones.values() if zone.failures]
         failures = sum(zone.failures for zone in failed)
         results = failures + sum(zone.successes for zone in failed)
-        fails_elsewhere = failures > 0 and failures >= OTHER_ZONES_SHARE * results
+        fails_elsewhere = failures > 0 and failures >= REMOTE_ZONES_FAILURE_SHARE * results
         return fails_elsewhere and not self.own_zone.failures and self.own_zone.successes > 0
 
     @property
@@ -119,43 +119,45 @@
     def judge(self, states: Sequence[ServerState]) -> list[HealthChange]:
         """Judge the servers of one service; give what changed."""
         now_ms = self._context.now_ms()
-        concerned = [state for state in states if state.record.needs_judging(now_ms)]
+        concerned = [state for state in states if state.record.needs_evaluation(now_ms)]
         if not concerned:
             return []
-        cut_off = self._is_partitioned(states, now_ms)
+        cut_off = self._partitioned_observers(states, now_ms)
         views = {state.life: self._view(state, cut_off, now_ms) for state in concerned}
-        floor = _peer_failures(states, views)
-        alone_left = max(1, len(states) // ALONE_PART) - sum(
+        floor = _baseline_failures(states, views)
+        alone_left = max(1, len(states) // SINGLE_OBSERVER_DIVISOR) - sum(
             state.record.standing is ServerHealth.OUT and len(views[state.life].witnesses) == 1
             for state in concerned
         )
         changes = []
         for state in sorted(concerned, key=lambda each: -views[each.life].failures):
             view = views[state.life]
-            after = self._standing(state, view, floor, now_ms)
+            after = self._next_health(state, view, floor, now_ms)
             is_going = after is ServerHealth.OUT is not state.record.standing
             if is_going and len(view.witnesses) == 1:
                 if alone_left <= 0:
                     after = ServerHealth.DOUBTED
                 alone_left -= 1
-            change = _settle(state, view, after, now_ms)
+            change = _apply_health(state, view, after, now_ms)
             if change is not None:
                 changes.append(change)
         return changes
 
-    def _standing(self, state: ServerState, view: _View, floor: int, now_ms: float) -> ServerHealth:
+    def _next_health(
+        self, state: ServerState, view: _FleetView, floor: int, now_ms: float
+    ) -> ServerHealth:
         record = state.record
-        is_usual = floor > 0 and view.failures < OTHERS_FACTOR * floor
-        if view.is_healthy_here or is_usual:
+        is_usual = floor > 0 and view.failures < BASELINE_FACTOR * floor
+        if view.is_confirmed_healthy_here or is_usual:
             return ServerHealth.SOUND
-        recovered = record.recovered(self._believed(state, view, now_ms), now_ms)
+        recovered = record.recovered(self._trusted_peers(state, view, now_ms), now_ms)
         silent_ms = now_ms - record.last_failure_ms
         if silent_ms > MAX_DEGRADED_MS:
             return ServerHealth.SOUND
         if record.standing is ServerHealth.OUT:
             is_back = recovered >= SUCCESSES_TO_RECOVER
             return ServerHealth.DOUBTED if is_back else ServerHealth.OUT
-        if view.failures >= FAILURES_LIMIT and view.share >= SHARE_LIMIT:
+        if view.failures >= FAILURES_LIMIT and view.share >= FAILURE_SHARE_LIMIT:
             return ServerHealth.OUT
         # A server that was silent may have been full; what it failed it may fail again.
         if recovered > 0 and (silent_ms > WINDOW_MS or not view.failed):
@@ -163,7 +165,9 @@
         is_degraded = bool(view.witnesses) or record.standing is ServerHealth.DOUBTED
         return ServerHealth.DOUBTED if is_degraded else ServerHealth.SOUND
 
-    def _believed(self, state: ServerState, view: _View, now_ms: float) -> Collection[InstanceId]:
+    def _trusted_peers(
+        self, state: ServerState, view: _FleetView, now_ms: float
+    ) -> Collection[InstanceId]:
         """Give the peers whose successes bring a server back here."""
         record = state.record
         if view.fails_here_only:
@@ -173,7 +177,9 @@
             return told.keys()
         return {peer for peer in told if self._neighbours.zone(peer) == self._context.zone}
 
-    def _is_partitioned(self, states: Sequence[ServerState], now_ms: float) -> set[InstanceId]:
+    def _partitioned_observers(
+        self, states: Sequence[ServerState], now_ms: float
+    ) -> set[InstanceId]:
         """Find the witnesses that get no answer from so many that it is they."""
         blamed: dict[InstanceId, int] = {}
         own_id = self._context.instance_id
@@ -184,12 +190,12 @@
             for peer, told in record.told(now_ms).items():
                 if told.unanswered:
                     blamed[peer] = blamed.get(peer, 0) + 1
-        limit = max(1, len(states) // EJECTED_PART)
+        limit = max(1, len(states) // PARTITIONED_DIVISOR)
         return {witness for witness, count in blamed.items() if count > limit}
 
-    def _view(self, state: ServerState, cut_off: set[InstanceId], now_ms: float) -> _View:
+    def _view(self, state: ServerState, cut_off: set[InstanceId], now_ms: float) -> _FleetView:
         record = state.record
-        view = _View()
+        view = _FleetView()
         own = record.own.sums(record.since_ms(), now_ms)
         self._add(
             view,
@@ -216,7 +222,7 @@
 
     def _add(
         self,
-        view: _View,
+        view: _FleetView,
         witness: InstanceId,
         failed: int,
         unanswered: int,
@@ -238,21 +244,23 @@
         here.successes += succeeded
 
 
-def _peer_failures(states: Sequence[ServerState], views: dict[ServerIncarnation, _View]) -> int:
+def _baseline_failures(
+    states: Sequence[ServerState], views: dict[ServerIncarnation, _FleetView]
+) -> int:
     """Give the failures of the best servers' worst: what a server of this service may fail."""
     failures = sorted(views[state.life].failures if state.life in views else 0 for state in states)
-    return failures[len(failures) // COMPARISON_SHARE]
+    return failures[len(failures) // BASELINE_DIVISOR]
 
 
-def _settle(
-    state: ServerState, view: _View, after: ServerHealth, now_ms: float
+def _apply_health(
+    state: ServerState, view: _FleetView, after: ServerHealth, now_ms: float
 ) -> HealthChange | None:
     record = state.record
     before = record.standing
     is_sound = after is ServerHealth.SOUND
     record.failing_share = 0.0 if is_sound else view.share
     record.failures = 0 if is_sound else view.failures
-    record.is_good_here = view.is_good_here
+    record.fails_elsewhere_only = view.fails_elsewhere_only
     if after is before:
         return None
     record.standing = after
--- a/citrondyke/decisions/servers/health_routing.py
+++ b/citrondyke/decisions/servers/health_policy.py
@@ -17,14 +17,14 @@
     from citrondyke.decisions.servers.server_health import HealthChange
     from citrondyke.ids import ServiceName
 
-__all__ = ('HealthRouting',)
+__all__ = ('HealthPolicy',)
 
 #: Between two judgements of a service: with all of 65 instances telling of all of 45 servers one
 #: takes some ms of processor time, and within it a failing server gets a request at the most.
-JUDGE_EVERY_MS = 40.0
+EVALUATE_EVERY_MS = 40.0
 
 
-class HealthRouting:
+class HealthPolicy:
     """Judges servers, chooses those for what may run once only, and those to be tried."""
 
     def __init__(self, context: Context, neighbours: PeerTopology) -> None:
@@ -33,8 +33,8 @@
         self._due_ms: dict[ServiceName, float] = {}
         self._judge = HealthEvaluator(context, neighbours)
         self._turns = ProbeSchedule(context, neighbours)
-        self.on_change: Callable[[HealthChange], None] = _nobody
-        self.on_trial: Callable[[ServerState], None] = _nobody
+        self.on_change: Callable[[HealthChange], None] = _no_listener
+        self.on_trial: Callable[[ServerState], None] = _no_listener
 
     def judge(self, states: Sequence[ServerState]) -> None:
         """Bring the standing of one service's servers up to date, some times a second."""
@@ -42,13 +42,13 @@
         service = states[0].listed.service if states else None
         if service is None or now_ms < self._due_ms.get(service, 0.0):
             return
-        if not any(state.record.needs_judging(now_ms) for state in states):
+        if not any(state.record.needs_evaluation(now_ms) for state in states):
             return
-        self._due_ms[service] = now_ms + JUDGE_EVERY_MS
+        self._due_ms[service] = now_ms + EVALUATE_EVERY_MS
         for change in self._judge.judge(states):
             self.on_change(change)
 
-    def servers_to_probe(self, states: Iterable[ServerState]) -> ServerState | None:
+    def server_to_probe(self, states: Iterable[ServerState]) -> ServerState | None:
         """Give a server in doubt that is to be tried by this instance now.
 
         One that is dear would otherwise stay in doubt for want of requests.
@@ -60,14 +60,14 @@
         return None
 
     @staticmethod
-    def servers_for_single_run(
+    def servers_for_at_most_once(
         usable: list[ServerState], expected_to_wait: Callable[[ServerState], bool], now_ms: float
     ) -> list[ServerState]:
         """Choose the servers for what may run once only: a failure there cannot be made good."""
         sound = [state for state in usable if state.record.standing is ServerHealth.SOUND]
-        proven = [state for state in sound if state.record.has_recent_success_at(now_ms)]
+        proven = [state for state in sound if state.record.is_past_confirmation(now_ms)]
         return proven if not all(map(expected_to_wait, proven)) else sound or usable
 
 
-def _nobody(_: object) -> None:
+def _no_listener(_: object) -> None:
     """Stand where nobody is told."""
--- a/citrondyke/decisions/servers/latency_ratio.py
+++ b/citrondyke/decisions/servers/latency_ratio.py
@@ -6,10 +6,10 @@
 
 #: Share of one answer in the mean: times of answers spread by a half, and some ten of them tell
 #: a quick server from a slow one.
-MEAN_SHARE = 0.1
+SMOOTHING_FACTOR = 0.1
 #: One answer counts within these bounds: one request in a hundred takes five times as long.
-SLOWEST_FACTOR = 3.0
-QUICKEST_FACTOR = 0.3
+MAX_SLOWDOWN = 3.0
+MIN_SLOWDOWN = 0.3
 
 
 class LatencyRatio:
@@ -26,5 +26,5 @@
         """
         if usual_ms <= 0.0:
             return
-        ratio = min(SLOWEST_FACTOR, max(QUICKEST_FACTOR, took_ms / usual_ms))
-        self.factor += MEAN_SHARE * (ratio - self.factor)
+        ratio = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, took_ms / usual_ms))
+        self.factor += SMOOTHING_FACTOR * (ratio - self.factor)
--- a/citrondyke/decisions/servers/outcomes.py
+++ b/citrondyke/decisions/servers/outcomes.py
@@ -7,13 +7,13 @@
 
 import msgspec
 
-__all__ = ('Outcome', 'OutcomeCounts', 'Outcomes')
+__all__ = ('Outcome', 'OutcomeCounts', 'OutcomeWindow')
 
 #: Results count for so long. A server that has recovered is used by all again within seconds,
 #: and at five requests a second one that fails every third shows five failures in it.
 WINDOW_MS = 3_000.0
 #: Results of this span are kept as one.
-SLOT_MS = 100.0
+BUCKET_MS = 100.0
 NEVER_MS = float('-inf')
 
 
@@ -36,25 +36,25 @@
     succeeded: int = 0
 
 
-class _Slot(msgspec.Struct):
+class _Bucket(msgspec.Struct):
     began_ms: float
     counts: dict[Outcome, int]
 
 
-class Outcomes:
+class OutcomeWindow:
     """Results of the last seconds; the time of the last one of each kind."""
 
     def __init__(self) -> None:
         """Start without a result."""
-        self._slots: deque[_Slot] = deque()
+        self._slots: deque[_Bucket] = deque()
         self._last_ms = dict.fromkeys(Outcome, NEVER_MS)
 
     def note(self, outcome: Outcome, now_ms: float) -> None:
         """Take in a result."""
         turned = outcome is Outcome.SUCCEEDED and self.last_failure_ms > self._last_ms[outcome]
         self._last_ms[outcome] = now_ms
-        if turned or not self._slots or now_ms - self._slots[-1].began_ms >= SLOT_MS:
-            self._slots.append(_Slot(now_ms, dict.fromkeys(Outcome, 0)))
+        if turned or not self._slots or now_ms - self._slots[-1].began_ms >= BUCKET_MS:
+            self._slots.append(_Bucket(now_ms, dict.fromkeys(Outcome, 0)))
             self._forget(now_ms)
         self._slots[-1].counts[outcome] += 1
 
@@ -70,7 +70,7 @@
     def sums(self, since_ms: float, now_ms: float) -> OutcomeCounts:
         """Add up what came since a time, about, within the window."""
         self._forget(now_ms)
-        found = [slot.counts for slot in self._slots if slot.began_ms + SLOT_MS > since_ms]
+        found = [slot.counts for slot in self._slots if slot.began_ms + BUCKET_MS > since_ms]
         return OutcomeCounts(
             sum(counts[Outcome.FAILED] for counts in found),
             sum(counts[Outcome.UNANSWERED] for counts in found),
--- a/citrondyke/decisions/servers/probe_schedule.py
+++ b/citrondyke/decisions/servers/probe_schedule.py
@@ -16,7 +16,7 @@
 
 #: Length of a turn: a server that has recovered is back after some of them, and one that has not
 #: fails no more than five requests a second, which are repeated elsewhere.
-TURN_MS = 200.0
+ROTATION_MS = 200.0
 
 
 class ProbeSchedule:
@@ -39,9 +39,9 @@
         record = state.record
         since_failure_ms = now_ms - record.last_failure_ms
         # Where only other zones are failed, their failures are no reason to wait.
-        if not record.is_good_here and since_failure_ms < record.pause_ms(now_ms):
+        if not record.fails_elsewhere_only and since_failure_ms < record.pause_ms(now_ms):
             return False
-        turn = int(self._context.epoch_ms() // TURN_MS)
+        turn = int(self._context.epoch_ms() // ROTATION_MS)
         if self._taken.get(state.life) == turn or not self._is_own(state, turn):
             return False
         self._taken = {life: each for life, each in self._taken.items() if each == turn}
--- a/citrondyke/decisions/servers/reported_slowdown.py
+++ b/citrondyke/decisions/servers/reported_slowdown.py
@@ -5,14 +5,14 @@
 __all__ = ('ReportedSlowdown',)
 
 #: A server shares its machine; a figure of the moment loses half of its weight in this time.
-HALVES_MS = 150.0
+HALF_LIFE_MS = 150.0
 #: Figures beyond this many times the usual are no measurement.
 IMPLAUSIBLE_FACTOR = 100.0
 #: Figures count within these bounds: a wrong one must neither draw everybody nor hide a server.
-SLOWEST_FACTOR = 4.0
-QUICKEST_FACTOR = 0.25
+MAX_SLOWDOWN = 4.0
+MIN_SLOWDOWN = 0.25
 #: Share of a new figure in the mean of a server's figures.
-MEAN_SHARE = 0.1
+SMOOTHING_FACTOR = 0.1
 
 
 class ReportedSlowdown:
@@ -40,9 +40,9 @@
         """
         if not 0.0 < factor <= IMPLAUSIBLE_FACTOR:
             return False
-        self._last = min(SLOWEST_FACTOR, max(QUICKEST_FACTOR, factor))
+        self._last = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, factor))
         self._last_ms = now_ms
-        share = MEAN_SHARE if self.is_known else 1.0
+        share = SMOOTHING_FACTOR if self.is_known else 1.0
         self._mean += share * (self._last - self._mean)
         return True
 
@@ -50,5 +50,5 @@
         """Give what is to be expected now; 1.0 where nothing was stated."""
         if not self.is_known:
             return 1.0
-        weight = 0.5 ** ((now_ms - self._last_ms) / HALVES_MS)
+        weight = 0.5 ** ((now_ms - self._last_ms) / HALF_LIFE_MS)
         return float(self._mean + weight * (self._last - self._mean))
--- a/citrondyke/decisions/servers/server_outcome_history.py
+++ b/citrondyke/decisions/servers/server_health_record.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.decisions.servers.outcomes import NEVER_MS, WINDOW_MS, Outcome, Outcomes
+from citrondyke.decisions.servers.outcomes import NEVER_MS, WINDOW_MS, Outcome, OutcomeWindow
 from citrondyke.decisions.servers.server_health import ServerHealth
 
 if TYPE_CHECKING:
@@ -15,18 +15,18 @@
     from citrondyke.decisions.servers.server_evidence import ServerEvidence
     from citrondyke.ids import InstanceId
 
-__all__ = ('PeerOutcomes', 'ServerOutcomeHistory')
+__all__ = ('PeerOutcomes', 'ServerHealthRecord')
 
 #: A server that failed is out for so long before the first trial, twice as long for each time
 #: that it went out lately: one that goes up and down by turns must not fail somebody each time.
-FIRST_PAUSE_MS = 500.0
-LONGEST_PAUSE_MS = 4_000.0
+FIRST_PROBE_DELAY_MS = 500.0
+MAX_PROBE_DELAY_MS = 4_000.0
 #: ... and one that does not answer for so long, then for the longest time: each trial costs its
 #: caller the time until it is sent elsewhere, not the few ms of an error.
-UNANSWERED_PAUSE_MS = 1_000.0
+UNANSWERED_PROBE_DELAY_MS = 1_000.0
 #: A new life waits so long for a request that may be repeated before it gets others: where none
 #: comes, it would else stay idle.
-UNCONFIRMED_MS = 1_000.0
+CONFIRMATION_WAIT_MS = 1_000.0
 #: Times that it went out count for so long.
 EJECTION_HISTORY_MS = 20_000.0
 
@@ -43,7 +43,7 @@
     until_ms: float
 
 
-class ServerOutcomeHistory:
+class ServerHealthRecord:
     """Own and told results, and the standing that they led to."""
 
     def __init__(self, since_ms: float) -> None:
@@ -52,7 +52,7 @@
         :param since_ms: when this instance heard of the life.
         """
         self._since_ms = since_ms
-        self.own = Outcomes()
+        self.own = OutcomeWindow()
         self.standing = ServerHealth.SOUND
         #: Somebody has seen this life succeed.
         self.is_proven = False
@@ -67,7 +67,7 @@
         #: The last failure that anybody is known to have seen.
         self.last_failure_ms = NEVER_MS
         #: The own zone has seen successes only, while others saw failures.
-        self.is_good_here = False
+        self.fails_elsewhere_only = False
         #: Until then only the own zone's successes bring it back here, as only that was failed.
         self.zone_only_until_ms = NEVER_MS
         self._told: dict[InstanceId, PeerOutcomes] = {}
@@ -76,9 +76,9 @@
         self._is_silent = False
         self._failed_trials = 0
 
-    def has_recent_success_at(self, now_ms: float) -> bool:
+    def is_past_confirmation(self, now_ms: float) -> bool:
         """Tell whether the life has been seen to succeed, or nobody could have in its time."""
-        return self.is_proven or now_ms - self._since_ms > UNCONFIRMED_MS
+        return self.is_proven or now_ms - self._since_ms > CONFIRMATION_WAIT_MS
 
     def note(self, outcome: Outcome, now_ms: float) -> None:
         """Take in a result of this instance."""
@@ -113,7 +113,7 @@
             del self._told[peer]
         return self._told
 
-    def needs_judging(self, now_ms: float) -> bool:
+    def needs_evaluation(self, now_ms: float) -> bool:
         """Tell whether there is anything to judge."""
         if self.standing is not ServerHealth.SOUND:
             return True
@@ -137,16 +137,16 @@
     def pause_ms(self, now_ms: float) -> float:
         """Give the time after the last failure before a trial may be sent."""
         if self._is_silent:
-            return min(LONGEST_PAUSE_MS, UNANSWERED_PAUSE_MS * 4.0**self._failed_trials)
+            return min(MAX_PROBE_DELAY_MS, UNANSWERED_PROBE_DELAY_MS * 4.0**self._failed_trials)
         self.outs_ms = [out_ms for out_ms in self.outs_ms if out_ms > now_ms - EJECTION_HISTORY_MS]
         doublings = max(0, len(self.outs_ms) - 1)
-        return float(min(LONGEST_PAUSE_MS, FIRST_PAUSE_MS * 2.0**doublings))
+        return float(min(MAX_PROBE_DELAY_MS, FIRST_PROBE_DELAY_MS * 2.0**doublings))
 
     def _is_news(self, now_ms: float) -> bool:
         """Tell whether peers should hear of a success now."""
         if not self.is_proven or self.standing is ServerHealth.OUT:
             return True
-        return self.needs_judging(now_ms) and not self.own.succeeded_after(self.last_failure_ms)
+        return self.needs_evaluation(now_ms) and not self.own.succeeded_after(self.last_failure_ms)
 
     def _note_failed(self, failed_ms: float, now_ms: float, *, is_silent: bool) -> None:
         """Let successes count from the first failure on: earlier ones say nothing of it."""
@@ -155,7 +155,7 @@
             self._doubt_ms = failed_ms
         if self.standing is ServerHealth.SOUND:
             self._failed_trials = 0
-        elif silent_ms >= FIRST_PAUSE_MS:
+        elif silent_ms >= FIRST_PROBE_DELAY_MS:
             self._failed_trials += 1
         if failed_ms > self.last_failure_ms:
             self.last_failure_ms = failed_ms
--- a/citrondyke/gateway/accounts/limit_exchange.py
+++ b/citrondyke/gateway/accounts/limit_exchange.py
@@ -35,7 +35,7 @@
     from citrondyke.decisions.accounts.prepaid_accounts import PrepaidStoreCall
     from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.current_config import CurrentConfig
+    from citrondyke.decisions.forwarding.replicated_config import ReplicatedConfig
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.gateway.peers.membership import Membership
     from citrondyke.gateway.tasks import Tasks
@@ -72,7 +72,7 @@
         self,
         context: Context,
         limits: StewardLimits,
-        config: CurrentConfig,
+        config: ReplicatedConfig,
         membership: Membership,
         metrics: Metrics,
         peer_port: int,
--- a/citrondyke/gateway/callers/admission_controller.py
+++ b/citrondyke/gateway/callers/admission_controller.py
@@ -18,7 +18,7 @@
     from citrondyke.decisions.accounts.fleet_rate_limiter import LimitVerdict
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.forwarding.admission_rule import AdmissionRule
-    from citrondyke.decisions.forwarding.current_config import CurrentConfig
+    from citrondyke.decisions.forwarding.replicated_config import ReplicatedConfig
     from citrondyke.decisions.forwarding.server_registry import ServerRegistry
     from citrondyke.gateway.accounts.limit_exchange import LimitMessenger
     from citrondyke.gateway.callers.caller_connection import CallerConnection
@@ -53,7 +53,7 @@
         context: Context,
         book: ServerRegistry,
         rule: AdmissionRule,
-        config: CurrentConfig,
+        config: ReplicatedConfig,
         limits: LimitMessenger,
         answers: ErrorResponder,
         log: RequestLog,
@@ -166,7 +166,7 @@
         service = forwarding.route.pick_service(self._context.random)
         if standing is not SuspectVerdict.FREE:
             digest = forwarding.content.digest
-            return self._book.choose_excluding(service, forwarding.course.avoid, digest)
+            return self._book.choose_for_suspect(service, forwarding.course.avoid, digest)
         return self._book.choose(
             service,
             forwarding.course.avoid,
--- a/citrondyke/gateway/callers/event_relay.py
+++ b/citrondyke/gateway/callers/event_relay.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from citrondyke.decisions.forwarding.failover_timeouts import EVENT_MS
+from citrondyke.decisions.forwarding.failover_timeouts import EVENT_TIMEOUT_MS
 from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
 from citrondyke.gateway.callers.event_stream import EventSplitter
 
@@ -73,4 +73,4 @@
     def _until_ms(self, forwarding: Forwarding) -> float:
         if not forwarding.route.is_resumable or forwarding.course.is_last_run:
             return forwarding.until_ms
-        return min(forwarding.until_ms, self._context.now_ms() + EVENT_MS)
+        return min(forwarding.until_ms, self._context.now_ms() + EVENT_TIMEOUT_MS)
--- a/citrondyke/gateway/callers/forwarder.py
+++ b/citrondyke/gateway/callers/forwarder.py
@@ -6,7 +6,7 @@
 
 from citrondyke.decisions.crashes.content import LazyRequestContent
 from citrondyke.decisions.crashes.suspect_registry import SuspectVerdict
-from citrondyke.decisions.forwarding.failover_timeouts import EVENT_MS, FailoverTimeouts
+from citrondyke.decisions.forwarding.failover_timeouts import EVENT_TIMEOUT_MS, FailoverTimeouts
 from citrondyke.decisions.forwarding.route import RouteKind
 from citrondyke.decisions.forwarding.send_history import SendHistory, SendOutcome
 from citrondyke.decisions.forwarding.server_state import ServerState
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.current_config import CurrentConfig
+    from citrondyke.decisions.forwarding.replicated_config import ReplicatedConfig
     from citrondyke.decisions.forwarding.route import Route
     from citrondyke.decisions.memory.byte_budget import ByteBudget, HeldBytes
     from citrondyke.gateway.callers.admission_controller import AdmissionController
@@ -54,7 +54,7 @@
         dialect: Dialect,
         answers: ErrorResponder,
         log: RequestLog,
-        config: CurrentConfig,
+        config: ReplicatedConfig,
         budget: ByteBudget,
     ) -> None:
         """Use the parts handed in."""
@@ -188,7 +188,7 @@
         except CallerGoneError:
             detail = 'caller gone'
             now_ms = self._context.now_ms()
-            if connection is not None and now_ms - connection.heard_ms > EVENT_MS:
+            if connection is not None and now_ms - connection.heard_ms > EVENT_TIMEOUT_MS:
                 # Callers leave a silent stream; without this the server that is silent would get
                 # as many requests as the others for as long as it is.
                 detail = 'caller gone, server silent'
--- a/citrondyke/gateway/jobs/item_sender.py
+++ b/citrondyke/gateway/jobs/item_sender.py
@@ -26,7 +26,7 @@
 
 #: A server whose queue is full holds an item back for up to some seconds before its first event.
 FIRST_EVENT_MS = 3_000.0
-EVENT_MS = 1_200.0
+EVENT_TIMEOUT_MS = 1_200.0
 ITEM_IMPOSSIBLE = 422
 ITEM_FAILED = 500
 FAILURE_BODY_BYTES = 65_536
@@ -102,9 +102,9 @@
     ) -> None:
         splitter = EventSplitter(progress.last_event_id)
         while (piece := connection.read_piece(until_ms)) is not None:
-            until_ms = self._context.now_ms() + EVENT_MS
+            until_ms = self._context.now_ms() + EVENT_TIMEOUT_MS
             for event in splitter.feed(piece):
-                progress.first_event_ms = progress.first_event_ms or until_ms - EVENT_MS
+                progress.first_event_ms = progress.first_event_ms or until_ms - EVENT_TIMEOUT_MS
                 progress.texts.append(event.data.decode('utf-8', 'replace'))
                 progress.last_event_id = event.id
                 progress.breaks_in_row = 0
--- a/citrondyke/gateway/jobs/job_runner.py
+++ b/citrondyke/gateway/jobs/job_runner.py
@@ -103,7 +103,7 @@
         self._counted_ms = float('-inf')
         self._waiting: Counter[CompletionLikelihood] = Counter()
         self._logged_ms = float('-inf')
-        self._look: Callable[[], None] = _nothing_new
+        self._look: Callable[[], None] = _no_update
         self._tell: Callable[[list[DemandNotice]], None] = _nobody
         self._sends = sends
         self._guard = guard
@@ -386,7 +386,7 @@
         job.end_run(progress, end, self._context.now_ms(), self._context.epoch_ms())
 
 
-def _nothing_new() -> None:
+def _no_update() -> None:
     """Stand in until there are peers."""
 
 
--- a/citrondyke/gateway/operator_state.py
+++ b/citrondyke/gateway/operator_state.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.steward_rate_limiter import StewardLimits
     from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry
-    from citrondyke.decisions.forwarding.current_config import CurrentConfig
+    from citrondyke.decisions.forwarding.replicated_config import ReplicatedConfig
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.ids import InstanceId
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         instance_id: InstanceId,
-        config: CurrentConfig,
+        config: ReplicatedConfig,
         limits: StewardLimits,
         suspects: SuspectRegistry,
         metrics: Metrics,
--- a/citrondyke/gateway/peers/list_codec.py
+++ b/citrondyke/gateway/peers/list_codec.py
@@ -5,7 +5,7 @@
 import msgspec
 import zstandard
 
-from citrondyke.decisions.server_list.server_list_delta import ServerListDelta
+from citrondyke.decisions.server_list.server_list_update import ServerListUpdate
 from citrondyke.util.decoding import decode_msgpack, decompress
 
 __all__ = ('compress_large', 'decode_offer', 'encode_offer', 'expand')
@@ -18,17 +18,17 @@
 MAGIC = b'\x28\xb5\x2f\xfd'
 
 
-def encode_offer(offer: ServerListDelta) -> bytes:
+def encode_offer(offer: ServerListUpdate) -> bytes:
     """Encode and compress rows that are handed on."""
     return compress_large(msgspec.msgpack.encode(offer))
 
 
-def decode_offer(data: bytes) -> ServerListDelta:
+def decode_offer(data: bytes) -> ServerListUpdate:
     """Decode them.
 
     :raises UnreadableBytesError: when the bytes are none.
     """
-    return decode_msgpack(decompress(data, OFFER_LIMIT_BYTES), ServerListDelta)
+    return decode_msgpack(decompress(data, OFFER_LIMIT_BYTES), ServerListUpdate)
 
 
 def compress_large(data: bytes) -> bytes:
--- a/citrondyke/gateway/peers/server_list_publisher.py
+++ b/citrondyke/gateway/peers/server_list_publisher.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 
 from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
-from citrondyke.decisions.server_list.server_list_delta import ServerListDelta
+from citrondyke.decisions.server_list.server_list_update import ServerListUpdate
 from citrondyke.gateway.peers.list_codec import encode_offer
 from citrondyke.gateway.peers.peer_codec import ListOffered, ListTold
 
@@ -32,7 +32,7 @@
 #: Three words are lost or late before a follower takes its reader for silent.
 TELL_EVERY_MS = 300.0
 #: Changes that come within it are told together; pages of a whole read too.
-GATHER_MS = 60.0
+COALESCE_MS = 60.0
 #: More is fetched over a stream: a datagram of many packets is lost with any of them.
 DATAGRAM_BYTES = 8_192
 #: Encoded answers that are kept, as all of a zone ask for the same.
@@ -135,7 +135,7 @@
         self._metrics.counters['list_answers'] += 1
         return ListOffered(kept, self.position())
 
-    def _offer(self, since: int, *, with_config: bool) -> ServerListDelta:
+    def _offer(self, since: int, *, with_config: bool) -> ServerListUpdate:
         config = self._beliefs.config
         changes = None if since < 0 else self._beliefs.servers_since(since)
         listing_version = None
@@ -145,7 +145,7 @@
             since = 0
             # A list that was not read whole says of no server that it is gone.
             listing_version = version or None
-        return ServerListDelta(
+        return ServerListUpdate(
             self._life,
             since,
             self._beliefs.list_revision,
@@ -162,7 +162,7 @@
                 self._woken.wait()
                 continue
             if self._woken.wait(TELL_EVERY_MS / 1e3):
-                gevent.sleep(GATHER_MS / 1e3)
+                gevent.sleep(COALESCE_MS / 1e3)
             self._woken.clear()
             if self._is_reader:
                 self._tell()
--- a/citrondyke/gateway/peers/server_list_subscriber.py
+++ b/citrondyke/gateway/peers/server_list_subscriber.py
@@ -17,7 +17,7 @@
 
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
-    from citrondyke.decisions.server_list.server_list_delta import ServerListDelta
+    from citrondyke.decisions.server_list.server_list_update import ServerListUpdate
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.gateway.peers.peer_codec import PeerMessage, PeerText
     from citrondyke.gateway.replication.replicated_state import ReplicatedState
@@ -129,7 +129,7 @@
             extra={'reader': self.watch.source, 'is_heard': self.watch.has_reader},
         )
 
-    def _take_offer(self, reader: InstanceId, offer: ServerListDelta) -> None:
+    def _take_offer(self, reader: InstanceId, offer: ServerListUpdate) -> None:
         if offer.table is not None:
             self._beliefs.offer_table(offer.table, f'reader {reader}')
         whole_version = offer.listing_version
--- a/citrondyke/gateway/replication/replicated_state.py
+++ b/citrondyke/gateway/replication/replicated_state.py
@@ -7,7 +7,7 @@
 import logbook
 import msgspec
 
-from citrondyke.decisions.forwarding.current_config import CurrentConfig
+from citrondyke.decisions.forwarding.replicated_config import ReplicatedConfig
 from citrondyke.decisions.forwarding.replicated_rows import ObservedRow, ReplicatedRows
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.gateway.replication.unreadable_rows import UnreadableRows
@@ -59,7 +59,7 @@
         :param on_incarnation_ended: called for each incarnation of a server that another one
             has replaced.
         """
-        self.config = CurrentConfig()
+        self.config = ReplicatedConfig()
         self.has_servers = False
         self._context = context
         self._decoder = decoder
--- a/citrondyke/gateway/replication/unreadable_rows.py
+++ b/citrondyke/gateway/replication/unreadable_rows.py
@@ -9,7 +9,7 @@
 log = logbook.Logger(__name__)
 
 #: Rows that are remembered as logged; beyond it one may be logged a second time.
-REMEMBERED_LIMIT = 1_000
+TOMBSTONES_LIMIT = 1_000
 
 
 class UnreadableRows:
@@ -29,7 +29,7 @@
             return
         self._logged.pop(key, None)
         self._logged[key] = version
-        if len(self._logged) > REMEMBERED_LIMIT:
+        if len(self._logged) > TOMBSTONES_LIMIT:
             del self._logged[next(iter(self._logged))]
         log.warning(
             'row.unreadable',
--- a/citrondyke/gateway/servers/server_sends.py
+++ b/citrondyke/gateway/servers/server_sends.py
@@ -8,7 +8,7 @@
 import logbook
 import msgspec
 
-from citrondyke.decisions.forwarding.failover_timeouts import CONNECT_MS
+from citrondyke.decisions.forwarding.failover_timeouts import CONNECT_TIMEOUT_MS
 from citrondyke.decisions.servers.outcomes import Outcome
 from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
 from citrondyke.gateway.servers.connection_pool import ConnectionPool
@@ -99,7 +99,7 @@
         """
         connection = None if only_new else self._idle.take(state.life)
         if connection is None:
-            left_ms = min(CONNECT_MS, until_ms - self._clock.now_ms())
+            left_ms = min(CONNECT_TIMEOUT_MS, until_ms - self._clock.now_ms())
             listed = state.listed
             try:
                 connection = open_connection(self._clock, listed.ip, listed.port, left_ms)
--- a/tests/test_accounts/test_accounts_turns.py
+++ b/tests/test_accounts/test_accounts_turns.py
@@ -15,7 +15,7 @@
 from citrondyke.ids import ServiceName, TenantId
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import listed_server
-from tests.test_forwarding.test_forwarding_course import route
+from tests.test_forwarding.test_forwarding_send_history import route
 
 STAY_MS = 200.0
 SLOTS = 8
--- a/tests/test_decisions/test_decisions_list_readers.py
+++ b/tests/test_decisions/test_decisions_list_readers.py
@@ -6,11 +6,15 @@
 from hypothesis import strategies as st
 
 from citrondyke.decisions.forwarding.replicated_rows import ObservedRow, ReplicatedRows
-from citrondyke.decisions.server_list.reader_election import PAYS_BYTES, STOPS_SHARE, ReaderElection
+from citrondyke.decisions.server_list.reader_election import (
+    STOP_SHARE,
+    WORTHWHILE_BYTES,
+    ReaderElection,
+)
 from citrondyke.decisions.server_list.reader_lease_tracker import (
     DIFFERS_MS,
     FRESH_MS,
-    SILENT_MS,
+    LEASE_MS,
     MissingRows,
     ReaderLeaseTracker,
 )
@@ -41,7 +45,7 @@
 def test_reader_covers_until_it_is_silent() -> None:
     at = Listening()
     assert at.hear(position(3)) is MissingRows.NOTHING
-    at.clock.ms += SILENT_MS - 1
+    at.clock.ms += LEASE_MS - 1
     assert at.watch.is_covered
     at.clock.ms += 1
     assert not at.watch.is_covered
@@ -51,7 +55,7 @@
     # Both readers are lost right after a word. A follower's own feed goes on when their word has
     # lapsed and one pause is over; its first answer must come within the 2 s in which servers that
     # leave may still get requests, with a call of a store that takes 300 ms.
-    longest_ms = SILENT_MS + 1.2 * FEED_PAUSE_MS + 300.0
+    longest_ms = LEASE_MS + 1.2 * FEED_PAUSE_MS + 300.0
     assert longest_ms < 2_000.0
 
 
@@ -68,7 +72,7 @@
     at = Listening()
     at.hear(position(3))
     assert at.hear(position(40), SECOND) is MissingRows.NOTHING
-    at.clock.ms += SILENT_MS
+    at.clock.ms += LEASE_MS
     assert at.hear(position(40), SECOND) is MissingRows.NOTHING
     assert at.watch.is_covered
 
@@ -92,16 +96,16 @@
     at = Listening()
     at.hear(position(30))
     told = ServerListCursor('next', 40, 1, is_whole=True)
-    at.clock.ms += SILENT_MS
+    at.clock.ms += LEASE_MS
     assert at.hear(told) is MissingRows.EVERYTHING
 
 
 def test_few_bytes_are_read_by_everybody_and_the_rule_does_not_flap() -> None:
     rule = ReaderElection(manual_context())
-    assert not rule.pays(PAYS_BYTES // 30 - 1, 30)
-    assert rule.pays(PAYS_BYTES // 300 + 1, 300)
-    assert rule.pays(int(PAYS_BYTES * STOPS_SHARE) // 300 + 1, 300)
-    assert not rule.pays(int(PAYS_BYTES * STOPS_SHARE) // 300 - 1, 300)
+    assert not rule.pays(WORTHWHILE_BYTES // 30 - 1, 30)
+    assert rule.pays(WORTHWHILE_BYTES // 300 + 1, 300)
+    assert rule.pays(int(WORTHWHILE_BYTES * STOP_SHARE) // 300 + 1, 300)
+    assert not rule.pays(int(WORTHWHILE_BYTES * STOP_SHARE) // 300 - 1, 300)
 
 
 def test_all_choose_the_same_readers_and_a_small_zone_none() -> None:
--- a/tests/test_forwarding/test_forwarding_admission.py
+++ b/tests/test_forwarding/test_forwarding_admission.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from citrondyke.decisions.forwarding.admission_rule import (
-    LONGEST_RETRY_MS,
+    MAX_RETRY_MS,
     WAIT_SHARE,
     AdmissionRule,
     Admitted,
@@ -15,7 +15,7 @@
 from citrondyke.ids import ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import listed_server, other_instances
-from tests.test_forwarding.test_forwarding_course import route
+from tests.test_forwarding.test_forwarding_send_history import route
 
 STAY_MS = 800.0
 SLOTS = 8
@@ -93,7 +93,7 @@
         door.clock.ms += 100.0
     assert times[0] < 300.0
     assert times[-1] > 1_000.0
-    assert max(times) <= LONGEST_RETRY_MS * 1.25
+    assert max(times) <= MAX_RETRY_MS * 1.25
     door.clock.ms += 10_000.0
     later = door.ask()
     assert isinstance(later, Rejected)
--- a/tests/test_forwarding/test_forwarding_neighbours.py
+++ b/tests/test_forwarding/test_forwarding_topology.py
@@ -5,12 +5,16 @@
 from random import Random
 
 from citrondyke.decisions.forwarding.load_notices import (
-    TOTAL_KNOWN_MS,
+    TOTAL_LIFETIME_MS,
     TOTALS_EVERY_MS,
     LoadNotices,
     ServerLoad,
 )
-from citrondyke.decisions.forwarding.peer_topology import MESH_LIMIT, PACING_THRESHOLD, PeerTopology
+from citrondyke.decisions.forwarding.peer_topology import (
+    MESH_LIMIT,
+    STORE_PACING_THRESHOLD,
+    PeerTopology,
+)
 from citrondyke.decisions.forwarding.server_registry import ServerRegistry, server_digest
 from citrondyke.decisions.forwarding.server_state import ServerState
 from citrondyke.ids import InstanceId, ServerId, ServiceName
@@ -89,7 +93,7 @@
     # Each instance reads all heartbeats; if 370 did so every second as 13 do, the reads alone
     # would be 370 rows each for 370 instances, and the writes half of what the store takes.
     neighbours = PeerTopology(manual_context())
-    neighbours.replace(other_instances(2 * PACING_THRESHOLD - 1))
+    neighbours.replace(other_instances(2 * STORE_PACING_THRESHOLD - 1))
     assert neighbours.store_pace == 2.0
     neighbours.replace(other_instances(10_000))
     assert neighbours.store_pace == 3.0
@@ -245,7 +249,7 @@
     full = book.state(ServerId('full'))
     assert full is not None
     book.on_choose(lambda: full.note_peer(InstanceId('other'), 1, 0, clock.ms))
-    for choose in (book.choose, book.choose_excluding):
+    for choose in (book.choose, book.choose_for_suspect):
         chosen = choose(ServiceName('s'), (), 'name')
         assert chosen is not None
         assert chosen.listed.id == 'free'
@@ -271,5 +275,5 @@
     node.state('s1').own.online = 0
     fleet.clock.ms += TOTALS_EVERY_MS
     assert [load.online for load in node.notices.take_totals()] == [0]
-    fleet.clock.ms += TOTAL_KNOWN_MS
+    fleet.clock.ms += TOTAL_LIFETIME_MS
     assert node.notices.take_totals() == []
--- a/tests/test_forwarding/test_forwarding_dark_server.py
+++ b/tests/test_forwarding/test_forwarding_unresponsive_server.py
@@ -7,7 +7,7 @@
 import msgspec
 import pytest
 
-from citrondyke.decisions.forwarding.failover_timeouts import CONNECT_MS, FailoverTimeouts
+from citrondyke.decisions.forwarding.failover_timeouts import CONNECT_TIMEOUT_MS, FailoverTimeouts
 from citrondyke.decisions.forwarding.route import Route, RouteKind
 from citrondyke.decisions.forwarding.send_history import SendHistory, SendOutcome
 from citrondyke.decisions.forwarding.server_registry import ServerRegistry
@@ -15,7 +15,7 @@
 from citrondyke.ids import RouteName, ServerId, ServerIncarnation, ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import listed_server
-from tests.test_forwarding.test_forwarding_course import route
+from tests.test_forwarding.test_forwarding_send_history import route
 
 SERVICE = ServiceName('s')
 DARK = ServerId('s-0')
@@ -56,7 +56,7 @@
             self._clock.ms += self.patience.first_answer_ms(served_by, state, 0.0)
             state.note_failure(self._clock.now_ms())
             return SendOutcome.UNKNOWN
-        self._clock.ms += CONNECT_MS
+        self._clock.ms += CONNECT_TIMEOUT_MS
         state.record_unreachable(self._clock.now_ms())
         return SendOutcome.NOT_SENT
 
--- a/tests/test_gateway/test_peers/test_peers_list_readers.py
+++ b/tests/test_gateway/test_peers/test_peers_list_readers.py
@@ -82,7 +82,7 @@
 
     All instances share one process: on a busy machine each would be slow for the others.
     """
-    monkeypatch.setattr(reader_election, 'PAYS_BYTES', 1)
+    monkeypatch.setattr(reader_election, 'WORTHWHILE_BYTES', 1)
     monkeypatch.setattr(server_list_readers, 'MEMBERS_WITHIN_MS', 2_500.0)
     monkeypatch.setattr(server_list_readers, 'DECIDED_WITHIN_MS', 2_000.0)
     made = ReadersFleet()
--- a/tests/test_servers/test_servers_uneven.py
+++ b/tests/test_servers/test_servers_choice.py
@@ -13,7 +13,10 @@
 from citrondyke.decisions.forwarding import server_registry
 from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.decisions.forwarding.server_state import ServerState
-from citrondyke.decisions.servers.few_candidates import CANDIDATES, few_candidates
+from citrondyke.decisions.servers.candidate_sampling import (
+    DRAWN_CANDIDATES_COUNT,
+    sample_candidates,
+)
 from citrondyke.ids import InstanceId, ServerId, ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import listed_server
@@ -140,8 +143,8 @@
     if way == 'best':
         monkeypatch.setattr(
             server_registry,
-            'few_candidates',
-            lambda states, random, now_ms: few_candidates(states, random, now_ms, SERVERS),
+            'sample_candidates',
+            lambda states, random, now_ms: sample_candidates(states, random, now_ms, SERVERS),
         )
     floor = Floor(seed, speeds, states_pace=way != 'counts')
     floor.run(6_000.0, per_s)
@@ -188,8 +191,8 @@
     random = Random(1)
     drawn: Counter[ServerId] = Counter()
     for _ in range(2_000):
-        few = few_candidates(list(book.states()), random, 0.0)
-        assert len(few) == CANDIDATES
+        few = sample_candidates(list(book.states()), random, 0.0)
+        assert len(few) == DRAWN_CANDIDATES_COUNT
         drawn.update(state.listed.id for state in few)
     assert drawn[ServerId('s-0')] < 0.6 * drawn[ServerId('s-1')]
 
--- a/tests/test_servers/test_servers_failing.py
+++ b/tests/test_servers/test_servers_failing.py
@@ -10,7 +10,7 @@
 from citrondyke.decisions.servers.server_health import ServerHealth
 from citrondyke.ids import ServerId
 from tests.support.peers import listed_server
-from tests.test_servers.views import SERVICE, Asked, Fleet
+from tests.test_servers.simulated_fleet import SERVICE, Asked, Fleet
 
 SEEDS = pytest.mark.parametrize('seed', range(3))
 BAD = ServerId('s-0')
