--- a/benchmarks/admission_ways.py
+++ b/benchmarks/admission_ways.py
@@ -21,7 +21,7 @@
 )
 from benchmarks.kept_admission import KeptAdmission, KeptHalf
 from citrondyke.decisions.core.context import Context
-from citrondyke.decisions.forwarding.admission_rule import LONGEST_RETRY_MS, Rejected
+from citrondyke.decisions.forwarding.admission_rule import MAX_RETRY_MS, Rejected
 from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.ids import ServerId
 
@@ -50,16 +50,16 @@
 
     def choose(self) -> ServerId | float:
         """Choose."""
-        state = self.book.choose(SERVICE, (), '')
+        state = self.book.choose_server(SERVICE, (), '')
         assert state is not None
         answer = self.decide(state)
         if not isinstance(answer, Rejected):
             return state.listed.id
         now_ms = self.context.now_ms()
-        slots = sum(each.listed.slots_count for each in self.book.usable(SERVICE))
-        gap_ms = STAY_MS / slots * self.book.neighbours.instances_count
+        slots = sum(each.listed.slots_count for each in self.book.eligible_servers(SERVICE))
+        gap_ms = STAY_MS / slots * self.book.topology.instances_count
         self._due_ms = max(self._due_ms, now_ms + answer.expected_wait_ms) + gap_ms
-        self._due_ms = min(self._due_ms, now_ms + LONGEST_RETRY_MS)
+        self._due_ms = min(self._due_ms, now_ms + MAX_RETRY_MS)
         return self._due_ms - now_ms
 
 
@@ -73,7 +73,7 @@
 
     def choose(self) -> ServerId | float:
         """Choose."""
-        state = self.book.choose(SERVICE, (), '')
+        state = self.book.choose_server(SERVICE, (), '')
         assert state is not None
         places = state.listed.slots_count
         taken = state.online_count(self.context.now_ms())
--- a/benchmarks/gateway_load.py
+++ b/benchmarks/gateway_load.py
@@ -24,7 +24,7 @@
 from citrondyke.decisions.batch.batch_preemption import BatchPreemption, RunningItem, Urgency
 from citrondyke.decisions.batch.start_rate_limiter import StartRateLimiter
 from citrondyke.decisions.core.context import Context
-from citrondyke.decisions.forwarding.load_notices import RENEW_MS
+from citrondyke.decisions.forwarding.load_notices import RENEW_EVERY_MS
 from citrondyke.decisions.forwarding.server_list_entry import ServerListEntry
 from citrondyke.decisions.forwarding.server_registry import ServerRegistry
 from citrondyke.ids import (
@@ -112,12 +112,12 @@
         self._policies = [self._new_instance(policy, n) for n in range(INSTANCES)]
         self._ways = [
             BatchPreemption(
-                each.context, each.book, StartRateLimiter(each.context, each.book.neighbours)
+                each.context, each.book, StartRateLimiter(each.context, each.book.topology)
             )
             for each in self._policies
         ]
         self._arrivals(per_s)
-        self._every(RENEW_MS, self._renew)
+        self._every(RENEW_EVERY_MS, self._renew)
         if with_batch:
             self._every(25.0, self._pump)
 
@@ -142,7 +142,7 @@
         )
         book = ServerRegistry(context)
         others = [InstanceId(f'i{n}') for n in range(INSTANCES) if n != number]
-        book.neighbours.replace(dict.fromkeys(others, context.zone))
+        book.topology.replace(dict.fromkeys(others, context.zone))
         book.replace(
             ServerListEntry(
                 id=server_id,
@@ -260,11 +260,11 @@
             for index, other in enumerate(self._policies):
                 known = other.book.state(server_id)
                 if index != instance and known is not None:
-                    known.note_peer(sender, *counts, self.clock.ms)
+                    known.record_peer_counts(sender, *counts, self.clock.ms)
                     if self._with_batch and self._gives_way:
                         self._cut(index, self._ways[index])
 
-        gap_ms = own.book.neighbours.gap_ms
+        gap_ms = own.book.topology.notice_interval_ms
         self._at(self.clock.ms + 1.5 + gap_ms / 2, tell)
 
     def _pump(self) -> None:
@@ -278,7 +278,7 @@
     def _life(self, instance: int, server_id: ServerId) -> ServerIncarnation:
         state = self._policies[instance].book.state(server_id)
         assert state is not None
-        return state.life
+        return state.incarnation
 
     def _cut(self, instance: int, way: BatchPreemption) -> None:
         runs = [
--- a/benchmarks/gateway_policies.py
+++ b/benchmarks/gateway_policies.py
@@ -69,7 +69,7 @@
 
     def choose(self) -> ServerId | float:
         """Choose."""
-        state = self.book.choose(SERVICE, (), '')
+        state = self.book.choose_server(SERVICE, (), '')
         assert state is not None
         answer = self.decide(state)
         if isinstance(answer, Rejected):
@@ -82,7 +82,7 @@
 
     def choose(self) -> ServerId | float:
         """Choose."""
-        state = self.book.choose(SERVICE, (), '')
+        state = self.book.choose_server(SERVICE, (), '')
         assert state is not None
         return state.listed.id
 
@@ -101,7 +101,7 @@
 
     def choose(self) -> ServerId | float:
         """Choose."""
-        state = self.book.choose(SERVICE, (), '')
+        state = self.book.choose_server(SERVICE, (), '')
         assert state is not None
         now_ms = self.context.now_ms()
         if state.online_count(now_ms) >= state.listed.slots_count:
--- a/benchmarks/kept_admission.py
+++ b/benchmarks/kept_admission.py
@@ -6,7 +6,7 @@
 
 from benchmarks.gateway_policies import AIM_MS, SERVICE, STAY_MS, Ours
 from citrondyke.decisions.forwarding.admission_rule import (
-    LONGEST_RETRY_MS,
+    MAX_RETRY_MS,
     WAIT_SHARE,
     Rejected,
 )
@@ -38,14 +38,14 @@
         """Choose for a request that may come back to its place."""
         now_ms = self.context.now_ms()
         self._places.lapse(now_ms)
-        state = self.book.choose(SERVICE, (), '')
+        state = self.book.choose_server(SERVICE, (), '')
         assert state is not None
-        slots = sum(each.listed.slots_count for each in self.book.usable(SERVICE))
+        slots = sum(each.listed.slots_count for each in self.book.eligible_servers(SERVICE))
         if self._places.find(key) is not None:
             self._places.take(key)
             return state.listed.id
         answer = self.decide(state)
-        gap_ms = STAY_MS / slots * self.book.neighbours.instances_count / self.share
+        gap_ms = STAY_MS / slots * self.book.topology.instances_count / self.share
         # Places that are due are not given to who comes now.
         kept_ms = self._places.due_by(now_ms) * gap_ms * self.share
         if not isinstance(answer, Rejected):
@@ -55,7 +55,7 @@
         else:
             wait_ms = answer.expected_wait_ms - WAIT_SHARE * AIM_MS
         due_ms = self._places.next_due_ms(now_ms + wait_ms + kept_ms, gap_ms)
-        if due_ms <= now_ms + LONGEST_RETRY_MS:
+        if due_ms <= now_ms + MAX_RETRY_MS:
             self._places.keep(key, due_ms)
         return due_ms - now_ms
 
--- a/benchmarks/list_ways.py
+++ b/benchmarks/list_ways.py
@@ -228,10 +228,10 @@
     zone = [each for each in world.nodes if each.zone == node.zone]
     rule = ReaderElection(node.context)
     by_id = {each.context.instance_id: each for each in zone}
-    if not rule.pays(world.rows_count * VALUE_BYTES, len(world.nodes)):
+    if not rule.is_worthwhile(world.rows_count * VALUE_BYTES, len(world.nodes)):
         everybody(world, node)
         return
-    readers = [by_id[name] for name in rule.readers(by_id)]
+    readers = [by_id[name] for name in rule.elect_readers(by_id)]
     node.is_reader = node in readers
     if node.is_reader:
         world.read_pages(node, lambda: world.follow(node, lambda: 1.0))
@@ -268,7 +268,7 @@
             world.read_pages(node, lambda: None)
 
     world.time.after(until_ms, fall_back)
-    world.follow(node, lambda: world.pace, lambda: node.watch.is_covered or not node.is_whole)
+    world.follow(node, lambda: world.pace, lambda: node.watch.is_delegated or not node.is_whole)
 
 
 WAYS: dict[str, Callable[[World, Node], None]] = {
--- a/citrondyke/decisions/batch/batch_preemption.py
+++ b/citrondyke/decisions/batch/batch_preemption.py
@@ -115,14 +115,14 @@
     @property
     def is_in_large_fleet(self) -> bool:
         """Tell whether the fleet is so large that processor time counts for more than places."""
-        return self._book.neighbours.is_zoned
+        return self._book.topology.is_zoned
 
     def watch(self, service: ServiceName) -> None:
         """Follow the online requests of a service whose items wait, in a large fleet."""
-        if not self._book.neighbours.is_zoned:
+        if not self._book.topology.is_zoned:
             return
         now_ms = self._context.now_ms()
-        near, _ = self._split(self._book.usable(service))
+        near, _ = self._split(self._book.eligible_servers(service))
         self.kept.note(service, sum(state.online_count(now_ms) for state in near))
 
     def choose(self, service: ServiceName, urgency_now: Urgency) -> ServerState | None:
@@ -132,7 +132,7 @@
         another one hears of the item's owner late.
         """
         now_ms = self._context.now_ms()
-        near, far = self._split(self._book.usable(service))
+        near, far = self._split(self._book.eligible_servers(service))
         is_at_risk = urgency_now is Urgency.AT_RISK
         rooms = [
             _CapacityEstimate(state, free) for state in near if (free := _free(state, now_ms)) >= 1
@@ -158,7 +158,7 @@
         # By chance, the emptier the likelier: the emptiest one looks so to all at once.
         weights = [
             room.free**2
-            / room.state.slowness(now_ms)
+            / room.state.expected_slowdown(now_ms)
             * (OWN_ZONE_FACTOR if room.state.listed.zone == self._context.zone else 1.0)
             for room in rooms
         ]
@@ -169,13 +169,13 @@
 
         Where servers are few, each of them needs its own: there is nowhere else to go.
         """
-        if not self._book.neighbours.is_zoned:
+        if not self._book.topology.is_zoned:
             return servers_count
         return self.kept.count(service, servers_count)
 
     def _split(self, usable: list[ServerState]) -> tuple[list[ServerState], list[ServerState]]:
         """Part the servers whose counts are fresh from those of a large fleet's other zones."""
-        if not self._book.neighbours.is_zoned:
+        if not self._book.topology.is_zoned:
             return usable, []
         zone = self._context.zone
         near = [state for state in usable if state.listed.zone == zone]
@@ -215,10 +215,10 @@
         self, state: ServerState, items: list[RunningItem], now_ms: float
     ) -> list[RunningItem]:
         # What the other owners cut is not known yet; cutting again before would be too much.
-        if now_ms - self._cut_ms.get(state.life, float('-inf')) < self._pace.gap_ms:
+        if now_ms - self._cut_ms.get(state.incarnation, float('-inf')) < self._pace.gap_ms:
             return []
         wait_ms = 0.0
-        if self._book.neighbours.is_zoned:
+        if self._book.topology.is_zoned:
             # In a smaller fleet counts are ten ms old at the most.
             wait_ms = _online_wait_limit_ms(state, min(item.target_ms for item in items), now_ms)
         count = self._count_to_cut(state, len(items), wait_ms, now_ms)
@@ -227,17 +227,19 @@
         count -= ending_count
         if count <= 0:
             return []
-        self._cut_ms[state.life] = now_ms
+        self._cut_ms[state.incarnation] = now_ms
         order = [Urgency.LATE, Urgency.PATIENT, Urgency.AT_RISK]
         items.sort(
             key=lambda item: (order.index(item.urgency), -item.remaining_ms, -item.started_ms)
         )
         cut = items[:count]
         batch_left = state.batch_count(now_ms) - len(cut)
-        while cut and cut[-1].urgency is Urgency.AT_RISK and batch_left < state.held_limit:
+        while (
+            cut and cut[-1].urgency is Urgency.AT_RISK and batch_left < state.protected_batch_limit
+        ):
             cut.pop()
             batch_left += 1
-        self._excess[state.life].remove_excess(len(cut))
+        self._excess[state.incarnation].remove_excess(len(cut))
         return cut
 
     def _count_to_cut(
@@ -262,9 +264,9 @@
         """
         excess = _excess(state, now_ms)
         if excess <= 0:
-            self._excess.pop(state.life, None)
+            self._excess.pop(state.incarnation, None)
             return 0
-        known = self._excess.setdefault(state.life, _Excess(deque()))
+        known = self._excess.setdefault(state.incarnation, _Excess(deque()))
         seen = known.seen
         if seen and now_ms - seen[-1][0] > EXCESS_GAP_MS:
             seen.clear()
@@ -296,7 +298,7 @@
 
 def _free(state: ServerState, now_ms: float) -> int:
     """Count the places of a server that nobody has."""
-    if state.is_out(now_ms):
+    if state.is_ejected(now_ms):
         return 0
     return state.listed.slots_count - state.total_count(now_ms)
 
@@ -317,6 +319,6 @@
 
 def _may_hold(state: ServerState, now_ms: float) -> bool:
     """Tell whether an item at risk may take a place where online requests wait for none yet."""
-    if state.is_out(now_ms) or state.batch_count(now_ms) >= state.held_limit:
+    if state.is_ejected(now_ms) or state.batch_count(now_ms) >= state.protected_batch_limit:
         return False
     return state.total_count(now_ms) <= state.listed.slots_count
--- a/citrondyke/decisions/batch/start_rate_limiter.py
+++ b/citrondyke/decisions/batch/start_rate_limiter.py
@@ -48,7 +48,7 @@
     @property
     def gap_ms(self) -> float:
         """Give the time after which what was started is known to all neighbours."""
-        return max(SHORTEST_GAP_MS, self._neighbours.gap_ms + ONE_WAY_DELAY_MS)
+        return max(SHORTEST_GAP_MS, self._neighbours.notice_interval_ms + ONE_WAY_DELAY_MS)
 
     def take(self, service: ServiceName, free_count: int, *, is_far: bool = False) -> bool:
         """Ask for one start.
@@ -80,7 +80,7 @@
         """
         neighbours = self._neighbours
         if not self.needs.has_peer_demand(service):
-            return free_count / (neighbours.instances_count if is_far else neighbours.near_count)
+            return free_count / (neighbours.instances_count if is_far else neighbours.mesh_size)
         if is_far:
             return self.needs.own_share_of_capacity(service, free_count / neighbours.zones_count)
         return self.needs.own_share_of_capacity(service, free_count)
--- a/citrondyke/decisions/forwarding/admission_rule.py
+++ b/citrondyke/decisions/forwarding/admission_rule.py
@@ -62,15 +62,17 @@
     def __init__(self, context: Context, book: ServerRegistry) -> None:
         """Start without a measurement."""
         self._context = context
-        self._book = book
-        self._turns = Turns(context)
-        self._stay_ms: dict[RouteName, float] = {}
-        self._turned_away_ms: dict[ServiceName, deque[float]] = {}
+        self._registry = book
+        self._fair_share = Turns(context)
+        self._service_time_ms: dict[RouteName, float] = {}
+        self._rejected_ms: dict[ServiceName, deque[float]] = {}
 
     def record_service_time(self, route: Route, stay_ms: float) -> None:
         """Take in how long a request occupied its place."""
-        known = self._stay_ms.get(route.name, stay_ms)
-        self._stay_ms[route.name] = known + SERVICE_TIME_SMOOTHING_FACTOR * (stay_ms - known)
+        known = self._service_time_ms.get(route.name, stay_ms)
+        self._service_time_ms[route.name] = known + SERVICE_TIME_SMOOTHING_FACTOR * (
+            stay_ms - known
+        )
 
     def decide(
         self,
@@ -86,31 +88,31 @@
         """
         service = state.listed.service
         priority = account.priority_on(route.priority)
-        self._turns.note(service, account.id)
+        self._fair_share.note(service, account.id)
         now_ms = self._context.now_ms()
         slots = max(1, state.listed.slots_count)
-        ahead = state.online_count(now_ms) + state.held_count(now_ms) - slots + 1
-        stay_ms = self._stay_ms.get(route.name, INITIAL_SERVICE_TIME_MS)
+        ahead = state.online_count(now_ms) + state.protected_batch_count(now_ms) - slots + 1
+        stay_ms = self._service_time_ms.get(route.name, INITIAL_SERVICE_TIME_MS)
         wait_ms = max(0.0, ahead * stay_ms / slots)
         if wait_ms <= 0.0 < left_ms:
             return Admitted(0.0)
         longest_ms = WAIT_SHARE * route.target_ms
-        if self._turns.must_yield(service, account.id, priority):
+        if self._fair_share.must_yield(service, account.id, priority):
             longest_ms *= YIELD_SHARE
         if wait_ms <= longest_ms and wait_ms < left_ms:
             return Admitted(wait_ms)
-        self._turns.record_rejected(service, priority)
+        self._fair_share.record_rejected(service, priority)
         late_ms = wait_ms - longest_ms
         return Rejected(wait_ms, self._retry_in_ms(state, stay_ms, late_ms))
 
     def _retry_in_ms(self, state: ServerState, stay_ms: float, late_ms: float) -> float:
         service = state.listed.service
         now_ms = self._context.now_ms()
-        recent = self._turned_away_ms.setdefault(service, deque())
+        recent = self._rejected_ms.setdefault(service, deque())
         while recent and recent[0] <= now_ms - EXPECTED_RETURN_MS:
             recent.popleft()
-        slots = sum(each.listed.slots_count for each in self._book.usable(service))
-        own_pace_per_ms = max(1, slots) / stay_ms / max(1, self._book.neighbours.instances_count)
+        slots = sum(each.listed.slots_count for each in self._registry.eligible_servers(service))
+        own_pace_per_ms = max(1, slots) / stay_ms / max(1, self._registry.topology.instances_count)
         back_ms = len(recent) / own_pace_per_ms
         recent.append(now_ms)
         retry_ms = min(MAX_RETRY_MS, max(MIN_RETRY_MS, late_ms + back_ms))
--- a/citrondyke/decisions/forwarding/failover_timeouts.py
+++ b/citrondyke/decisions/forwarding/failover_timeouts.py
@@ -40,12 +40,14 @@
         """Start without a measurement."""
         self._mean_ms: dict[RouteName, float] = {}
 
-    def note(self, route: Route, took_ms: float) -> None:
+    def record_first_answer(self, route: Route, took_ms: float) -> None:
         """Take in the time until an answer, or until a stream's first event."""
         known_ms = self._mean_ms.get(route.name, took_ms)
         self._mean_ms[route.name] = known_ms + SMOOTHING_FACTOR * (took_ms - known_ms)
 
-    def first_answer_ms(self, route: Route, state: ServerState, expected_wait_ms: float) -> float:
+    def first_answer_timeout_ms(
+        self, route: Route, state: ServerState, expected_wait_ms: float
+    ) -> float:
         """Give the time to wait for a first byte where another server may be tried."""
         shortest_ms = TARGET_SHARE * route.target_ms
         usual_ms = max(self._mean_ms.get(route.name, route.target_ms), state.mean_ms)
--- a/citrondyke/decisions/forwarding/load_notices.py
+++ b/citrondyke/decisions/forwarding/load_notices.py
@@ -36,7 +36,7 @@
 class AddressedLoadCounts(msgspec.Struct, frozen=True):
     """Counts and those who are told them."""
 
-    receivers: list[InstanceId]
+    recipients: list[InstanceId]
     loads: list[ServerLoad]
 
 
@@ -46,22 +46,22 @@
     def __init__(self, context: Context, book: ServerRegistry) -> None:
         """Start having told nothing."""
         self._context = context
-        self._book = book
-        self._told: dict[ServerIncarnation, tuple[int, int]] = {}
+        self._registry = book
+        self._published: dict[ServerIncarnation, tuple[int, int]] = {}
         self._renewed_ms = 0.0
         self._sent_ms = float('-inf')
         #: Turn in which totals were last told. Turns are counted by the wall clock, so that all
         #: are in the same one, about.
-        self.totals_turn = 0
+        self.totals_rotation = 0
         #: When the servers of the own zone were last seen with requests.
-        self._busy_ms: dict[ServerIncarnation, float] = {}
+        self._last_busy_ms: dict[ServerIncarnation, float] = {}
 
     def next_pause_ms(self) -> float:
         """Give the time until the next notice may go out."""
-        gap_ms = self._book.neighbours.gap_ms
+        gap_ms = self._registry.topology.notice_interval_ms
         return max(0.0, self._sent_ms + gap_ms - self._context.now_ms())
 
-    def take(self) -> list[ServerLoad]:
+    def take_due(self) -> list[ServerLoad]:
         """Give what peers are to be told now; nothing when nothing changed."""
         now_ms = self._context.now_ms()
         is_renewal = now_ms - self._renewed_ms >= RENEW_EVERY_MS
@@ -69,20 +69,20 @@
             self._renewed_ms = now_ms
         loads = []
         listed = set()
-        for state in self._book.states():
-            listed.add(state.life)
+        for state in self._registry.states():
+            listed.add(state.incarnation)
             counts = (state.own.online, state.own.batch)
-            told = self._told.get(state.life, (0, 0))
+            told = self._published.get(state.incarnation, (0, 0))
             if counts != told or (is_renewal and counts != (0, 0)):
-                self._told[state.life] = counts
+                self._published[state.incarnation] = counts
                 loads.append(ServerLoad(server_digest(state.listed), *counts))
-        for life in [each for each in self._told if each not in listed]:
-            del self._told[life]
+        for life in [each for each in self._published if each not in listed]:
+            del self._published[life]
         if loads:
             self._sent_ms = now_ms
         return loads
 
-    def address(self, loads: list[ServerLoad]) -> list[AddressedLoadCounts]:
+    def add_recipients(self, loads: list[ServerLoad]) -> list[AddressedLoadCounts]:
         """Choose who is told of which counts.
 
         Besides the neighbours these are, for a server of another availability zone, the instances
@@ -91,25 +91,25 @@
         """
         if not loads:
             return []
-        neighbours = self._book.neighbours
-        addressed = [AddressedLoadCounts(neighbours.near(), loads)]
+        neighbours = self._registry.topology
+        addressed = [AddressedLoadCounts(neighbours.mesh_peers(), loads)]
         if not neighbours.is_zoned:
             return addressed
         own_zone = self._context.zone
         by_zone: dict[AvailabilityZone, list[ServerLoad]] = {}
         by_owner: dict[InstanceId, list[ServerLoad]] = {}
         for load in loads:
-            state = self._book.by_digest(load.server)
+            state = self._registry.by_digest(load.server)
             if state is None:
                 continue
             zone = state.listed.zone
             if zone != own_zone:
                 by_zone.setdefault(zone, []).append(load)
             for owner in state.batch_by_peer(self._context.now_ms()):
-                if neighbours.zone(owner) not in (own_zone, zone):
+                if neighbours.zone_of(owner) not in (own_zone, zone):
                     by_owner.setdefault(owner, []).append(load)
         addressed += [
-            AddressedLoadCounts(neighbours.in_zone(zone), by_zone[zone]) for zone in by_zone
+            AddressedLoadCounts(neighbours.peers_in_zone(zone), by_zone[zone]) for zone in by_zone
         ]
         addressed += [AddressedLoadCounts([owner], by_owner[owner]) for owner in by_owner]
         return addressed
@@ -121,39 +121,39 @@
         each, all instances of a zone would send bytes that grow with the square of the fleet.
         """
         turn = int(self._context.epoch_ms() // TOTALS_EVERY_MS)
-        if not self._book.neighbours.is_zoned or turn == self.totals_turn:
+        if not self._registry.topology.is_zoned or turn == self.totals_rotation:
             return []
-        self.totals_turn = turn
+        self.totals_rotation = turn
         now_ms = self._context.now_ms()
-        self._busy_ms = {
+        self._last_busy_ms = {
             life: busy_ms
-            for life, busy_ms in self._busy_ms.items()
+            for life, busy_ms in self._last_busy_ms.items()
             if now_ms - busy_ms <= TOTAL_LIFETIME_MS
         }
         totals = []
-        for state in self._book.states():
+        for state in self._registry.states():
             if state.listed.zone != self._context.zone:
                 continue
             online, batch = state.online_count(now_ms), state.batch_count(now_ms)
             if online or batch:
-                self._busy_ms[state.life] = now_ms
-            elif state.life not in self._busy_ms:
+                self._last_busy_ms[state.incarnation] = now_ms
+            elif state.incarnation not in self._last_busy_ms:
                 continue
             totals.append(ServerLoad(server_digest(state.listed), online, batch))
         return totals
 
-    def note(self, peer: InstanceId, loads: list[ServerLoad]) -> None:
+    def record_peer_counts(self, peer: InstanceId, loads: list[ServerLoad]) -> None:
         """Take in what a peer has on servers."""
         now_ms = self._context.now_ms()
         for load in loads:
-            state = self._book.by_digest(load.server)
+            state = self._registry.by_digest(load.server)
             if state is not None:
-                state.note_peer(peer, load.online, load.batch, now_ms)
+                state.record_peer_counts(peer, load.online, load.batch, now_ms)
 
     def record_totals(self, loads: list[ServerLoad]) -> None:
         """Take in what all instances have on the servers of another zone."""
         now_ms = self._context.now_ms()
         for load in loads:
-            state = self._book.by_digest(load.server)
+            state = self._registry.by_digest(load.server)
             if state is not None and state.listed.zone != self._context.zone:
-                state.note_total(load.online, load.batch, now_ms)
+                state.record_total(load.online, load.batch, now_ms)
--- a/citrondyke/decisions/forwarding/peer_topology.py
+++ b/citrondyke/decisions/forwarding/peer_topology.py
@@ -75,9 +75,9 @@
         return self.instances_count > MESH_LIMIT
 
     @property
-    def near_count(self) -> int:
+    def mesh_size(self) -> int:
         """Count the instances that hear of each other at once, this one included."""
-        return len(self.near()) + 1
+        return len(self.mesh_peers()) + 1
 
     @property
     def zones_count(self) -> int:
@@ -85,11 +85,11 @@
         return len(self._by_zone.keys() | {self._context.zone})
 
     @property
-    def gap_ms(self) -> float:
+    def notice_interval_ms(self) -> float:
         """Give the time between two notices of one instance."""
-        return len(self.near()) * 1e3 / DATAGRAMS_PER_S
+        return len(self.mesh_peers()) * 1e3 / DATAGRAMS_PER_S
 
-    def gather_ms(self, *, is_owner: bool) -> float:
+    def coalesce_ms(self, *, is_owner: bool) -> float:
         """Give the time for which notices that came may lie before they are read; 0 for none.
 
         They are read before each choice of a server in any case.
@@ -101,19 +101,19 @@
         return OWNER_COALESCE_MS if is_owner else COALESCE_MS
 
     @property
-    def store_pace(self) -> float:
+    def store_interval_factor(self) -> float:
         """Give the factor by which calls of the store are rarer than in a small fleet."""
         return min(
             MAX_STORE_INTERVAL_FACTOR, max(1.0, self.instances_count / STORE_PACING_THRESHOLD)
         )
 
-    def near(self) -> list[InstanceId]:
+    def mesh_peers(self) -> list[InstanceId]:
         """List the instances that are told of every change."""
         if self.is_zoned:
-            return self.in_zone(self._context.zone)
+            return self.peers_in_zone(self._context.zone)
         return list(self._zones)
 
-    def everybody(self) -> list[InstanceId]:
+    def all_peers(self) -> list[InstanceId]:
         """List all other instances; for what seldom has to be told."""
         return list(self._zones)
 
@@ -125,15 +125,15 @@
         everybody = [*self._zones, self._context.instance_id]
         return nlargest(REGISTRARS_COUNT, everybody, key=lambda each: rendezvous_weight(each, name))
 
-    def in_zone(self, zone: AvailabilityZone) -> list[InstanceId]:
+    def peers_in_zone(self, zone: AvailabilityZone) -> list[InstanceId]:
         """List the other instances of an availability zone."""
         return self._by_zone.get(zone, [])
 
-    def zone(self, instance_id: InstanceId) -> AvailabilityZone | None:
+    def zone_of(self, instance_id: InstanceId) -> AvailabilityZone | None:
         """Give an instance's availability zone; ``None`` when it is not known."""
         return self._zones.get(instance_id)
 
-    def one_in_each_other_zone(self, turn: int) -> list[InstanceId]:
+    def one_peer_per_remote_zone(self, turn: int) -> list[InstanceId]:
         """Give one instance of each other availability zone, another one each turn.
 
         Those of one zone begin at different places of the others, so that in each turn all of
@@ -141,7 +141,7 @@
         third of them heard nothing in a turn, and some nothing in four.
         """
         own_id = self._context.instance_id
-        place = sum(other < own_id for other in self.in_zone(self._context.zone))
+        place = sum(other < own_id for other in self.peers_in_zone(self._context.zone))
         return [
             instances[(place + turn) % len(instances)]
             for zone, instances in self._by_zone.items()
--- a/citrondyke/decisions/forwarding/replicated_config.py
+++ b/citrondyke/decisions/forwarding/replicated_config.py
@@ -22,20 +22,20 @@
 
     def __init__(self) -> None:
         """Start without a configuration."""
-        self.current: RouteTable = EMPTY_ROUTE_TABLE
+        self.table: RouteTable = EMPTY_ROUTE_TABLE
         self._confirmed_ms = float('-inf')
-        self._heard_version = ConfigVersion(0)
+        self._peer_version = ConfigVersion(0)
 
-    def offer(self, table: RouteTable) -> bool:
+    def update_if_newer(self, table: RouteTable) -> bool:
         """Take in a configuration; tell whether it is new."""
-        if table.version <= self.current.version:
+        if table.version <= self.table.version:
             return False
-        self.current = table
+        self.table = table
         return True
 
-    def account(self, account_id: TenantId) -> Account | None:
+    def find_account(self, account_id: TenantId) -> Account | None:
         """Find an account in the configuration in force."""
-        return self.current.account(account_id)
+        return self.table.find_account(account_id)
 
     def confirm(self, now_ms: float) -> None:
         """Note that the store was asked and showed nothing newer; a peer may tell of it late."""
@@ -43,7 +43,7 @@
 
     def record_peer_version(self, version: ConfigVersion) -> None:
         """Take in that a peer has a version."""
-        self._heard_version = max(self._heard_version, version)
+        self._peer_version = max(self._peer_version, version)
 
     def age_ms(self, now_ms: float) -> float:
         """Give the time since the store last confirmed it."""
@@ -55,5 +55,5 @@
         What a peer has already is on its way here: a key that was just added would be refused for
         good by an instance that is a moment behind.
         """
-        is_behind = self._heard_version > self.current.version
+        is_behind = self._peer_version > self.table.version
         return not is_behind and self.age_ms(now_ms) <= CONFIRMATION_VALID_MS
--- a/citrondyke/decisions/forwarding/replicated_rows.py
+++ b/citrondyke/decisions/forwarding/replicated_rows.py
@@ -47,16 +47,16 @@
         self._grace_ms = grace_ms
         self._rows: dict[str, ObservedRow[Value]] = {}
         #: Versions of deletions, so that a late read does not bring a row back.
-        self._deleted: dict[str, int] = {}
+        self._outdated_versions: dict[str, int] = {}
         #: The latest life seen of each key. A write of an earlier life may be done seconds late,
         #: after the next life's; taken in, requests would name a life that is over.
-        self._born: dict[str, int] = {}
+        self._latest_born: dict[str, int] = {}
         #: Rows to be dropped unless they come back, by the time from which that holds.
         self._missing: dict[str, float] = {}
-        self._doubtful_until_ms = 0.0
+        self._grace_until_ms = 0.0
         #: As of which versions rows were gone, for neighbours.
-        self._gone: dict[str, int] = {}
-        self._journal = ServerListChangeLog()
+        self._deleted_versions: dict[str, int] = {}
+        self._change_log = ServerListChangeLog()
         self.version = 0
         #: Of the keys and versions of all rows that are there.
         self.digest = 0
@@ -64,7 +64,7 @@
     @property
     def revision(self) -> int:
         """Give the number of changes so far of what is there."""
-        return self._journal.number
+        return self._change_log.number
 
     def values(self) -> list[Value]:
         """Give what stands in the rows that are there."""
@@ -84,14 +84,14 @@
 
         :returns: ``None`` where that is not remembered any more.
         """
-        keys = self._journal.changed_since(revision)
+        keys = self._change_log.changed_since(revision)
         if keys is None:
             return None
         found: list[ObservedRow[Value]] = []
         for key in keys:
             row = self._rows.get(key)
             if row is None:
-                gone = self._gone.get(key)
+                gone = self._deleted_versions.get(key)
                 if gone is None:
                     return None
                 row = ObservedRow(key, gone, None)
@@ -100,7 +100,7 @@
 
     def record_outage(self, now_ms: float) -> None:
         """Take note that the store did not answer."""
-        self._doubtful_until_ms = now_ms + self._grace_ms
+        self._grace_until_ms = now_ms + self._grace_ms
 
     def apply_feed(self, rows: Iterable[ObservedRow[Value]], now_ms: float) -> None:
         """Take in changes in their order."""
@@ -122,11 +122,11 @@
             if key not in present and known.version <= version:
                 self._drop(key, known.version, now_ms, max(version, known.version + 1))
 
-    def settle(self, now_ms: float) -> None:
+    def drop_missing(self, now_ms: float) -> None:
         """Drop what was missing for long enough."""
         for key, due_ms in list(self._missing.items()):
             if due_ms <= now_ms:
-                self._forget(key)
+                self._remove(key)
 
     def _apply(self, row: ObservedRow[Value], now_ms: float) -> None:
         known = self._rows.get(row.key)
@@ -135,27 +135,27 @@
         if row.is_foreign:
             # Whoever wrote it, the server's own entry is not there any more; an outage of the
             # store is no reason to believe that it still is.
-            _record_version(self._deleted, row.key, row.version)
-            _record_version(self._gone, row.key, row.version)
-            self._forget(row.key)
+            _record_version(self._outdated_versions, row.key, row.version)
+            _record_version(self._deleted_versions, row.key, row.version)
+            self._remove(row.key)
             return
         if row.value is None:
-            _record_version(self._deleted, row.key, row.version)
+            _record_version(self._outdated_versions, row.key, row.version)
             if known is not None:
                 self._drop(row.key, row.version, now_ms, row.version)
             return
         if row.born_epoch_ms is not None:
-            self._born[row.key] = row.born_epoch_ms
-            _evict_oldest(self._born)
+            self._latest_born[row.key] = row.born_epoch_ms
+            _evict_oldest(self._latest_born)
         self._missing.pop(row.key, None)
         self._rows[row.key] = row
         self.digest ^= _row_digest(row) ^ (0 if known is None else _row_digest(known))
-        self._journal.note(row.key, len(self._rows))
+        self._change_log.record_change(row.key, len(self._rows))
 
     def _is_outdated(self, row: ObservedRow[Value], known: ObservedRow[Value] | None) -> bool:
         """Tell whether a row is no news: the order is by life where stated, else by version."""
-        deleted = self._deleted.get(row.key, 0)
-        born, latest_born = row.born_epoch_ms, self._born.get(row.key)
+        deleted = self._outdated_versions.get(row.key, 0)
+        born, latest_born = row.born_epoch_ms, self._latest_born.get(row.key)
         if born is not None and latest_born is not None and born != latest_born:
             return born < latest_born or row.version <= deleted
         newest = max(known.version if known else 0, deleted)
@@ -169,19 +169,19 @@
         :param version: up to which writes of it are outdated.
         :param gone_version: as of which the store did not hold it, later than its last write.
         """
-        _record_version(self._deleted, key, version)
-        _record_version(self._gone, key, gone_version)
-        if now_ms >= self._doubtful_until_ms:
-            self._forget(key)
+        _record_version(self._outdated_versions, key, version)
+        _record_version(self._deleted_versions, key, gone_version)
+        if now_ms >= self._grace_until_ms:
+            self._remove(key)
             return
-        self._missing.setdefault(key, self._doubtful_until_ms)
+        self._missing.setdefault(key, self._grace_until_ms)
 
-    def _forget(self, key: str) -> None:
+    def _remove(self, key: str) -> None:
         self._missing.pop(key, None)
         row = self._rows.pop(key, None)
         if row is not None:
             self.digest ^= _row_digest(row)
-            self._journal.note(key, len(self._rows))
+            self._change_log.record_change(key, len(self._rows))
 
 
 def _row_digest(row: ObservedRow[Any]) -> int:
--- a/citrondyke/decisions/forwarding/route_table.py
+++ b/citrondyke/decisions/forwarding/route_table.py
@@ -84,7 +84,7 @@
                 return route
         return NO_ROUTE
 
-    def account_of(self, key_digest: str, *, is_public: bool) -> Account | NoAccount:
+    def authenticate(self, key_digest: str, *, is_public: bool) -> Account | NoAccount:
         """Find whose request it is.
 
         :param key_digest: of the key that it brings; empty where it brings none.
@@ -104,7 +104,7 @@
         unknown = NoAccountReason.UNKNOWN_KEY if key_digest else NoAccountReason.NO_KEY
         return NoAccount(unknown)
 
-    def account(self, account_id: TenantId) -> Account | None:
+    def find_account(self, account_id: TenantId) -> Account | None:
         """Find an account by its name."""
         return self._accounts_by_id.get(account_id)
 
--- a/citrondyke/decisions/forwarding/send_history.py
+++ b/citrondyke/decisions/forwarding/send_history.py
@@ -48,43 +48,46 @@
     def __init__(self, route: Route) -> None:
         """Start with nothing sent."""
         self._route = route
-        self.avoid: set[ServerIncarnation] = set()
+        self.excluded: set[ServerIncarnation] = set()
         self.sends_count = 0
-        self._ran_at: set[ServerIncarnation] = set()
-        self._refusals_count = 0
+        self._may_have_run_at: set[ServerIncarnation] = set()
+        self._not_run_count = 0
 
-    def note(self, life: ServerIncarnation, outcome: SendOutcome) -> None:
+    def record_send(self, life: ServerIncarnation, outcome: SendOutcome) -> None:
         """Take in how a send ended."""
         self.sends_count += 1
-        self.avoid.add(life)
+        self.excluded.add(life)
         if outcome in (SendOutcome.NOT_SENT, SendOutcome.REFUSED):
-            self._refusals_count += 1
+            self._not_run_count += 1
         else:
-            self._ran_at.add(life)
+            self._may_have_run_at.add(life)
 
     @property
     def may_send(self) -> bool:
         """Tell whether another server may be tried."""
-        if self._refusals_count >= REJECTIONS_LIMIT:
+        if self._not_run_count >= REJECTIONS_LIMIT:
             return False
-        if not self._ran_at:
+        if not self._may_have_run_at:
             return True
-        return self._route.may_repeat and len(self._ran_at) < self._route.attempts_limit
+        return self._route.may_repeat and len(self._may_have_run_at) < self._route.attempts_limit
 
     @property
-    def is_last_run(self) -> bool:
+    def is_last_attempt(self) -> bool:
         """Tell whether no other server may be tried once the next one may have run the request.
 
         What runs then is waited for as long as its caller waits: cut, it would be given up for
         nothing.
         """
-        return not self._route.may_repeat or len(self._ran_at) + 1 >= self._route.attempts_limit
+        return (
+            not self._route.may_repeat
+            or len(self._may_have_run_at) + 1 >= self._route.attempts_limit
+        )
 
     def may_have_run_at(self, life: ServerIncarnation) -> bool:
         """Tell whether a server may have run it."""
-        return life in self._ran_at
+        return life in self._may_have_run_at
 
     @property
     def verdict(self) -> Verdict:
         """Tell what is known."""
-        return Verdict.MAY_HAVE_RUN if self._ran_at else Verdict.NOT_RUN
+        return Verdict.MAY_HAVE_RUN if self._may_have_run_at else Verdict.NOT_RUN
--- a/citrondyke/decisions/forwarding/server_list_entry.py
+++ b/citrondyke/decisions/forwarding/server_list_entry.py
@@ -27,12 +27,12 @@
     seq: int = 0
 
     @property
-    def stated_life(self) -> ServerIncarnation:
+    def stated_incarnation(self) -> ServerIncarnation:
         """Name this life as all instances name it; the id alone where it does not state one."""
         born = '' if self.born_epoch_ms is None else f'@{self.born_epoch_ms}'
         return ServerIncarnation(f'{self.id}{born}')
 
-    def is_later_life_than(self, known: ServerListEntry) -> bool:
+    def is_later_incarnation_than(self, known: ServerListEntry) -> bool:
         """Tell whether this entry was written by a later life than a known, older entry.
 
         Where one of the two does not say when it was born, only a sequence that begins anew
--- a/citrondyke/decisions/forwarding/server_registry.py
+++ b/citrondyke/decisions/forwarding/server_registry.py
@@ -48,20 +48,20 @@
 
     A notice about an earlier life would otherwise count on the next one.
     """
-    return content_bucket(listed.stated_life.encode()) & 0xFFFF_FFFF
+    return content_bucket(listed.stated_incarnation.encode()) & 0xFFFF_FFFF
 
 
 class RegistryChange(msgspec.Struct):
     """What a new list of servers changed."""
 
-    came: list[ServerId] = []
-    went: list[ServerState] = []
+    added: list[ServerId] = []
+    removed: list[ServerState] = []
     #: Lives that are over, as the next one has begun; what is on its way to them is lost.
-    ended: list[ServerState] = []
+    restarted: list[ServerState] = []
 
     def __bool__(self) -> bool:
         """Tell whether anything changed."""
-        return bool(self.came or self.went or self.ended)
+        return bool(self.added or self.removed or self.restarted)
 
 
 class ServerRegistry:
@@ -71,18 +71,18 @@
         """Start without a server."""
         self._context = context
         self._states: dict[ServerId, ServerState] = {}
-        self._by_life: dict[ServerIncarnation, ServerState] = {}
-        self._lives_count = 0
+        self._by_incarnation: dict[ServerIncarnation, ServerState] = {}
+        self._incarnations_count = 0
         self._by_service: dict[ServiceName, list[ServerState]] = {}
         self._by_digest: dict[int, ServerState] = {}
-        self._look: Callable[[], None] = _no_update
+        self._refresh_counts: Callable[[], None] = _no_update
         #: Instances that send to the same servers.
-        self.neighbours = PeerTopology(context)
-        self.soundness = HealthPolicy(context, self.neighbours)
+        self.topology = PeerTopology(context)
+        self.health_policy = HealthPolicy(context, self.topology)
 
     def on_choose(self, look: Callable[[], None]) -> None:
         """Have the counts of peers brought up to date before each choice."""
-        self._look = look
+        self._refresh_counts = look
 
     def replace(self, listed: Iterable[ServerListEntry]) -> RegistryChange:
         """Take in the list of servers.
@@ -93,35 +93,35 @@
         change = RegistryChange()
         wanted = {entry.id: entry for entry in listed}
         for server_id in [each for each in self._states if each not in wanted]:
-            change.went.append(self._states.pop(server_id))
+            change.removed.append(self._states.pop(server_id))
         for server_id, entry in wanted.items():
             state = self._states.get(server_id)
-            if state is not None and entry.is_later_life_than(state.listed):
-                change.ended.append(self._states.pop(server_id))
+            if state is not None and entry.is_later_incarnation_than(state.listed):
+                change.restarted.append(self._states.pop(server_id))
                 state = None
             if state is None:
-                change.came.append(server_id)
+                change.added.append(server_id)
                 since_ms = self._context.now_ms()
-                self._states[server_id] = ServerState(entry, self._life(entry), since_ms)
+                self._states[server_id] = ServerState(entry, self._incarnation_of(entry), since_ms)
             else:
                 state.listed = entry
-        for state in (*change.went, *change.ended):
-            state.is_gone = True
+        for state in (*change.removed, *change.restarted):
+            state.is_delisted = True
         if change:
             states = self._states.values()
             self._by_digest = {server_digest(state.listed): state for state in states}
-            self._by_life = {state.life: state for state in states}
+            self._by_incarnation = {state.incarnation: state for state in states}
         self._by_service = {}
         for state in self._states.values():
             self._by_service.setdefault(state.listed.service, []).append(state)
         return change
 
-    def _life(self, entry: ServerListEntry) -> ServerIncarnation:
+    def _incarnation_of(self, entry: ServerListEntry) -> ServerIncarnation:
         """Name a life so that no other one that this instance has seen has its name."""
         if entry.born_epoch_ms is not None:
-            return entry.stated_life
-        self._lives_count += 1
-        return ServerIncarnation(f'{entry.id}~{self._lives_count}')
+            return entry.stated_incarnation
+        self._incarnations_count += 1
+        return ServerIncarnation(f'{entry.id}~{self._incarnations_count}')
 
     def state(self, server_id: ServerId) -> ServerState | None:
         """Give what is believed of a server; ``None`` when it is not listed any more."""
@@ -129,7 +129,7 @@
 
     def find_incarnation(self, life: ServerIncarnation) -> ServerState | None:
         """Find a server by its life; ``None`` when that is over."""
-        return self._by_life.get(life)
+        return self._by_incarnation.get(life)
 
     def by_digest(self, digest: int) -> ServerState | None:
         """Find a server by the digest of its life."""
@@ -139,7 +139,7 @@
         """Give all servers."""
         return self._states.values()
 
-    def usable(
+    def eligible_servers(
         self, service: ServiceName, avoid: Collection[ServerIncarnation] = ()
     ) -> list[ServerState]:
         """List the servers that take new work.
@@ -147,12 +147,12 @@
         Ejected ones are left out while others are there; if all are ejected, all count, since a
         wrong suspicion of all of them must not turn every caller away.
         """
-        self.judge(service)
+        self.evaluate_health(service)
         return self._healthy_servers(self._available_servers(service, avoid))
 
     def _healthy_servers(self, open_ones: list[ServerState]) -> list[ServerState]:
         now_ms = self._context.now_ms()
-        return [state for state in open_ones if not state.is_out(now_ms)] or open_ones
+        return [state for state in open_ones if not state.is_ejected(now_ms)] or open_ones
 
     def _available_servers(
         self, service: ServiceName, avoid: Collection[ServerIncarnation]
@@ -160,14 +160,16 @@
         return [
             state
             for state in self._by_service.get(service, ())
-            if not state.listed.is_leaving and not state.is_misplaced and state.life not in avoid
+            if not state.listed.is_leaving
+            and not state.is_misplaced
+            and state.incarnation not in avoid
         ]
 
-    def judge(self, service: ServiceName) -> None:
+    def evaluate_health(self, service: ServiceName) -> None:
         """Judge the servers of a service by what has become known of them."""
-        self.soundness.judge(self._by_service.get(service, ()))
+        self.health_policy.evaluate(self._by_service.get(service, ()))
 
-    def choose(
+    def choose_server(
         self,
         service: ServiceName,
         avoid: Collection[ServerIncarnation],
@@ -181,26 +183,26 @@
         :param prefix: names the shared part of its prompt; empty where there is none.
         :param is_once: whether it may run once only.
         """
-        self._look()
-        self.judge(service)
+        self._refresh_counts()
+        self.evaluate_health(service)
         open_ones = self._available_servers(service, avoid)
         usable = self._healthy_servers(open_ones)
         if not usable:
             return None
         now_ms = self._context.now_ms()
         if is_once:
-            usable = self.soundness.servers_for_at_most_once(
+            usable = self.health_policy.servers_for_at_most_once(
                 usable, lambda state: _is_full(state, now_ms), now_ms
             )
         elif not avoid:
-            tried = self.soundness.server_to_probe(open_ones)
+            tried = self.health_policy.server_to_probe(open_ones)
             if tried is not None:
                 return tried
         looked_at = self._zone_candidates(usable)
-        preferred = self._preferred(looked_at, prefix)
+        preferred = self._preferred_for_prefix(looked_at, prefix)
         few = looked_at
         # One that has not answered this instance yet is taken for one of the middle.
-        is_paced = any(state.pace.is_known for state in usable)
+        is_paced = any(state.reported_slowdown.is_known for state in usable)
         if is_paced:
             few = sample_candidates(looked_at, self._context.random, now_ms)
             if preferred is not None and preferred not in few:
@@ -209,7 +211,9 @@
         best = self._cheapest(few, mean_ms, preferred, now_ms)
         if len(few) < len(usable) and _is_full(best, now_ms):
             # A request must not wait or be turned away while a server elsewhere has a place.
-            best = self._cheapest(usable, mean_ms, self._preferred(usable, prefix), now_ms)
+            best = self._cheapest(
+                usable, mean_ms, self._preferred_for_prefix(usable, prefix), now_ms
+            )
         return best
 
     def choose_for_suspect(
@@ -224,8 +228,8 @@
 
         :param name: names what is asked for.
         """
-        self._look()
-        usable = self.usable(service, avoid)
+        self._refresh_counts()
+        usable = self.eligible_servers(service, avoid)
         if not usable:
             return None
         now_ms = self._context.now_ms()
@@ -260,7 +264,7 @@
         requests sent there 39 waited for their first event for over 250 ms, of 733 to servers of
         the own zone 3 (20 s of bursts at 69 instances, as one zone logged them).
         """
-        if not self.neighbours.is_zoned:
+        if not self.topology.is_zoned:
             return usable
         near = [state for state in usable if state.listed.zone == self._context.zone]
         far = [state for state in usable if state.listed.zone != self._context.zone]
@@ -268,14 +272,14 @@
         return near + self._context.random.sample(far, far_count)
 
     def _cost(self, state: ServerState, mean_ms: float | None, now_ms: float) -> float:
-        zone_cost = STALE_REMOTE_ZONE_COST if self.neighbours.is_zoned else REMOTE_ZONE_COST
+        zone_cost = STALE_REMOTE_ZONE_COST if self.topology.is_zoned else REMOTE_ZONE_COST
         if mean_ms is None:
             cost = expected_finish(state, now_ms)
             zone_cost *= REQUEST_COST
         else:
             cost = self._cost_by_count(state, mean_ms, now_ms)
         # Quick errors leave a server empty: each counts as a request that is on it.
-        cost += FAILURE_SHARE_COST * state.failing(now_ms) + state.record.failures
+        cost += FAILURE_SHARE_COST * state.failure_share(now_ms) + state.health_record.failures
         if state.listed.zone == self._context.zone:
             return cost
         return cost + zone_cost
@@ -293,7 +297,7 @@
         return (cost + 1.0) * factor
 
     @staticmethod
-    def _preferred(usable: list[ServerState], prefix: str) -> ServerState | None:
+    def _preferred_for_prefix(usable: list[ServerState], prefix: str) -> ServerState | None:
         if not prefix:
             return None
         return max(usable, key=lambda state: rendezvous_weight(state.listed.id, prefix))
@@ -305,7 +309,7 @@
 
 def _is_full(state: ServerState, now_ms: float) -> bool:
     """Tell whether online requests and the batch items that keep places fill a server."""
-    busy_count = state.online_count(now_ms) + state.held_count(now_ms)
+    busy_count = state.online_count(now_ms) + state.protected_batch_count(now_ms)
     return busy_count >= state.listed.slots_count
 
 
--- a/citrondyke/decisions/forwarding/server_state.py
+++ b/citrondyke/decisions/forwarding/server_state.py
@@ -70,44 +70,44 @@
         :param since_ms: when this instance heard of it.
         """
         self.listed = listed
-        self.life = life
+        self.incarnation = life
         #: It is listed no more, or a later life has begun.
-        self.is_gone = False
+        self.is_delisted = False
         self.own = RequestCounts()
         self.failures_count = 0
         self.ejected_until_ms = 0.0
-        self._failing = 0.0
-        self._failing_ms = 0.0
+        self._failure_share = 0.0
+        self._failure_share_ms = 0.0
         #: It said that another server has its address now.
         self.is_misplaced = False
         #: Mean time of its answers (of its first events, for streams); 0 before the first.
         self.mean_ms = 0.0
-        self.record = ServerHealthRecord(since_ms)
-        self.speed = LatencyRatio()
-        self.pace = ReportedSlowdown()
-        self._peers: dict[InstanceId, _PeerCount] = {}
+        self.health_record = ServerHealthRecord(since_ms)
+        self.latency_ratio = LatencyRatio()
+        self.reported_slowdown = ReportedSlowdown()
+        self._peer_counts: dict[InstanceId, _PeerCount] = {}
         #: What all instances have on it, where they are not all heard of one by one.
         self._total = _PeerCount(0, 0, 0.0)
-        self._stated = 0
-        self._stated_until_ms = 0.0
+        self._reported_load = 0
+        self._reported_until_ms = 0.0
 
-    def note_peer(self, peer: InstanceId, online: int, batch: int, now_ms: float) -> None:
+    def record_peer_counts(self, peer: InstanceId, online: int, batch: int, now_ms: float) -> None:
         """Take in what a peer has on the server."""
         if online or batch:
-            self._peers[peer] = _PeerCount(online, batch, now_ms + PEER_COUNT_MS)
+            self._peer_counts[peer] = _PeerCount(online, batch, now_ms + PEER_COUNT_MS)
         else:
-            self._peers.pop(peer, None)
+            self._peer_counts.pop(peer, None)
 
-    def note_total(self, online: int, batch: int, now_ms: float) -> None:
+    def record_total(self, online: int, batch: int, now_ms: float) -> None:
         """Take in what all instances have on the server, as its own zone knows it."""
         self._total = _PeerCount(online, batch, now_ms + PEER_COUNT_MS)
 
     def record_reported_load(self, running: int, waiting: int, now_ms: float) -> None:
         """Take in what the server says of itself; counts that it cannot hold are bounded."""
-        self._stated = min(
+        self._reported_load = min(
             running + waiting, REPORTED_LOAD_FACTOR * max(1, self.listed.slots_count)
         )
-        self._stated_until_ms = now_ms + REPORTED_LOAD_MS
+        self._reported_until_ms = now_ms + REPORTED_LOAD_MS
 
     def record_latency(self, took_ms: float) -> None:
         """Take in the time of an answer or a first event."""
@@ -116,38 +116,38 @@
 
     def record_work(self, took_ms: float, usual_ms: float, now_ms: float) -> None:
         """Compare an answer's time with the usual one of its route on this service."""
-        self.speed.note(took_ms / self.pace.factor(now_ms), usual_ms)
+        self.latency_ratio.record(took_ms / self.reported_slowdown.factor(now_ms), usual_ms)
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Forget failures in a row; their share only shrinks."""
-        self._failing *= 1.0 - FAILURE_SMOOTHING_FACTOR
+        self._failure_share *= 1.0 - FAILURE_SMOOTHING_FACTOR
         self.failures_count = 0
         self.ejected_until_ms = 0.0
 
-    def note_failure(self, now_ms: float, outcome: Outcome = Outcome.UNANSWERED) -> None:
+    def record_failure(self, now_ms: float, outcome: Outcome = Outcome.UNANSWERED) -> None:
         """Count a failure; enough of them in a row take the server out for a while, here."""
-        self.record.note(outcome, now_ms)
-        self._failing *= 0.5 ** ((now_ms - self._failing_ms) / FAILURE_HALF_LIFE_MS)
-        self._failing += FAILURE_SMOOTHING_FACTOR * (1.0 - self._failing)
-        self._failing_ms = now_ms
+        self.health_record.record(outcome, now_ms)
+        self._failure_share *= 0.5 ** ((now_ms - self._failure_share_ms) / FAILURE_HALF_LIFE_MS)
+        self._failure_share += FAILURE_SMOOTHING_FACTOR * (1.0 - self._failure_share)
+        self._failure_share_ms = now_ms
         self.failures_count += 1
         beyond = self.failures_count - FAILURES_LIMIT
         if beyond >= 0:
             pause_ms = min(MAX_EJECT_MS, EJECT_MS * 2.0**beyond)
             self.ejected_until_ms = now_ms + pause_ms
 
-    def is_out(self, now_ms: float) -> bool:
+    def is_ejected(self, now_ms: float) -> bool:
         """Tell whether it gets no requests, by this instance's results or by the fleet's."""
-        return self.ejected_until_ms > now_ms or self.record.standing is ServerHealth.OUT
+        return self.ejected_until_ms > now_ms or self.health_record.health is ServerHealth.EJECTED
 
     def record_answered(self, now_ms: float) -> None:
         """Take note that it has begun a good answer."""
-        self.record.note(Outcome.SUCCEEDED, now_ms)
+        self.health_record.record(Outcome.SUCCEEDED, now_ms)
 
-    def failing(self, now_ms: float) -> float:
+    def failure_share(self, now_ms: float) -> float:
         """Give the share of requests that it failed lately, by this instance or by all."""
-        halves_count = (now_ms - self._failing_ms) / FAILURE_HALF_LIFE_MS
-        return max(float(self._failing * 0.5**halves_count), self.record.failing_share)
+        halves_count = (now_ms - self._failure_share_ms) / FAILURE_HALF_LIFE_MS
+        return max(float(self._failure_share * 0.5**halves_count), self.health_record.failure_share)
 
     def record_unreachable(self, now_ms: float) -> None:
         """Take the server out at once: it takes no connection, so nothing can be wrong but it.
@@ -156,51 +156,51 @@
         second try would cost one more caller the same time.
         """
         self.failures_count = max(self.failures_count, FAILURES_LIMIT - 1)
-        self.note_failure(now_ms)
+        self.record_failure(now_ms)
 
     def online_count(self, now_ms: float) -> int:
         """Count the online requests on it, by all instances."""
-        counted = self.own.online + sum(peer.online for peer in self._fresh(now_ms))
+        counted = self.own.online + sum(peer.online for peer in self._fresh_peer_counts(now_ms))
         return max(counted, self._total.online) if now_ms < self._total.until_ms else counted
 
     def batch_count(self, now_ms: float) -> int:
         """Count the batch items on it, by all instances."""
-        counted = self.own.batch + sum(peer.batch for peer in self._fresh(now_ms))
+        counted = self.own.batch + sum(peer.batch for peer in self._fresh_peer_counts(now_ms))
         return max(counted, self._total.batch) if now_ms < self._total.until_ms else counted
 
     def total_count(self, now_ms: float) -> int:
         """Count all requests on it: the larger of the sum of counts and its own statement."""
         counted = self.online_count(now_ms) + self.batch_count(now_ms)
-        return max(counted, self._stated) if now_ms < self._stated_until_ms else counted
+        return max(counted, self._reported_load) if now_ms < self._reported_until_ms else counted
 
-    def slowness(self, now_ms: float) -> float:
+    def expected_slowdown(self, now_ms: float) -> float:
         """Give how many times as long as usual in its service work takes on it.
 
         It is 1.0 for a server that does not state how long work takes there now.
         """
-        if not self.pace.is_known:
+        if not self.reported_slowdown.is_known:
             return 1.0
-        return self.speed.factor * self.pace.factor(now_ms)
+        return self.latency_ratio.factor * self.reported_slowdown.factor(now_ms)
 
     @property
-    def held_limit(self) -> int:
+    def protected_batch_limit(self) -> int:
         """Give the places that batch items at risk may keep from online requests."""
         return max(1, int(self.listed.slots_count * PROTECTED_BATCH_SHARE))
 
-    def held_count(self, now_ms: float) -> int:
+    def protected_batch_count(self, now_ms: float) -> int:
         """Count the batch items that do not make room for online requests."""
-        return min(self.batch_count(now_ms), self.held_limit)
+        return min(self.batch_count(now_ms), self.protected_batch_limit)
 
     def batch_by_peer(self, now_ms: float) -> dict[InstanceId, int]:
         """Count the batch items on it by peer."""
         return {
             peer: count.batch
-            for peer, count in self._peers.items()
+            for peer, count in self._peer_counts.items()
             if count.batch and count.until_ms > now_ms
         }
 
-    def _fresh(self, now_ms: float) -> list[_PeerCount]:
-        stale = [peer for peer, count in self._peers.items() if count.until_ms <= now_ms]
+    def _fresh_peer_counts(self, now_ms: float) -> list[_PeerCount]:
+        stale = [peer for peer, count in self._peer_counts.items() if count.until_ms <= now_ms]
         for peer in stale:
-            del self._peers[peer]
-        return list(self._peers.values())
+            del self._peer_counts[peer]
+        return list(self._peer_counts.values())
--- a/citrondyke/decisions/forwarding/startup_hold.py
+++ b/citrondyke/decisions/forwarding/startup_hold.py
@@ -31,23 +31,23 @@
     def __init__(self, context: Context) -> None:
         """Begin at the start of the instance."""
         self._context = context
-        self._began_ms = context.now_ms()
-        self._held = 0
+        self._started_ms = context.now_ms()
+        self._held_count = 0
 
     def begin(self, within_ms: float | None) -> float | None:
         """Hold one more request; give until when, or ``None`` when as many are held as may be.
 
         :param within_ms: how long its caller will wait.
         """
-        if self._held >= HELD_LIMIT:
+        if self._held_count >= HELD_LIMIT:
             return None
-        self._held += 1
+        self._held_count += 1
         hold_ms = HOLD_MS if within_ms is None else min(HOLD_MS, within_ms * HOLD_SHARE)
         return self._context.now_ms() + hold_ms
 
     def end(self) -> None:
         """Take note that a request is held no more."""
-        self._held -= 1
+        self._held_count -= 1
 
     def retry_in_ms(self) -> float:
         """Tell when a caller who is turned away should come again.
@@ -55,6 +55,6 @@
         What has taken a while takes about as long again; the spread keeps callers who were turned
         away together from coming back together.
         """
-        passed_ms = self._context.now_ms() - self._began_ms
+        passed_ms = self._context.now_ms() - self._started_ms
         expected_ms = min(max(passed_ms, RETRY_MIN_MS), RETRY_MAX_MS)
         return expected_ms * (1.0 + RETRY_SPREAD * self._context.random.random())
--- a/citrondyke/decisions/server_list/reader_election.py
+++ b/citrondyke/decisions/server_list/reader_election.py
@@ -36,19 +36,19 @@
     def __init__(self, context: Context) -> None:
         """Start with everybody reading."""
         self._context = context
-        self._pays = False
+        self._is_worthwhile = False
 
-    def pays(self, list_bytes: int, instances_count: int) -> bool:
+    def is_worthwhile(self, list_bytes: int, instances_count: int) -> bool:
         """Tell whether few read for the others.
 
         :param list_bytes: of the values of the whole list.
         """
         all_bytes = list_bytes * instances_count
-        limit = WORTHWHILE_BYTES * (STOP_SHARE if self._pays else 1.0)
-        self._pays = all_bytes >= limit
-        return self._pays
+        limit = WORTHWHILE_BYTES * (STOP_SHARE if self._is_worthwhile else 1.0)
+        self._is_worthwhile = all_bytes >= limit
+        return self._is_worthwhile
 
-    def readers(self, zone_members: Iterable[InstanceId]) -> list[InstanceId]:
+    def elect_readers(self, zone_members: Iterable[InstanceId]) -> list[InstanceId]:
         """Choose the readers among the live instances of the own zone, the first one first.
 
         :returns: none where the zone is too small.
--- a/citrondyke/decisions/server_list/reader_lease_tracker.py
+++ b/citrondyke/decisions/server_list/reader_lease_tracker.py
@@ -39,14 +39,14 @@
 
 
 class _ReaderState(msgspec.Struct):
-    life: str
+    incarnation: str
     #: Up to which all changes that this reader told are known here; -1 where none are.
     number: int
-    heard_ms: float
+    received_ms: float
     #: Its last word was that it has the same whole list.
-    is_level: bool = False
+    is_up_to_date: bool = False
     differs_since_ms: float | None = None
-    whole_asked_ms: float = float('-inf')
+    full_requested_ms: float = float('-inf')
 
 
 class ReaderLeaseTracker:
@@ -55,43 +55,43 @@
     def __init__(self, context: Context) -> None:
         """Start having heard of nobody."""
         self._context = context
-        self._heard: dict[InstanceId, _ReaderState] = {}
-        self._covered_until_ms = float('-inf')
+        self._readers: dict[InstanceId, _ReaderState] = {}
+        self._delegated_until_ms = float('-inf')
         #: Whose word covered last.
         self.source: InstanceId | None = None
 
     @property
-    def is_covered(self) -> bool:
+    def is_delegated(self) -> bool:
         """Tell whether the store need not be asked for the list."""
-        return self._context.now_ms() < self._covered_until_ms
+        return self._context.now_ms() < self._delegated_until_ms
 
     @property
     def has_reader(self) -> bool:
         """Tell whether some reader was heard a moment ago."""
         since_ms = self._context.now_ms() - LEASE_MS
-        return any(heard.heard_ms >= since_ms for heard in self._heard.values())
+        return any(heard.received_ms >= since_ms for heard in self._readers.values())
 
-    def known(self, reader: InstanceId) -> ServerListCursor:
+    def cursor_of(self, reader: InstanceId) -> ServerListCursor:
         """Say for a question how far a reader was heard."""
-        heard = self._heard.get(reader)
+        heard = self._readers.get(reader)
         if heard is None or heard.number < 0:
             return ServerListCursor('', 0)
-        return ServerListCursor(heard.life, heard.number)
+        return ServerListCursor(heard.incarnation, heard.number)
 
     def record_cursor(
         self, reader: InstanceId, told: ServerListCursor, own_digest: int
     ) -> MissingRows:
         """Take in how far a reader is; tell what is to be asked of it."""
         now_ms = self._context.now_ms()
-        heard = self._of(reader, told.life)
-        heard.heard_ms = now_ms
-        heard.is_level = told.is_whole and told.digest == own_digest
-        if heard.is_level:
+        heard = self._reader_state(reader, told.life)
+        heard.received_ms = now_ms
+        heard.is_up_to_date = told.is_whole and told.digest == own_digest
+        if heard.is_up_to_date:
             heard.number = told.number
             heard.differs_since_ms = None
             until_ms = now_ms + min(LEASE_MS, FRESH_MS - told.age_ms)
-            if until_ms > self._covered_until_ms:
-                self._covered_until_ms = until_ms
+            if until_ms > self._delegated_until_ms:
+                self._delegated_until_ms = until_ms
                 self.source = reader
             return MissingRows.NOTHING
         if heard.differs_since_ms is None:
@@ -100,21 +100,21 @@
             return MissingRows.CHANGES
         return self._missing_everything(heard, now_ms)
 
-    def is_level(self, reader: InstanceId) -> bool:
+    def is_up_to_date(self, reader: InstanceId) -> bool:
         """Tell whether a reader's last word was that it has the list that is known here."""
-        heard = self._heard.get(reader)
-        return heard is not None and heard.is_level
+        heard = self._readers.get(reader)
+        return heard is not None and heard.is_up_to_date
 
-    def note_failure(self, reader: InstanceId) -> None:
+    def record_failure(self, reader: InstanceId) -> None:
         """Take in that a reader did not answer; it may be asked again soon."""
-        heard = self._heard.get(reader)
+        heard = self._readers.get(reader)
         if heard is not None:
-            heard.whole_asked_ms = float('-inf')
+            heard.full_requested_ms = float('-inf')
 
     def record_changes(self, reader: InstanceId, life: str, since: int, number: int) -> bool:
         """Take in that a reader told all changes between two numbers; tell if none is missing."""
-        heard = self._of(reader, life)
-        heard.heard_ms = self._context.now_ms()
+        heard = self._reader_state(reader, life)
+        heard.received_ms = self._context.now_ms()
         is_whole = since <= max(0, heard.number)
         if is_whole:
             heard.number = max(heard.number, number)
@@ -124,21 +124,21 @@
         """Ask for all rows where nobody covers, or where the lists differ for long."""
         since_ms = heard.differs_since_ms
         differs_long = since_ms is not None and now_ms - since_ms >= DIVERGENCE_LIMIT_MS
-        if self.is_covered and not differs_long:
+        if self.is_delegated and not differs_long:
             return MissingRows.NOTHING
         if heard.number >= 0 and not differs_long:
             return MissingRows.NOTHING
-        if now_ms - heard.whole_asked_ms < FULL_REQUEST_EVERY_MS:
+        if now_ms - heard.full_requested_ms < FULL_REQUEST_EVERY_MS:
             return MissingRows.NOTHING
-        heard.whole_asked_ms = now_ms
+        heard.full_requested_ms = now_ms
         heard.number = -1
         return MissingRows.EVERYTHING
 
-    def _of(self, reader: InstanceId, life: str) -> _ReaderState:
-        heard = self._heard.pop(reader, None)
-        if heard is None or heard.life != life:
+    def _reader_state(self, reader: InstanceId, life: str) -> _ReaderState:
+        heard = self._readers.pop(reader, None)
+        if heard is None or heard.incarnation != life:
             heard = _ReaderState(life, -1, self._context.now_ms())
-        self._heard[reader] = heard
-        while len(self._heard) > READERS_LIMIT:
-            del self._heard[next(iter(self._heard))]
+        self._readers[reader] = heard
+        while len(self._readers) > READERS_LIMIT:
+            del self._readers[next(iter(self._readers))]
         return heard
--- a/citrondyke/decisions/server_list/server_list_change_log.py
+++ b/citrondyke/decisions/server_list/server_list_change_log.py
@@ -22,9 +22,9 @@
         self.number = 0
         self._numbers: OrderedDict[str, int] = OrderedDict()
         #: Up to this number changes may have been forgotten.
-        self._floor = 0
+        self._forgotten_until = 0
 
-    def note(self, key: str, rows_count: int) -> None:
+    def record_change(self, key: str, rows_count: int) -> None:
         """Take note of a change of a row.
 
         :param rows_count: of the whole list.
@@ -33,14 +33,14 @@
         self._numbers[key] = self.number
         self._numbers.move_to_end(key)
         if len(self._numbers) > rows_count + EXTRA_KEYS_LIMIT:
-            _, self._floor = self._numbers.popitem(last=False)
+            _, self._forgotten_until = self._numbers.popitem(last=False)
 
     def changed_since(self, number: int) -> list[str] | None:
         """List the keys that changed behind a number, oldest change first.
 
         :returns: ``None`` where the memory does not reach back so far.
         """
-        if number < self._floor or number > self.number:
+        if number < self._forgotten_until or number > self.number:
             return None
         found = []
         for key in reversed(self._numbers):
--- a/citrondyke/decisions/servers/baseline_latencies.py
+++ b/citrondyke/decisions/servers/baseline_latencies.py
@@ -24,7 +24,7 @@
         """Start without a measurement."""
         self._mean_ms: dict[tuple[RouteName, ServiceName], float] = {}
 
-    def note(self, route: RouteName, service: ServiceName, took_ms: float) -> float:
+    def record(self, route: RouteName, service: ServiceName, took_ms: float) -> float:
         """Take in an answer's time; give the usual one."""
         known_ms = self._mean_ms.get((route, service), took_ms)
         mean_ms = known_ms + SMOOTHING_FACTOR * (took_ms - known_ms)
--- a/citrondyke/decisions/servers/candidate_sampling.py
+++ b/citrondyke/decisions/servers/candidate_sampling.py
@@ -28,5 +28,7 @@
     if len(states) <= count:
         return states
     # The largest of random numbers to the power of 1 / weight are a draw by weight.
-    drawn = {state.life: random.random() ** state.slowness(now_ms) for state in states}
-    return nlargest(count, states, key=lambda state: drawn[state.life])
+    drawn = {
+        state.incarnation: random.random() ** state.expected_slowdown(now_ms) for state in states
+    }
+    return nlargest(count, states, key=lambda state: drawn[state.incarnation])
--- a/citrondyke/decisions/servers/evidence_notices.py
+++ b/citrondyke/decisions/servers/evidence_notices.py
@@ -28,57 +28,57 @@
     def __init__(self, context: Context, book: ServerRegistry) -> None:
         """Start having told nothing."""
         self._context = context
-        self._book = book
+        self._registry = book
         self._sent_ms = NEVER_MS
-        self._again_ms: dict[ServerIncarnation, float] = {}
+        self._resend_ms: dict[ServerIncarnation, float] = {}
 
     def next_pause_ms(self) -> float | None:
         """Give the time until something is to be told; ``None`` while there is nothing."""
-        due_ms = min(self._again_ms.values(), default=float('inf'))
-        if any(state.record.has_news for state in self._book.states()):
+        due_ms = min(self._resend_ms.values(), default=float('inf'))
+        if any(state.health_record.has_update for state in self._registry.states()):
             due_ms = NEVER_MS
         if due_ms == float('inf'):
             return None
-        gap_ms = self._book.neighbours.instances_count * 1e3 / DATAGRAMS_PER_S
+        gap_ms = self._registry.topology.instances_count * 1e3 / DATAGRAMS_PER_S
         now_ms = self._context.now_ms()
         return max(0.0, due_ms - now_ms, self._sent_ms + gap_ms - now_ms)
 
-    def take(self) -> list[ServerEvidence]:
+    def take_due(self) -> list[ServerEvidence]:
         """Give what peers are to be told now."""
         now_ms = self._context.now_ms()
         rows = []
         again_ms = {}
-        for state in self._book.states():
-            is_news = state.record.has_news
-            due_ms = self._again_ms.get(state.life)
+        for state in self._registry.states():
+            is_news = state.health_record.has_update
+            due_ms = self._resend_ms.get(state.incarnation)
             if is_news or (due_ms is not None and due_ms <= now_ms):
                 rows.append(self._row(state, now_ms))
             elif due_ms is not None:
-                again_ms[state.life] = due_ms
+                again_ms[state.incarnation] = due_ms
             if is_news:
-                state.record.has_news = False
-                again_ms[state.life] = now_ms + RESEND_AFTER_MS
-        self._again_ms = again_ms
+                state.health_record.has_update = False
+                again_ms[state.incarnation] = now_ms + RESEND_AFTER_MS
+        self._resend_ms = again_ms
         if rows:
             self._sent_ms = now_ms
         return rows
 
-    def note(self, peer: InstanceId, rows: list[ServerEvidence]) -> None:
+    def record_peer_evidence(self, peer: InstanceId, rows: list[ServerEvidence]) -> None:
         """Take in what a peer tells; of lives that are not known it says nothing."""
         now_ms = self._context.now_ms()
         services = set()
         for row in rows:
-            state = self._book.by_digest(row.server)
+            state = self._registry.by_digest(row.server)
             if state is not None:
-                state.record.merge_peer_outcomes(peer, row, now_ms)
+                state.health_record.merge_peer_outcomes(peer, row, now_ms)
                 services.add(state.listed.service)
         for service in services:
-            self._book.judge(service)
+            self._registry.evaluate_health(service)
 
     @staticmethod
     def _row(state: ServerState, now_ms: float) -> ServerEvidence:
-        record = state.record
-        sums = record.own.sums(record.since_ms(), now_ms)
+        record = state.health_record
+        sums = record.own.counts_since(record.counts_since_ms(), now_ms)
         failure_ms = record.own.last_failure_ms
         success_ms = record.own.last_ms(Outcome.SUCCEEDED)
         return ServerEvidence(
@@ -86,7 +86,7 @@
             failed=sums.failed,
             unanswered=sums.unanswered,
             succeeded=sums.succeeded,
-            recovered=record.own.succeeded_after(record.last_failure_ms),
+            recovered=record.own.successes_after(record.last_failure_ms),
             failure_age_ms=None if failure_ms == NEVER_MS else now_ms - failure_ms,
             success_age_ms=None if success_ms == NEVER_MS else now_ms - success_ms,
         )
--- a/citrondyke/decisions/servers/expected_finish.py
+++ b/citrondyke/decisions/servers/expected_finish.py
@@ -22,7 +22,7 @@
     """
     slots = state.listed.slots_count
     total = state.total_count(now_ms)
-    finish = state.slowness(now_ms) * (1.0 + REQUEST_COST * min(total, slots))
+    finish = state.expected_slowdown(now_ms) * (1.0 + REQUEST_COST * min(total, slots))
     if total < slots:
         return finish
     # Batch items make room, so that only online requests are waited for; a free place is better
--- a/citrondyke/decisions/servers/health_evaluator.py
+++ b/citrondyke/decisions/servers/health_evaluator.py
@@ -60,26 +60,26 @@
     failed: int = 0
     unanswered: int = 0
     succeeded: int = 0
-    unanswered_witnesses: int = 0
-    witnesses: list[InstanceId] = []
-    own_zone: _ZoneResults = msgspec.field(default_factory=_ZoneResults)
-    other_zones: dict[AvailabilityZone | None, _ZoneResults] = {}
+    unanswered_observers: int = 0
+    observers: list[InstanceId] = []
+    local_zone: _ZoneResults = msgspec.field(default_factory=_ZoneResults)
+    remote_zones: dict[AvailabilityZone | None, _ZoneResults] = {}
 
     @property
     def failures(self) -> int:
         """Count the failures that take a server out."""
-        is_certain = self.unanswered_witnesses >= MIN_UNANSWERED_OBSERVERS
+        is_certain = self.unanswered_observers >= MIN_UNANSWERED_OBSERVERS
         return self.failed + (self.unanswered if is_certain else 0)
 
     @property
-    def share(self) -> float:
+    def failure_share(self) -> float:
         """Give the share of failures among the results."""
         return self.failures / max(1, self.failures + self.succeeded)
 
     @property
     def is_confirmed_healthy_here(self) -> bool:
         """Tell whether the own zone's results show that only other zones are failed."""
-        return self.fails_elsewhere_only and self.own_zone.successes >= MIN_ZONE_SUCCESSES
+        return self.fails_elsewhere_only and self.local_zone.successes >= MIN_ZONE_SUCCESSES
 
     @property
     def fails_elsewhere_only(self) -> bool:
@@ -87,18 +87,18 @@
 
         A server that fails a part of its requests may have served three in a row here.
         """
-        failed = [zone for zone in self.other_zones.values() if zone.failures]
+        failed = [zone for zone in self.remote_zones.values() if zone.failures]
         failures = sum(zone.failures for zone in failed)
         results = failures + sum(zone.successes for zone in failed)
         fails_elsewhere = failures > 0 and failures >= REMOTE_ZONES_FAILURE_SHARE * results
-        return fails_elsewhere and not self.own_zone.failures and self.own_zone.successes > 0
+        return fails_elsewhere and not self.local_zone.failures and self.local_zone.successes > 0
 
     @property
     def fails_here_only(self) -> bool:
         """Tell whether only the own zone is failed, while others are served."""
-        others = self.other_zones.values()
+        others = self.remote_zones.values()
         return (
-            self.own_zone.failures > 0
+            self.local_zone.failures > 0
             and not any(zone.failures for zone in others)
             and any(zone.successes for zone in others)
         )
@@ -114,29 +114,30 @@
     def __init__(self, context: Context, neighbours: PeerTopology) -> None:
         """Start without a judgement."""
         self._context = context
-        self._neighbours = neighbours
+        self._topology = neighbours
 
-    def judge(self, states: Sequence[ServerState]) -> list[HealthChange]:
+    def evaluate(self, states: Sequence[ServerState]) -> list[HealthChange]:
         """Judge the servers of one service; give what changed."""
         now_ms = self._context.now_ms()
-        concerned = [state for state in states if state.record.needs_evaluation(now_ms)]
+        concerned = [state for state in states if state.health_record.needs_evaluation(now_ms)]
         if not concerned:
             return []
         cut_off = self._partitioned_observers(states, now_ms)
-        views = {state.life: self._view(state, cut_off, now_ms) for state in concerned}
+        views = {state.incarnation: self._view(state, cut_off, now_ms) for state in concerned}
         floor = _baseline_failures(states, views)
         alone_left = max(1, len(states) // SINGLE_OBSERVER_DIVISOR) - sum(
-            state.record.standing is ServerHealth.OUT and len(views[state.life].witnesses) == 1
+            state.health_record.health is ServerHealth.EJECTED
+            and len(views[state.incarnation].observers) == 1
             for state in concerned
         )
         changes = []
-        for state in sorted(concerned, key=lambda each: -views[each.life].failures):
-            view = views[state.life]
+        for state in sorted(concerned, key=lambda each: -views[each.incarnation].failures):
+            view = views[state.incarnation]
             after = self._next_health(state, view, floor, now_ms)
-            is_going = after is ServerHealth.OUT is not state.record.standing
-            if is_going and len(view.witnesses) == 1:
+            is_going = after is ServerHealth.EJECTED is not state.health_record.health
+            if is_going and len(view.observers) == 1:
                 if alone_left <= 0:
-                    after = ServerHealth.DOUBTED
+                    after = ServerHealth.DEGRADED
                 alone_left -= 1
             change = _apply_health(state, view, after, now_ms)
             if change is not None:
@@ -146,36 +147,36 @@
     def _next_health(
         self, state: ServerState, view: _FleetView, floor: int, now_ms: float
     ) -> ServerHealth:
-        record = state.record
+        record = state.health_record
         is_usual = floor > 0 and view.failures < BASELINE_FACTOR * floor
         if view.is_confirmed_healthy_here or is_usual:
-            return ServerHealth.SOUND
-        recovered = record.recovered(self._trusted_peers(state, view, now_ms), now_ms)
+            return ServerHealth.HEALTHY
+        recovered = record.recovery_count(self._trusted_peers(state, view, now_ms), now_ms)
         silent_ms = now_ms - record.last_failure_ms
         if silent_ms > MAX_DEGRADED_MS:
-            return ServerHealth.SOUND
-        if record.standing is ServerHealth.OUT:
+            return ServerHealth.HEALTHY
+        if record.health is ServerHealth.EJECTED:
             is_back = recovered >= SUCCESSES_TO_RECOVER
-            return ServerHealth.DOUBTED if is_back else ServerHealth.OUT
-        if view.failures >= FAILURES_LIMIT and view.share >= FAILURE_SHARE_LIMIT:
-            return ServerHealth.OUT
+            return ServerHealth.DEGRADED if is_back else ServerHealth.EJECTED
+        if view.failures >= FAILURES_LIMIT and view.failure_share >= FAILURE_SHARE_LIMIT:
+            return ServerHealth.EJECTED
         # A server that was silent may have been full; what it failed it may fail again.
         if recovered > 0 and (silent_ms > WINDOW_MS or not view.failed):
-            return ServerHealth.SOUND
-        is_degraded = bool(view.witnesses) or record.standing is ServerHealth.DOUBTED
-        return ServerHealth.DOUBTED if is_degraded else ServerHealth.SOUND
+            return ServerHealth.HEALTHY
+        is_degraded = bool(view.observers) or record.health is ServerHealth.DEGRADED
+        return ServerHealth.DEGRADED if is_degraded else ServerHealth.HEALTHY
 
     def _trusted_peers(
         self, state: ServerState, view: _FleetView, now_ms: float
     ) -> Collection[InstanceId]:
         """Give the peers whose successes bring a server back here."""
-        record = state.record
+        record = state.health_record
         if view.fails_here_only:
-            record.zone_only_until_ms = now_ms + MAX_DEGRADED_MS
-        told = record.told(now_ms)
-        if now_ms >= record.zone_only_until_ms:
+            record.local_zone_only_until_ms = now_ms + MAX_DEGRADED_MS
+        told = record.peer_outcomes(now_ms)
+        if now_ms >= record.local_zone_only_until_ms:
             return told.keys()
-        return {peer for peer in told if self._neighbours.zone(peer) == self._context.zone}
+        return {peer for peer in told if self._topology.zone_of(peer) == self._context.zone}
 
     def _partitioned_observers(
         self, states: Sequence[ServerState], now_ms: float
@@ -184,19 +185,19 @@
         blamed: dict[InstanceId, int] = {}
         own_id = self._context.instance_id
         for state in states:
-            record = state.record
-            if record.own.sums(record.since_ms(), now_ms).unanswered:
+            record = state.health_record
+            if record.own.counts_since(record.counts_since_ms(), now_ms).unanswered:
                 blamed[own_id] = blamed.get(own_id, 0) + 1
-            for peer, told in record.told(now_ms).items():
+            for peer, told in record.peer_outcomes(now_ms).items():
                 if told.unanswered:
                     blamed[peer] = blamed.get(peer, 0) + 1
         limit = max(1, len(states) // PARTITIONED_DIVISOR)
         return {witness for witness, count in blamed.items() if count > limit}
 
     def _view(self, state: ServerState, cut_off: set[InstanceId], now_ms: float) -> _FleetView:
-        record = state.record
+        record = state.health_record
         view = _FleetView()
-        own = record.own.sums(record.since_ms(), now_ms)
+        own = record.own.counts_since(record.counts_since_ms(), now_ms)
         self._add(
             view,
             self._context.instance_id,
@@ -206,7 +207,7 @@
             self._context.zone,
             cut_off,
         )
-        for peer, told in record.told(now_ms).items():
+        for peer, told in record.peer_outcomes(now_ms).items():
             # A peer's sums may reach back beyond the time from which results count here.
             is_old = told.failed_ms <= record.counted_from_ms
             self._add(
@@ -215,7 +216,7 @@
                 0 if is_old else told.failed,
                 0 if is_old else told.unanswered,
                 told.succeeded,
-                self._neighbours.zone(peer),
+                self._topology.zone_of(peer),
                 cut_off,
             )
         return view
@@ -234,12 +235,12 @@
             unanswered = 0
         view.failed += failed
         view.unanswered += unanswered
-        view.unanswered_witnesses += bool(unanswered)
+        view.unanswered_observers += bool(unanswered)
         view.succeeded += succeeded
         if failed or unanswered:
-            view.witnesses.append(witness)
+            view.observers.append(witness)
         is_own = zone == self._context.zone
-        here = view.own_zone if is_own else view.other_zones.setdefault(zone, _ZoneResults())
+        here = view.local_zone if is_own else view.remote_zones.setdefault(zone, _ZoneResults())
         here.failures += failed + unanswered
         here.successes += succeeded
 
@@ -248,25 +249,27 @@
     states: Sequence[ServerState], views: dict[ServerIncarnation, _FleetView]
 ) -> int:
     """Give the failures of the best servers' worst: what a server of this service may fail."""
-    failures = sorted(views[state.life].failures if state.life in views else 0 for state in states)
+    failures = sorted(
+        views[state.incarnation].failures if state.incarnation in views else 0 for state in states
+    )
     return failures[len(failures) // BASELINE_DIVISOR]
 
 
 def _apply_health(
     state: ServerState, view: _FleetView, after: ServerHealth, now_ms: float
 ) -> HealthChange | None:
-    record = state.record
-    before = record.standing
-    is_sound = after is ServerHealth.SOUND
-    record.failing_share = 0.0 if is_sound else view.share
+    record = state.health_record
+    before = record.health
+    is_sound = after is ServerHealth.HEALTHY
+    record.failure_share = 0.0 if is_sound else view.failure_share
     record.failures = 0 if is_sound else view.failures
     record.fails_elsewhere_only = view.fails_elsewhere_only
     if after is before:
         return None
-    record.standing = after
-    if after is ServerHealth.OUT:
-        record.outs_ms.append(now_ms)
-    elif before is ServerHealth.OUT:
+    record.health = after
+    if after is ServerHealth.EJECTED:
+        record.ejected_at_ms.append(now_ms)
+    elif before is ServerHealth.EJECTED:
         # The failures that took it out must not take it out again.
         record.counted_from_ms = now_ms
     return HealthChange(
@@ -276,6 +279,6 @@
         failures=view.failed + view.unanswered,
         successes=view.succeeded,
         failure_age_ms=now_ms - record.last_failure_ms,
-        witnesses=view.witnesses,
-        outs_count=len(record.outs_ms),
+        observers=view.observers,
+        ejections_count=len(record.ejected_at_ms),
     )
--- a/citrondyke/decisions/servers/health_policy.py
+++ b/citrondyke/decisions/servers/health_policy.py
@@ -31,21 +31,21 @@
         """Start with nobody told of changes."""
         self._context = context
         self._due_ms: dict[ServiceName, float] = {}
-        self._judge = HealthEvaluator(context, neighbours)
-        self._turns = ProbeSchedule(context, neighbours)
+        self._evaluator = HealthEvaluator(context, neighbours)
+        self._probes = ProbeSchedule(context, neighbours)
         self.on_change: Callable[[HealthChange], None] = _no_listener
-        self.on_trial: Callable[[ServerState], None] = _no_listener
+        self.on_probe: Callable[[ServerState], None] = _no_listener
 
-    def judge(self, states: Sequence[ServerState]) -> None:
+    def evaluate(self, states: Sequence[ServerState]) -> None:
         """Bring the standing of one service's servers up to date, some times a second."""
         now_ms = self._context.now_ms()
         service = states[0].listed.service if states else None
         if service is None or now_ms < self._due_ms.get(service, 0.0):
             return
-        if not any(state.record.needs_evaluation(now_ms) for state in states):
+        if not any(state.health_record.needs_evaluation(now_ms) for state in states):
             return
         self._due_ms[service] = now_ms + EVALUATE_EVERY_MS
-        for change in self._judge.judge(states):
+        for change in self._evaluator.evaluate(states):
             self.on_change(change)
 
     def server_to_probe(self, states: Iterable[ServerState]) -> ServerState | None:
@@ -54,8 +54,10 @@
         One that is dear would otherwise stay in doubt for want of requests.
         """
         for state in states:
-            if state.record.standing is not ServerHealth.SOUND and self._turns.take(state):
-                self.on_trial(state)
+            if state.health_record.health is not ServerHealth.HEALTHY and self._probes.try_claim(
+                state
+            ):
+                self.on_probe(state)
                 return state
         return None
 
@@ -64,8 +66,8 @@
         usable: list[ServerState], expected_to_wait: Callable[[ServerState], bool], now_ms: float
     ) -> list[ServerState]:
         """Choose the servers for what may run once only: a failure there cannot be made good."""
-        sound = [state for state in usable if state.record.standing is ServerHealth.SOUND]
-        proven = [state for state in sound if state.record.is_past_confirmation(now_ms)]
+        sound = [state for state in usable if state.health_record.health is ServerHealth.HEALTHY]
+        proven = [state for state in sound if state.health_record.is_past_confirmation(now_ms)]
         return proven if not all(map(expected_to_wait, proven)) else sound or usable
 
 
--- a/citrondyke/decisions/servers/latency_ratio.py
+++ b/citrondyke/decisions/servers/latency_ratio.py
@@ -19,7 +19,7 @@
         """Start at the middle of the service."""
         self.factor = 1.0
 
-    def note(self, took_ms: float, usual_ms: float) -> None:
+    def record(self, took_ms: float, usual_ms: float) -> None:
         """Take in an answer.
 
         :param usual_ms: time of an answer to such a request at a server of the middle now.
--- a/citrondyke/decisions/servers/outcomes.py
+++ b/citrondyke/decisions/servers/outcomes.py
@@ -37,7 +37,7 @@
 
 
 class _Bucket(msgspec.Struct):
-    began_ms: float
+    started_ms: float
     counts: dict[Outcome, int]
 
 
@@ -46,17 +46,17 @@
 
     def __init__(self) -> None:
         """Start without a result."""
-        self._slots: deque[_Bucket] = deque()
+        self._buckets: deque[_Bucket] = deque()
         self._last_ms = dict.fromkeys(Outcome, NEVER_MS)
 
-    def note(self, outcome: Outcome, now_ms: float) -> None:
+    def record(self, outcome: Outcome, now_ms: float) -> None:
         """Take in a result."""
         turned = outcome is Outcome.SUCCEEDED and self.last_failure_ms > self._last_ms[outcome]
         self._last_ms[outcome] = now_ms
-        if turned or not self._slots or now_ms - self._slots[-1].began_ms >= BUCKET_MS:
-            self._slots.append(_Bucket(now_ms, dict.fromkeys(Outcome, 0)))
-            self._forget(now_ms)
-        self._slots[-1].counts[outcome] += 1
+        if turned or not self._buckets or now_ms - self._buckets[-1].started_ms >= BUCKET_MS:
+            self._buckets.append(_Bucket(now_ms, dict.fromkeys(Outcome, 0)))
+            self._drop_expired(now_ms)
+        self._buckets[-1].counts[outcome] += 1
 
     def last_ms(self, outcome: Outcome) -> float:
         """Give the time of the last result of a kind; minus infinity before the first."""
@@ -67,22 +67,22 @@
         """Give the time of the last failure of either kind; minus infinity before the first."""
         return max(self._last_ms[Outcome.FAILED], self._last_ms[Outcome.UNANSWERED])
 
-    def sums(self, since_ms: float, now_ms: float) -> OutcomeCounts:
+    def counts_since(self, since_ms: float, now_ms: float) -> OutcomeCounts:
         """Add up what came since a time, about, within the window."""
-        self._forget(now_ms)
-        found = [slot.counts for slot in self._slots if slot.began_ms + BUCKET_MS > since_ms]
+        self._drop_expired(now_ms)
+        found = [slot.counts for slot in self._buckets if slot.started_ms + BUCKET_MS > since_ms]
         return OutcomeCounts(
             sum(counts[Outcome.FAILED] for counts in found),
             sum(counts[Outcome.UNANSWERED] for counts in found),
             sum(counts[Outcome.SUCCEEDED] for counts in found),
         )
 
-    def succeeded_after(self, since_ms: float) -> int:
+    def successes_after(self, since_ms: float) -> int:
         """Count the successes that came after a time."""
         return sum(
-            slot.counts[Outcome.SUCCEEDED] for slot in self._slots if slot.began_ms > since_ms
+            slot.counts[Outcome.SUCCEEDED] for slot in self._buckets if slot.started_ms > since_ms
         )
 
-    def _forget(self, now_ms: float) -> None:
-        while self._slots and self._slots[0].began_ms <= now_ms - WINDOW_MS:
-            self._slots.popleft()
+    def _drop_expired(self, now_ms: float) -> None:
+        while self._buckets and self._buckets[0].started_ms <= now_ms - WINDOW_MS:
+            self._buckets.popleft()
--- a/citrondyke/decisions/servers/probe_schedule.py
+++ b/citrondyke/decisions/servers/probe_schedule.py
@@ -28,29 +28,29 @@
     def __init__(self, context: Context, neighbours: PeerTopology) -> None:
         """Start without a trial."""
         self._context = context
-        self._neighbours = neighbours
-        self._taken: dict[ServerIncarnation, int] = {}
+        self._topology = neighbours
+        self._claimed: dict[ServerIncarnation, int] = {}
 
-    def take(self, state: ServerState) -> bool:
+    def try_claim(self, state: ServerState) -> bool:
         """Tell whether this instance may send a request to a server now; it counts as sent."""
         now_ms = self._context.now_ms()
         if state.ejected_until_ms > now_ms:
             return False
-        record = state.record
+        record = state.health_record
         since_failure_ms = now_ms - record.last_failure_ms
         # Where only other zones are failed, their failures are no reason to wait.
-        if not record.fails_elsewhere_only and since_failure_ms < record.pause_ms(now_ms):
+        if not record.fails_elsewhere_only and since_failure_ms < record.probe_delay_ms(now_ms):
             return False
         turn = int(self._context.epoch_ms() // ROTATION_MS)
-        if self._taken.get(state.life) == turn or not self._is_own(state, turn):
+        if self._claimed.get(state.incarnation) == turn or not self._is_own_rotation(state, turn):
             return False
-        self._taken = {life: each for life, each in self._taken.items() if each == turn}
-        self._taken[state.life] = turn
+        self._claimed = {life: each for life, each in self._claimed.items() if each == turn}
+        self._claimed[state.incarnation] = turn
         return True
 
-    def _is_own(self, state: ServerState, turn: int) -> bool:
+    def _is_own_rotation(self, state: ServerState, turn: int) -> bool:
         own_id = self._context.instance_id
-        seed = f'{state.listed.stated_life}.{turn}'
+        seed = f'{state.listed.stated_incarnation}.{turn}'
         own_weight = rendezvous_weight(own_id, seed)
-        others = self._neighbours.everybody()
+        others = self._topology.all_peers()
         return all(rendezvous_weight(other, seed) < own_weight for other in others)
--- a/citrondyke/decisions/servers/reported_slowdown.py
+++ b/citrondyke/decisions/servers/reported_slowdown.py
@@ -33,7 +33,7 @@
         """Tell whether the server states its pace."""
         return self._mean > 0.0
 
-    def note(self, factor: float, now_ms: float) -> bool:
+    def record(self, factor: float, now_ms: float) -> bool:
         """Take in a figure; tell whether it can be one.
 
         :param factor: how many times as long as usual work takes.
--- a/citrondyke/decisions/servers/server_health.py
+++ b/citrondyke/decisions/servers/server_health.py
@@ -17,11 +17,11 @@
     """Who may be sent to a server."""
 
     #: Everybody.
-    SOUND = 'sound'
+    HEALTHY = 'sound'
     #: What may be repeated; what may run once only where no sound server has a place.
-    DOUBTED = 'doubted'
+    DEGRADED = 'doubted'
     #: Single requests that may be repeated, one instance at a time.
-    OUT = 'out'
+    EJECTED = 'out'
 
 
 class HealthChange(msgspec.Struct, frozen=True, kw_only=True):
@@ -35,6 +35,6 @@
     #: Time since the last failure; infinite where none is known.
     failure_age_ms: float
     #: Who saw failures.
-    witnesses: list[InstanceId]
+    observers: list[InstanceId]
     #: How often it went out lately.
-    outs_count: int
+    ejections_count: int
--- a/citrondyke/gateway/accounts/limit_exchange.py
+++ b/citrondyke/gateway/accounts/limit_exchange.py
@@ -223,7 +223,7 @@
 
     def _run_leases(self) -> None:
         while True:
-            has_limits = self._config.current.has_limits
+            has_limits = self._config.table.has_limits
             pause_ms = self._pause_ms() if has_limits else IDLE_MS
             gevent.sleep(self._context.jittered_ms(pause_ms, share=0.1) / 1e3)
             if has_limits:
@@ -259,7 +259,7 @@
         beat = self._membership.peers.get(receiver)
         if beat is None or self._socket is None:
             return False
-        version = self._config.current.version
+        version = self._config.table.version
         text = PeerMessage(self._context.instance_id, version, LimitText(message))
         try:
             self._socket.sendto(encode_message(text), (beat.ip, beat.peer_port + PORT_AFTER_PEERS))
--- a/citrondyke/gateway/callers/admission_controller.py
+++ b/citrondyke/gateway/callers/admission_controller.py
@@ -160,16 +160,16 @@
             return True
         is_public = forwarding.route.is_public
         digest = forwarding.facts.key_digest
-        return bool(self._config.current.account_of(digest, is_public=is_public))
+        return bool(self._config.table.authenticate(digest, is_public=is_public))
 
     def _choose(self, forwarding: Forwarding, standing: SuspectVerdict) -> ServerState | None:
         service = forwarding.route.pick_service(self._context.random)
         if standing is not SuspectVerdict.FREE:
             digest = forwarding.content.digest
-            return self._book.choose_for_suspect(service, forwarding.course.avoid, digest)
-        return self._book.choose(
+            return self._book.choose_for_suspect(service, forwarding.course.excluded, digest)
+        return self._book.choose_server(
             service,
-            forwarding.course.avoid,
+            forwarding.course.excluded,
             forwarding.facts.prefix,
             is_once=not forwarding.route.may_run_again,
         )
--- a/citrondyke/gateway/callers/event_relay.py
+++ b/citrondyke/gateway/callers/event_relay.py
@@ -71,6 +71,6 @@
         caller.start_stream(reply.head.status, self._dialect.answer_headers(reply.head))
 
     def _until_ms(self, forwarding: Forwarding) -> float:
-        if not forwarding.route.is_resumable or forwarding.course.is_last_run:
+        if not forwarding.route.is_resumable or forwarding.course.is_last_attempt:
             return forwarding.until_ms
         return min(forwarding.until_ms, self._context.now_ms() + EVENT_TIMEOUT_MS)
--- a/citrondyke/gateway/callers/forwarder.py
+++ b/citrondyke/gateway/callers/forwarder.py
@@ -87,7 +87,7 @@
             facts=facts,
             account=account,
             route=route,
-            config_version=self._config.current.version,
+            config_version=self._config.table.version,
             course=SendHistory(route),
             until_ms=request.arrived_ms + within_ms,
             last_event_id=facts.last_event_id,
@@ -127,7 +127,9 @@
                 return result
             if isinstance(result, DeferredFailure):
                 failure = result
-            if standing is SuspectVerdict.TRIAL_DUE and not course.may_have_run_at(state.life):
+            if standing is SuspectVerdict.TRIAL_DUE and not course.may_have_run_at(
+                state.incarnation
+            ):
                 self._guard.record_probe_refused(forwarding.content)
         return self._answers.give_up(
             caller, forwarding, failure, is_out_of_time=self._is_out_of_time(forwarding)
@@ -183,7 +185,7 @@
             detail = error.message
             self._note_broken(forwarding, state, error)
             if outcome is SendOutcome.UNKNOWN and not self._is_out_of_time(forwarding):
-                state.note_failure(self._context.now_ms())
+                state.record_failure(self._context.now_ms())
             return None
         except CallerGoneError:
             detail = 'caller gone'
@@ -192,7 +194,7 @@
                 # Callers leave a silent stream; without this the server that is silent would get
                 # as many requests as the others for as long as it is.
                 detail = 'caller gone, server silent'
-                state.note_failure(now_ms)
+                state.record_failure(now_ms)
             raise
         finally:
             if connection is not None:
@@ -200,9 +202,9 @@
             if is_good:
                 self._guard.record_survived(forwarding.work)
                 self._admitter.record_service_time(forwarding, self._context.now_ms() - started_ms)
-                state.note_success()
+                state.record_success()
             else:
-                forwarding.course.note(state.life, outcome)
+                forwarding.course.record_send(state.incarnation, outcome)
                 self._log.send_failed(forwarding, state, outcome, detail, started_ms)
 
     def _note_broken(
@@ -286,16 +288,18 @@
         :raises BrokenReplyError: when none comes, or one that is not the request's.
         """
         request_id = forwarding.facts.request_id
-        patience_ms = self._patience.first_answer_ms(forwarding.route, state, expected_wait_ms)
+        patience_ms = self._patience.first_answer_timeout_ms(
+            forwarding.route, state, expected_wait_ms
+        )
         patient_until_ms = self._context.now_ms() + patience_ms
         if patient_until_ms < forwarding.until_ms:
             try:
                 return self._sends.read_reply(state, connection, request_id, patient_until_ms)
             except BrokenReplyError as error:
                 is_silent = error.break_kind is BreakKind.SILENT
-                if not is_silent or not forwarding.course.is_last_run:
+                if not is_silent or not forwarding.course.is_last_attempt:
                     raise
-                state.note_failure(self._context.now_ms())
+                state.record_failure(self._context.now_ms())
                 self._log.suspected(forwarding, state, patience_ms)
         return self._sends.read_reply(state, connection, request_id, forwarding.until_ms)
 
@@ -304,8 +308,8 @@
         forwarding.server_first_ms = now_ms
         took_ms = now_ms - started_ms
         state.record_latency(took_ms)
-        self._patience.note(forwarding.route, took_ms)
-        usual_ms = self._usual.note(forwarding.route.name, state.listed.service, took_ms)
+        self._patience.record_first_answer(forwarding.route, took_ms)
+        usual_ms = self._usual.record(forwarding.route.name, state.listed.service, took_ms)
         state.record_work(took_ms, usual_ms, now_ms)
 
     def _left_ms(self, forwarding: Forwarding) -> float:
--- a/citrondyke/gateway/callers/front.py
+++ b/citrondyke/gateway/callers/front.py
@@ -85,7 +85,7 @@
         connection = CallerConnection(
             self._context.clock,
             sock,
-            lambda: self._beliefs.config.current.limits,
+            lambda: self._beliefs.config.table.limits,
             self._budget,
         )
         self._open.add(connection)
@@ -148,14 +148,14 @@
             return
         if not self._beliefs.is_complete:
             self._gate.wait(facts.within_ms)
-            if not self._beliefs.config.current.version:
+            if not self._beliefs.config.table.version:
                 self._answer_not_started(connection, request, facts.request_id)
                 return
         call = self._dialect.job_call(request)
-        table = self._beliefs.config.current
+        table = self._beliefs.config.table
         if call is not None:
             is_public = table.has_public_batch(request.host)
-            account = table.account_of(facts.key_digest, is_public=is_public)
+            account = table.authenticate(facts.key_digest, is_public=is_public)
             if isinstance(account, NoAccount):
                 self._answer_no_account(connection, request, facts, account)
             else:
@@ -165,7 +165,7 @@
         if isinstance(route, NoRoute):
             self._answer_no_route(connection, request, facts.request_id)
             return
-        account = table.account_of(facts.key_digest, is_public=route.is_public)
+        account = table.authenticate(facts.key_digest, is_public=route.is_public)
         if isinstance(account, NoAccount):
             self._answer_no_account(connection, request, facts, account)
         elif route.kind is RouteKind.BATCH and request.method == b'POST':
@@ -219,7 +219,7 @@
             extra={
                 'request_id': request_id,
                 **detail,
-                'config_version': config.current.version,
+                'config_version': config.table.version,
                 'confirmed_age_ms': round(min(config.age_ms(self._context.now_ms()), 1e9)),
                 'status': status,
             },
--- a/citrondyke/gateway/gauges.py
+++ b/citrondyke/gateway/gauges.py
@@ -45,7 +45,7 @@
     """Show what the instance believes and has in hand."""
     config = instance.beliefs.config
     for name, read in (
-        ('config_version', lambda: float(config.current.version)),
+        ('config_version', lambda: float(config.table.version)),
         ('config_age_ms', lambda: min(1e9, config.age_ms(instance.clock.now_ms()))),
         ('servers', lambda: float(len(list(instance.book.states())))),
         *(
@@ -72,4 +72,4 @@
 
 def _count(instance: GaugeSource, standing: ServerHealth) -> float:
     states = instance.book.states()
-    return float(sum(state.record.standing is standing for state in states))
+    return float(sum(state.health_record.health is standing for state in states))
--- a/citrondyke/gateway/instance.py
+++ b/citrondyke/gateway/instance.py
@@ -97,8 +97,8 @@
         self.store = Dependency(self.clock, 'store')
         self._evidence = EvidenceExchange(self.context, self.book)
         standings = HealthLog(self.metrics)
-        self.book.soundness.on_change = standings.changed
-        self.book.soundness.on_trial = standings.tried
+        self.book.health_policy.on_change = standings.changed
+        self.book.health_policy.on_probe = standings.tried
         self._sends = ServerSends(
             self.clock, outside.dialect, self._on_load_change, self._evidence.record_outcome
         )
@@ -137,7 +137,7 @@
         limits = StewardLimits(
             self.context,
             self.membership.everybody,
-            self.beliefs.config.account,
+            self.beliefs.config.find_account,
             settings.limit_tolerance,
             began_ms,
         )
@@ -190,7 +190,7 @@
         self.batch = BatchSubsystem(surroundings, life, settings, outside)
         self._loads = LoadExchange(
             LoadNotices(self.context, self.book),
-            self.book.neighbours,
+            self.book.topology,
             self.batch.runner.preempt_items,
         )
         self.peers = Peers(
@@ -223,7 +223,7 @@
             lambda: self.beliefs.is_complete,
             steps,
             {
-                'configuration': lambda: self.beliefs.config.current.version > 0,
+                'configuration': lambda: self.beliefs.config.table.version > 0,
                 'servers': lambda: self.beliefs.has_servers,
                 'peers': lambda: self.membership.is_known,
                 'lease': lambda: bool(self.limits.held_slots()),
@@ -357,7 +357,7 @@
     def _run_settle(self) -> None:
         while True:
             gevent.sleep(SETTLE_EVERY_S)
-            self.book.neighbours.replace(
+            self.book.topology.replace(
                 {instance_id: beat.zone for instance_id, beat in self.membership.peers.items()}
             )
             self._live.pace = self._store_pace()
@@ -365,10 +365,10 @@
             self.peers.list_readers.look()
 
     def _store_pace(self) -> float:
-        return self.book.neighbours.store_pace
+        return self.book.topology.store_interval_factor
 
     def _gather_ms(self) -> float:
-        return self.book.neighbours.gather_ms(is_owner=bool(self.batch.owned.by_id))
+        return self.book.topology.coalesce_ms(is_owner=bool(self.batch.owned.by_id))
 
     def _relay(self, call: StoreCall) -> StoreAnswer:
         return self.peers.relay(call)
--- a/citrondyke/gateway/jobs/batch_subsystem.py
+++ b/citrondyke/gateway/jobs/batch_subsystem.py
@@ -79,7 +79,7 @@
         self._reader = JobReader(context, self.store)
         self.owned = OwnedJobs()
         self.committer = JobCommitter(context, self.owned, self.store, tasks, self._reader.adopt)
-        pace = StartRateLimiter(context, around.book.neighbours)
+        pace = StartRateLimiter(context, around.book.topology)
         self._needs = pace.needs
         self.runner = JobRunner(
             context,
@@ -123,7 +123,7 @@
                 self._gone_for_ms,
                 lambda: [beat.life for beat in around.membership.peers.values()],
             ),
-            lambda: around.beliefs.config.current,
+            lambda: around.beliefs.config.table,
             settings.tokens_overshoot,
         )
         self.owned.on_job_taken_over(self.waiting.note_taken_over)
@@ -162,8 +162,8 @@
         :param look: takes in what peers have told.
         :param send: sends a datagram to some peers.
         """
-        neighbours = self._around.book.neighbours
-        self.runner.use_peers(look, lambda needs: send(BatchNeeds(needs), neighbours.near()))
+        neighbours = self._around.book.topology
+        self.runner.use_peers(look, lambda needs: send(BatchNeeds(needs), neighbours.mesh_peers()))
 
     def take_needs(self, sender: InstanceId, text: BatchNeeds) -> None:
         """Take in what waits at a peer."""
--- a/citrondyke/gateway/jobs/item_sender.py
+++ b/citrondyke/gateway/jobs/item_sender.py
@@ -94,7 +94,7 @@
             connection.read_body(until_ms, FAILURE_BODY_BYTES)
             return _end_of_failure(status)
         self._take_events(connection, progress, until_ms)
-        state.note_success()
+        state.record_success()
         return RunResult.COMPLETED
 
     def _take_events(
--- a/citrondyke/gateway/jobs/job_runner.py
+++ b/citrondyke/gateway/jobs/job_runner.py
@@ -143,22 +143,22 @@
 
     def preempt_items(self) -> None:
         """Cut the items that stand in the way of online requests."""
-        crowded = self._give_way.crowded({run.state.life for run in self._runs.values()})
+        crowded = self._give_way.crowded({run.state.incarnation for run in self._runs.values()})
         if not crowded:
             return
         epoch_ms = self._context.epoch_ms()
-        targets_ms = self._beliefs.config.current.shortest_targets_ms
+        targets_ms = self._beliefs.config.table.shortest_targets_ms
         running = [
             RunningItem(
                 number,
-                run.state.life,
+                run.state.incarnation,
                 run.started_ms,
                 self._urgency(run.job, run.progress, epoch_ms),
                 self._remaining_ms(run.job, run.progress),
                 targets_ms.get(run.state.listed.service, 0.0),
             )
             for number, run in self._runs.items()
-            if run.state.life in crowded
+            if run.state.incarnation in crowded
         ]
         for item in self._give_way.to_cut(running):
             run = self._runs[item.number]
@@ -287,7 +287,7 @@
 
     def _service(self, job: OwnedJob, progress: ItemProgress) -> ServiceName | None:
         config = self._beliefs.config
-        route = config.current.find(job.head.host, progress.item.path)
+        route = config.table.find(job.head.host, progress.item.path)
         if not isinstance(route, NoRoute):
             return route.pick_service(self._context.random)
         if config.is_confirmed(self._context.now_ms()):
@@ -297,7 +297,7 @@
                 extra={
                     'job_id': job.head.job_id,
                     'item_id': progress.item.id,
-                    'config_version': config.current.version,
+                    'config_version': config.table.version,
                 },
             )
             self._end(job, progress, RunResult.IMPOSSIBLE)
@@ -339,7 +339,7 @@
             if error.break_kind is BreakKind.NO_CONNECTION:
                 self._guard.record_connect_failure(state, error)
             else:
-                state.note_failure(self._context.now_ms())
+                state.record_failure(self._context.now_ms())
                 # An item that is told to make room while it waits here would stay open for good.
                 self._guard.note_broken(
                     state, run.work.content, error.break_kind, progress.first_event_ms, waits=False
--- a/citrondyke/gateway/operator_state.py
+++ b/citrondyke/gateway/operator_state.py
@@ -38,7 +38,7 @@
 
     def page(self) -> bytes:
         """Give the state as JSON."""
-        table = self._config.current
+        table = self._config.table
         state = InstanceState(
             instance=self._instance_id,
             config_version=table.version,
--- a/citrondyke/gateway/peers/evidence_exchange.py
+++ b/citrondyke/gateway/peers/evidence_exchange.py
@@ -43,12 +43,12 @@
 
     def record_outcome(self, state: ServerState) -> None:
         """Have peers told of a server where there is something new."""
-        if state.record.has_news:
+        if state.health_record.has_update:
             self._has_news.set()
 
     def take(self, sender: InstanceId, news: EvidenceNews) -> None:
         """Take in what a peer tells."""
-        self._notices.note(sender, news.rows)
+        self._notices.record_peer_evidence(sender, news.rows)
 
     def _run(self, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
         while True:
@@ -61,7 +61,7 @@
                 self._has_news.clear()
                 self._has_news.wait(pause_ms / 1e3)
                 continue
-            rows = self._notices.take()
+            rows = self._notices.take_due()
             for start in range(0, len(rows), ROWS_PER_DATAGRAM):
                 part = rows[start : start + ROWS_PER_DATAGRAM]
-                send(EvidenceNews(part), self._book.neighbours.everybody())
+                send(EvidenceNews(part), self._book.topology.all_peers())
--- a/citrondyke/gateway/peers/load_exchange.py
+++ b/citrondyke/gateway/peers/load_exchange.py
@@ -55,7 +55,7 @@
     def take(self, sender: InstanceId, text: LoadNotice | LoadTotals) -> None:
         """Take in what a peer tells."""
         if isinstance(text, LoadNotice):
-            self._notices.note(sender, text.loads)
+            self._notices.record_peer_counts(sender, text.loads)
         else:
             self._notices.record_totals(text.loads)
         self._on_loads()
@@ -67,13 +67,13 @@
             if pause_ms > 0:
                 gevent.sleep(pause_ms / 1e3)
             self._changed.clear()
-            for addressed in self._notices.address(self._notices.take()):
+            for addressed in self._notices.add_recipients(self._notices.take_due()):
                 for start in range(0, len(addressed.loads), LOADS_PER_DATAGRAM):
                     part = addressed.loads[start : start + LOADS_PER_DATAGRAM]
-                    send(LoadNotice(part), addressed.receivers)
+                    send(LoadNotice(part), addressed.recipients)
             totals = self._notices.take_totals()
             if not totals:
                 continue
-            receivers = self._neighbours.one_in_each_other_zone(self._notices.totals_turn)
+            receivers = self._neighbours.one_peer_per_remote_zone(self._notices.totals_rotation)
             for start in range(0, len(totals), LOADS_PER_DATAGRAM):
                 send(LoadTotals(totals[start : start + LOADS_PER_DATAGRAM]), receivers)
--- a/citrondyke/gateway/peers/peers.py
+++ b/citrondyke/gateway/peers/peers.py
@@ -204,7 +204,7 @@
         self._traffic.note(text, len(data), zones)
 
     def _message(self, text: PeerText) -> PeerMessage:
-        return PeerMessage(self._context.instance_id, self._beliefs.config.current.version, text)
+        return PeerMessage(self._context.instance_id, self._beliefs.config.table.version, text)
 
     def look(self) -> None:
         """Take the datagrams that have come; called before a choice that rests on them."""
--- a/citrondyke/gateway/peers/server_list_publisher.py
+++ b/citrondyke/gateway/peers/server_list_publisher.py
@@ -124,8 +124,8 @@
         """
         number = self._beliefs.list_revision
         since = asked.number if asked.life == self._life else -1
-        has_config = self._beliefs.config.current.version <= config_version
-        key = (since, number, 0 if has_config else self._beliefs.config.current.version)
+        has_config = self._beliefs.config.table.version <= config_version
+        key = (since, number, 0 if has_config else self._beliefs.config.table.version)
         kept = self._kept.get(key)
         if kept is None:
             kept = encode_offer(self._offer(since, with_config=not has_config))
@@ -152,7 +152,7 @@
             changes,
             is_everything,
             listing_version,
-            config.current if with_config else None,
+            config.table if with_config else None,
         )
 
     def _run(self) -> None:
--- a/citrondyke/gateway/peers/server_list_readers.py
+++ b/citrondyke/gateway/peers/server_list_readers.py
@@ -110,7 +110,7 @@
     @property
     def is_covered(self) -> bool:
         """Tell whether a reader of the zone reads the list for this instance."""
-        return self._listener.watch.is_covered and not self._teller.is_reader
+        return self._listener.watch.is_delegated and not self._teller.is_reader
 
     @property
     def is_delegate_reader(self) -> bool:
@@ -196,11 +196,11 @@
         """Name the readers of the own zone; none where everybody reads."""
         if not self._membership.is_known:
             return []
-        if not self._rule.pays(self._list_bytes(), self._membership.count):
+        if not self._rule.is_worthwhile(self._list_bytes(), self._membership.count):
             return []
         gone = set(self._live.silent(SILENT_MS * self._live.pace))
         members = [each for each in self._audience() if each not in gone]
-        return self._rule.readers([*members, self._context.instance_id])
+        return self._rule.elect_readers([*members, self._context.instance_id])
 
     def _audience(self) -> list[InstanceId]:
         """List the other instances of the zone that can be told."""
--- a/citrondyke/gateway/peers/server_list_subscriber.py
+++ b/citrondyke/gateway/peers/server_list_subscriber.py
@@ -83,21 +83,21 @@
         self._is_asking = True
         self._metrics.counters['list_asks'] += 1
         try:
-            message = self._exchange(ip, ListTold(self.watch.known(reader)))
+            message = self._exchange(ip, ListTold(self.watch.cursor_of(reader)))
             if not isinstance(message.text, ListOffered):
                 return False
             offered = message.text
             self._metrics.counters['list_bytes_from_peers'] += len(offered.data)
             offer = decode_offer(offered.data)
         except (BrokenReplyError, UnreadableBytesError, OSError, ValueError) as error:
-            self.watch.note_failure(reader)
+            self.watch.record_failure(reader)
             log.info('list.reader_silent', extra={'ip': ip, 'detail': str(error)[:200]})
             return False
         finally:
             self._is_asking = False
         self._take_offer(message.sender, offer)
         self._note(message.sender, offered.position)
-        if message.config_version == self._beliefs.config.current.version:
+        if message.config_version == self._beliefs.config.table.version:
             self._adopt_config(offered.position)
         log.info(
             'list.offer_taken',
@@ -116,7 +116,7 @@
 
     def look(self) -> None:
         """Log whether others read for this instance, where that has changed."""
-        is_covered = self.watch.is_covered
+        is_covered = self.watch.is_delegated
         if is_covered == self._was_covered:
             return
         self._was_covered = is_covered
@@ -149,7 +149,7 @@
         lack = self.watch.record_cursor(reader, told, self._beliefs.list_digest)
         if (
             lack is MissingRows.NOTHING
-            and self.watch.is_level(reader)
+            and self.watch.is_up_to_date(reader)
             and self._follower is not None
         ):
             self._follower.adopt(told.store_version, told.size_bytes)
--- a/citrondyke/gateway/peers/store_state_exchange.py
+++ b/citrondyke/gateway/peers/store_state_exchange.py
@@ -123,7 +123,7 @@
     def record_version(self, version: ConfigVersion, ip: str) -> None:
         """Take in which configuration a peer has."""
         self._beliefs.config.record_peer_version(version)
-        if version > self._beliefs.config.current.version and not self._is_asking:
+        if version > self._beliefs.config.table.version and not self._is_asking:
             self._is_asking = True
             self._tasks.spawn(self._request_if_stale, version, ip)
 
@@ -132,7 +132,7 @@
         rows, version = self._beliefs.known_servers()
         config = self._beliefs.config
         has_same = self._beliefs.list_digest == wanted.list_digest != 0
-        is_newer = config.current.version > asker_version
+        is_newer = config.table.version > asker_version
         peers = {**self._membership.peers, self._context.instance_id: self._membership.own_beat()}
         knowledge = StoreState(
             b'',
@@ -142,7 +142,7 @@
             self._store.answer_age_ms,
             peers if len(peers) > wanted.instances_count else {},
             self._suspects.stored_rows(),
-            config.current if is_newer else None,
+            config.table if is_newer else None,
             has_same,
         )
         data = msgspec.msgpack.encode(knowledge)
@@ -173,7 +173,7 @@
 
     def _request_if_stale(self, version: ConfigVersion, ip: str) -> None:
         gevent.sleep(self._context.jittered_ms(STALE_AFTER_MS) / 1e3)
-        if version <= self._beliefs.config.current.version:
+        if version <= self._beliefs.config.table.version:
             self._is_asking = False
             return
         self._ask(ip)
@@ -198,7 +198,7 @@
             self._beliefs.offer_table(knowledge.table, f'peer {ip}')
         elif knowledge.config:
             self._beliefs.offer_config(knowledge.config, f'peer {ip}')
-        if version == config.current.version:
+        if version == config.table.version:
             config.confirm(self._context.now_ms() - knowledge.config_age_ms)
         if not knowledge.has_same_servers:
             self._beliefs.take_servers(
--- a/citrondyke/gateway/peers/suspect_publisher.py
+++ b/citrondyke/gateway/peers/suspect_publisher.py
@@ -92,7 +92,7 @@
         if message is None:
             return []
         if message.is_wide:
-            return [(CrashNews(message.server, message.news), self._neighbours.everybody())]
+            return [(CrashNews(message.server, message.news), self._neighbours.all_peers())]
         by_receiver: dict[InstanceId, list[SuspectNews]] = {}
         for news in message.news:
             for receiver in self._neighbours.registrars(news.content.digest):
--- a/citrondyke/gateway/replication/replicated_state.py
+++ b/citrondyke/gateway/replication/replicated_state.py
@@ -85,7 +85,7 @@
     @property
     def is_complete(self) -> bool:
         """Tell whether requests can be served by them."""
-        return self.config.current.version > 0 and self.has_servers
+        return self.config.table.version > 0 and self.has_servers
 
     @property
     def is_config_readable(self) -> bool:
@@ -129,9 +129,9 @@
 
     def offer_table(self, table: RouteTable, source: str) -> None:
         """Take in a configuration."""
-        before = self.config.current.version
+        before = self.config.table.version
         age_ms = self.config.age_ms(self._context.now_ms())
-        if self.config.offer(table):
+        if self.config.update_if_newer(table):
             log.info(
                 'config.taken',
                 extra={
@@ -204,7 +204,7 @@
         now_ms = self._context.now_ms()
         if self._store.is_lost:
             self._servers.record_outage(now_ms)
-        self._servers.settle(now_ms)
+        self._servers.drop_missing(now_ms)
         if self._on_settled is not None:
             self._on_settled()
         if self._servers.revision == self._settled_revision:
@@ -215,9 +215,9 @@
             state.listed.id for state in self._book.states() if state.listed.is_leaving
         }
         change = self._book.replace(listed)
-        for state in change.went:
+        for state in change.removed:
             self._on_server_gone(state)
-        for state in change.ended:
+        for state in change.restarted:
             self._on_life_over(state)
         leaving = [
             entry.id for entry in listed if entry.is_leaving and entry.id not in leaving_before
@@ -227,9 +227,9 @@
                 'servers.changed',
                 extra={
                     'source': source,
-                    'came': change.came,
-                    'went': [state.listed.id for state in change.went],
-                    'lives_over': [state.life for state in change.ended],
+                    'came': change.added,
+                    'went': [state.listed.id for state in change.removed],
+                    'lives_over': [state.incarnation for state in change.restarted],
                     'leaving': leaving,
                     'count': len(listed),
                     'store_version': self._servers.version,
--- a/citrondyke/gateway/servers/health_log.py
+++ b/citrondyke/gateway/servers/health_log.py
@@ -31,11 +31,11 @@
     def changed(self, change: HealthChange) -> None:
         """Tell of a change and of what it rests on."""
         event = 'server.doubted'
-        if change.after is ServerHealth.OUT:
+        if change.after is ServerHealth.EJECTED:
             event = 'server.out'
-        elif change.before is ServerHealth.OUT:
+        elif change.before is ServerHealth.EJECTED:
             event = 'server.back'
-        elif change.after is ServerHealth.SOUND:
+        elif change.after is ServerHealth.HEALTHY:
             event = 'server.sound'
         self._metrics.counters[event.replace('.', 's_')] += 1
         log.info(
@@ -45,9 +45,9 @@
                 'failures': change.failures,
                 'successes': change.successes,
                 'failure_age_ms': round(change.failure_age_ms, 1),
-                'witnesses': change.witnesses[:NAMED_LIMIT],
-                'witnesses_count': len(change.witnesses),
-                'outs_count': change.outs_count,
+                'witnesses': change.observers[:NAMED_LIMIT],
+                'witnesses_count': len(change.observers),
+                'outs_count': change.ejections_count,
             },
         )
 
--- a/citrondyke/gateway/servers/poison_request_guard.py
+++ b/citrondyke/gateway/servers/poison_request_guard.py
@@ -62,7 +62,7 @@
         self._metrics = metrics
         self._tasks = tasks
         self._watch = ServerExitDetector(context)
-        self.teller = SuspectPublisher(context, book.neighbours, suspects)
+        self.teller = SuspectPublisher(context, book.topology, suspects)
         self._probes: dict[int, gevent.Greenlet] = {}
 
     def start(self, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
@@ -142,7 +142,7 @@
         :param waits: whether the caller's greenlet may be held up, and so be ended here.
         """
         server = server_digest(state.listed)
-        if state.listed.is_leaving or (state.is_gone and not self._watch.has_ended(server)):
+        if state.listed.is_leaving or (state.is_delisted and not self._watch.has_ended(server)):
             # It ends as it was told to.
             return
         since_ms = 0.0 if first_event_ms is None else self._context.now_ms() - first_event_ms
--- a/citrondyke/gateway/servers/server_sends.py
+++ b/citrondyke/gateway/servers/server_sends.py
@@ -97,7 +97,7 @@
             after a cut on it.
         :raises BrokenReplyError: of kind ``NO_CONNECTION``: nothing was sent.
         """
-        connection = None if only_new else self._idle.take(state.life)
+        connection = None if only_new else self._idle.take(state.incarnation)
         if connection is None:
             left_ms = min(CONNECT_TIMEOUT_MS, until_ms - self._clock.now_ms())
             listed = state.listed
@@ -106,24 +106,24 @@
             except BrokenReplyError:
                 state.record_unreachable(self._clock.now_ms())
                 raise
-        self._in_use.setdefault(state.life, set()).add(connection)
+        self._in_use.setdefault(state.incarnation, set()).add(connection)
         return connection
 
     def release(self, state: ServerState, connection: ServerConnection) -> None:
         """Keep a connection for the next request where it may be used again, else close it."""
-        in_use = self._in_use.get(state.life, set())
+        in_use = self._in_use.get(state.incarnation, set())
         in_use.discard(connection)
         if not in_use:
-            self._in_use.pop(state.life, None)
-        if state.is_gone:
+            self._in_use.pop(state.incarnation, None)
+        if state.is_delisted:
             connection.close()
         else:
-            self._idle.give(state.life, connection)
+            self._idle.give(state.incarnation, connection)
 
     def forget(self, state: ServerState) -> None:
         """Close the idle connections to a server that is listed no more; it may still answer."""
-        self._idle.drop(state.life)
-        self._odd.discard(state.life)
+        self._idle.drop(state.incarnation)
+        self._odd.discard(state.incarnation)
 
     def end_incarnation(self, state: ServerState) -> None:
         """Break off what is on its way to a life that is over.
@@ -131,8 +131,8 @@
         Behind a cut nothing tells the callers' side that the server has crashed: without this
         they would wait for answers that never come until their own timeouts.
         """
-        self._idle.drop(state.life)
-        for connection in self._in_use.get(state.life, ()):
+        self._idle.drop(state.incarnation)
+        for connection in self._in_use.get(state.incarnation, ()):
             connection.sever()
 
     def read_reply(
@@ -170,16 +170,16 @@
         else:
             # What ran out of time may have been given too little of it.
             is_late = status == OUT_OF_TIME
-            state.note_failure(now_ms, Outcome.UNANSWERED if is_late else Outcome.FAILED)
+            state.record_failure(now_ms, Outcome.UNANSWERED if is_late else Outcome.FAILED)
         self._on_outcome(state)
 
     def _note_load(self, state: ServerState, facts: ReplyFacts, now_ms: float) -> None:
         if facts.load is not None:
             state.record_reported_load(*facts.load, now_ms)
-        if facts.pace is None or state.pace.note(facts.pace, now_ms):
+        if facts.pace is None or state.reported_slowdown.record(facts.pace, now_ms):
             return
-        if state.life not in self._odd:
-            self._odd.add(state.life)
+        if state.incarnation not in self._odd:
+            self._odd.add(state.incarnation)
             log.info(
                 'server.odd_load', extra={'server_id': state.listed.id, 'pace': str(facts.pace)}
             )
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -122,7 +122,7 @@
     def wait_version(self, version: int) -> None:
         """Wait until all instances have a version of the configuration."""
         wait_until_seen(
-            lambda: all(each.beliefs.config.current.version >= version for each in self.instances),
+            lambda: all(each.beliefs.config.table.version >= version for each in self.instances),
             f'version {version} everywhere',
         )
 
--- a/tests/test_batch/test_batch_give_way.py
+++ b/tests/test_batch/test_batch_give_way.py
@@ -34,7 +34,7 @@
         context = manual_context(self.clock, name, seed=seed)
         self.book = ServerRegistry(context)
         self.book.replace([listed_server(A, SERVICE, SLOTS)])
-        self.pace = StartRateLimiter(context, self.book.neighbours)
+        self.pace = StartRateLimiter(context, self.book.topology)
         self.give_way = BatchPreemption(context, self.book, self.pace)
 
     @property
@@ -45,7 +45,7 @@
 
     def cut(self, *urgencies: Urgency) -> list[Urgency]:
         items = [
-            RunningItem(number, self.state.life, float(number), each)
+            RunningItem(number, self.state.incarnation, float(number), each)
             for number, each in enumerate(urgencies)
         ]
         self.state.own.batch = len(items)
@@ -82,7 +82,7 @@
             floor.state.own.online = online
             for peer in names:
                 if peer != name:
-                    floor.state.note_peer(InstanceId(peer), 0, 2, floor.clock.ms + 100.0)
+                    floor.state.record_peer_counts(InstanceId(peer), 0, 2, floor.clock.ms + 100.0)
             stopped += len(floor.cut(*[Urgency.PATIENT] * 2))
         assert stopped == max(0, min(6, online + 6 - SLOTS))
 
@@ -102,7 +102,7 @@
     floor = Floor()
     floor.state.own.online = SLOTS
     assert len(floor.cut(*[Urgency.AT_RISK] * 6)) == 6 - SLOTS // 4
-    assert floor.state.held_limit == SLOTS // 4
+    assert floor.state.protected_batch_limit == SLOTS // 4
 
 
 def test_item_at_risk_takes_a_held_place_though_none_is_free() -> None:
@@ -133,7 +133,7 @@
     started = 0
     for seed in range(70):
         floor = Floor(seed)
-        floor.book.neighbours.replace(other_instances(69))
+        floor.book.topology.replace(other_instances(69))
         floor.state.own.online = SLOTS - 5
         for _ in range(3):
             floor.clock.ms += 20.0 + seed % 5
@@ -143,7 +143,7 @@
 
 def test_small_fleet_starts_items_without_delay() -> None:
     floor = Floor()
-    floor.book.neighbours.replace(other_instances(1))
+    floor.book.topology.replace(other_instances(1))
     started = 0
     for _ in range(4):
         started += floor.give_way.choose(SERVICE, Urgency.PATIENT) is not None
@@ -152,9 +152,11 @@
 
 def test_owner_cuts_once_until_it_hears_what_the_others_cut() -> None:
     floor = Floor()
-    floor.book.neighbours.replace(other_instances(69))
+    floor.book.topology.replace(other_instances(69))
     floor.state.own.online = 3
-    items = [RunningItem(number, floor.state.life, 0.0, Urgency.PATIENT) for number in range(8)]
+    items = [
+        RunningItem(number, floor.state.incarnation, 0.0, Urgency.PATIENT) for number in range(8)
+    ]
     floor.state.own.batch = 8
     assert len(floor.give_way.to_cut(items)) == 3
     assert floor.give_way.to_cut(items) == []
@@ -164,13 +166,13 @@
 
 def large_floor() -> Floor:
     floor = Floor()
-    floor.book.neighbours.replace(other_instances(69))
+    floor.book.topology.replace(other_instances(69))
     return floor
 
 
 def running(floor: Floor, target_ms: float, *remaining_ms: float) -> list[RunningItem]:
     return [
-        RunningItem(number, floor.state.life, 0.0, Urgency.PATIENT, each, target_ms)
+        RunningItem(number, floor.state.incarnation, 0.0, Urgency.PATIENT, each, target_ms)
         for number, each in enumerate(remaining_ms)
     ]
 
@@ -186,7 +188,7 @@
         assert floor.give_way.to_cut(items) == []
         floor.clock.ms += WAIT_SHARE * target_ms / 2
         floor.state.own.online = 2
-        assert floor.give_way.crowded([floor.state.life]) == set()
+        assert floor.give_way.crowded([floor.state.incarnation]) == set()
         floor.clock.ms += WAIT_SHARE * target_ms / 2
 
 
--- a/tests/test_batch/wave_world.py
+++ b/tests/test_batch/wave_world.py
@@ -65,7 +65,7 @@
         self.context = context
         self.book = ServerRegistry(context)
         self.book.on_choose(self.look)
-        self.pace = StartRateLimiter(context, self.book.neighbours)
+        self.pace = StartRateLimiter(context, self.book.topology)
         self.way = BatchPreemption(context, self.book, self.pace)
         self.notices = LoadNotices(context, self.book)
         self.inbox: list[tuple[InstanceId, Told]] = []
@@ -79,7 +79,7 @@
             if isinstance(told, ZoneTotals):
                 self.notices.record_totals(told.loads)
             elif told and isinstance(told[0], ServerLoad):
-                self.notices.note(sender, told)
+                self.notices.record_peer_counts(sender, told)
             else:
                 self.pace.needs.note_peer(sender, told)  # type: ignore[arg-type]
         self.inbox.clear()
@@ -121,7 +121,7 @@
         self.servers = {each.id: Server() for each in listed}
         for each in self.instances:
             others = [other.context for other in self.instances if other is not each]
-            each.book.neighbours.replace({other.instance_id: other.zone for other in others})
+            each.book.topology.replace({other.instance_id: other.zone for other in others})
             each.book.replace(listed)
         self.items: list[Item] = []
         self.waits_ms: list[float] = []
@@ -156,7 +156,7 @@
 
         def arrive() -> None:
             instance = self.random.choice(self.instances)
-            state = instance.book.choose(SERVICE, (), '')
+            state = instance.book.choose_server(SERVICE, (), '')
             if state is not None and not instance.is_dead:
                 request = Item(self.random.expovariate(1 / STAY_MS))
                 self._enter(instance, state.listed.id, request)
@@ -202,7 +202,7 @@
             each.pace.needs.record_own_demand(own)
             told = each.pace.needs.to_tell()
             if told is not None:
-                self._send(each, told, each.book.neighbours.near())
+                self._send(each, told, each.book.topology.mesh_peers())
         self._start(each)
 
     def _outlook(self, item: Item) -> ItemPriority:
@@ -228,7 +228,7 @@
 
     def _cut(self, each: Instance) -> None:
         lives = {
-            state.life: state
+            state.incarnation: state
             for item in each.running
             if item.server and (state := each.book.state(item.server)) is not None
         }
@@ -314,15 +314,15 @@
         each.is_telling = False
         if each.is_dead:
             return
-        for addressed in each.notices.address(each.notices.take()):
-            self._send(each, addressed.loads, addressed.receivers)
+        for addressed in each.notices.add_recipients(each.notices.take_due()):
+            self._send(each, addressed.loads, addressed.recipients)
 
     def _tell_totals(self, each: Instance) -> None:
         self.after(TOTALS_EVERY_MS, lambda: self._tell_totals(each))
         totals = [] if each.is_dead else each.notices.take_totals()
         if totals:
-            turn = each.notices.totals_turn
-            receivers = each.book.neighbours.one_in_each_other_zone(turn)
+            turn = each.notices.totals_rotation
+            receivers = each.book.topology.one_peer_per_remote_zone(turn)
             self._send(each, ZoneTotals(totals), receivers)
 
     def _send(self, each: Instance, told: Told, receivers: list[InstanceId]) -> None:
--- a/tests/test_decisions/test_decisions_list_readers.py
+++ b/tests/test_decisions/test_decisions_list_readers.py
@@ -12,7 +12,7 @@
     ReaderElection,
 )
 from citrondyke.decisions.server_list.reader_lease_tracker import (
-    DIFFERS_MS,
+    DIVERGENCE_LIMIT_MS,
     FRESH_MS,
     LEASE_MS,
     MissingRows,
@@ -46,9 +46,9 @@
     at = Listening()
     assert at.hear(position(3)) is MissingRows.NOTHING
     at.clock.ms += LEASE_MS - 1
-    assert at.watch.is_covered
+    assert at.watch.is_delegated
     at.clock.ms += 1
-    assert not at.watch.is_covered
+    assert not at.watch.is_delegated
 
 
 def test_a_server_that_leaves_is_heard_of_in_time_though_the_readers_are_gone() -> None:
@@ -63,9 +63,9 @@
     at = Listening()
     at.hear(position(3, age_ms=FRESH_MS - 100))
     at.clock.ms += 100
-    assert not at.watch.is_covered
+    assert not at.watch.is_delegated
     at.hear(position(3, age_ms=FRESH_MS))
-    assert not at.watch.is_covered
+    assert not at.watch.is_delegated
 
 
 def test_second_reader_with_the_same_list_covers_without_a_question() -> None:
@@ -74,7 +74,7 @@
     assert at.hear(position(40), SECOND) is MissingRows.NOTHING
     at.clock.ms += LEASE_MS
     assert at.hear(position(40), SECOND) is MissingRows.NOTHING
-    assert at.watch.is_covered
+    assert at.watch.is_delegated
 
 
 def test_lost_changes_are_asked_for_and_a_list_that_differs_for_long_as_a_whole() -> None:
@@ -84,12 +84,12 @@
     assert at.hear(position(4, digest=2)) is MissingRows.CHANGES
     at.watch.record_changes(READER, 'life', 3, 4)
     assert at.hear(position(4, digest=2)) is MissingRows.NOTHING
-    at.clock.ms += DIFFERS_MS
+    at.clock.ms += DIVERGENCE_LIMIT_MS
     # Asked for a moment ago; each question brings hundreds of KB.
     assert at.hear(position(4, digest=2)) is MissingRows.NOTHING
     at.clock.ms += 5_000.0
     assert at.hear(position(4, digest=2)) is MissingRows.EVERYTHING
-    assert not at.watch.is_covered
+    assert not at.watch.is_delegated
 
 
 def test_next_life_of_a_reader_counts_anew() -> None:
@@ -102,20 +102,20 @@
 
 def test_few_bytes_are_read_by_everybody_and_the_rule_does_not_flap() -> None:
     rule = ReaderElection(manual_context())
-    assert not rule.pays(WORTHWHILE_BYTES // 30 - 1, 30)
-    assert rule.pays(WORTHWHILE_BYTES // 300 + 1, 300)
-    assert rule.pays(int(WORTHWHILE_BYTES * STOP_SHARE) // 300 + 1, 300)
-    assert not rule.pays(int(WORTHWHILE_BYTES * STOP_SHARE) // 300 - 1, 300)
+    assert not rule.is_worthwhile(WORTHWHILE_BYTES // 30 - 1, 30)
+    assert rule.is_worthwhile(WORTHWHILE_BYTES // 300 + 1, 300)
+    assert rule.is_worthwhile(int(WORTHWHILE_BYTES * STOP_SHARE) // 300 + 1, 300)
+    assert not rule.is_worthwhile(int(WORTHWHILE_BYTES * STOP_SHARE) // 300 - 1, 300)
 
 
 def test_all_choose_the_same_readers_and_a_small_zone_none() -> None:
     rule = ReaderElection(manual_context())
     members = [InstanceId(f'instance-{number}') for number in range(75)]
-    readers = rule.readers(members)
-    assert readers == rule.readers(reversed(members))
+    readers = rule.elect_readers(members)
+    assert readers == rule.elect_readers(reversed(members))
     assert len(readers) == 2
-    assert rule.readers([each for each in members if each != readers[0]])[0] == readers[1]
-    assert rule.readers(members[:4]) == []
+    assert rule.elect_readers([each for each in members if each != readers[0]])[0] == readers[1]
+    assert rule.elect_readers(members[:4]) == []
 
 
 changes = st.lists(
--- a/tests/test_forwarding/test_forwarding_admission.py
+++ b/tests/test_forwarding/test_forwarding_admission.py
@@ -30,12 +30,12 @@
         self.book = ServerRegistry(context)
         self.book.replace(listed_server(name, 's', SLOTS) for name in ('a', 'b'))
         self.rule = AdmissionRule(context, self.book)
-        self.book.neighbours.replace(other_instances(9))
+        self.book.topology.replace(other_instances(9))
         self.route = route(RouteKind.STREAM)
         self.rule.record_service_time(self.route, STAY_MS)
 
     def best(self) -> ServerState:
-        state = self.book.choose(ServiceName('s'), (), '')
+        state = self.book.choose_server(ServiceName('s'), (), '')
         assert state is not None
         return state
 
--- a/tests/test_forwarding/test_forwarding_degraded_server.py
+++ b/tests/test_forwarding/test_forwarding_degraded_server.py
@@ -36,16 +36,16 @@
         self.clock.ms += GAP_MS
         if len(self.running) >= RUNNING * 5:
             self.running.pop(0).own.online -= 1
-        state = self.book.choose(SERVICE, (), '', is_once=True)
+        state = self.book.choose_server(SERVICE, (), '', is_once=True)
         assert state is not None
         if state.listed.id == GREY:
             self.grey_count += 1
             if fails and self._random.random() < 0.5:
                 self.failed_count += 1
-                state.note_failure(self.clock.ms)
+                state.record_failure(self.clock.ms)
                 return
         state.record_answered(self.clock.ms)
-        state.note_success()
+        state.record_success()
         state.own.online += 1
         self.running.append(state)
 
@@ -75,6 +75,6 @@
 def test_failures_of_all_servers_change_nothing() -> None:
     floor = Floor(1)
     for state in floor.book.states():
-        state.note_failure(floor.clock.ms)
-    chosen = {floor.book.choose(SERVICE, (), '') for _ in range(100)}
+        state.record_failure(floor.clock.ms)
+    chosen = {floor.book.choose_server(SERVICE, (), '') for _ in range(100)}
     assert len(chosen) == 5
--- a/tests/test_forwarding/test_forwarding_incarnations.py
+++ b/tests/test_forwarding/test_forwarding_incarnations.py
@@ -29,7 +29,7 @@
 
     def list(self, **more: Any) -> bool:
         """List the server; tell whether a life is over."""
-        return bool(self.book.replace([listed_server(A, SERVICE, **more)]).ended)
+        return bool(self.book.replace([listed_server(A, SERVICE, **more)]).restarted)
 
     def is_new(self) -> bool:
         state = self.book.state(A)
@@ -43,8 +43,8 @@
         assert state is not None
         state.own.online = 2
         state.record_latency(500.0)
-        state.note_peer(PEER, 3, 0, self.clock.ms)
-        state.note_total(5, 0, self.clock.ms)
+        state.record_peer_counts(PEER, 3, 0, self.clock.ms)
+        state.record_total(5, 0, self.clock.ms)
         state.record_reported_load(8, 4, self.clock.ms)
         state.record_unreachable(self.clock.ms)
         state.is_misplaced = True
@@ -67,7 +67,7 @@
     assert not floor.is_new()
     assert floor.list(**second)
     assert floor.is_new()
-    assert [state.listed.id for state in floor.book.usable(SERVICE)] == [A]
+    assert [state.listed.id for state in floor.book.eligible_servers(SERVICE)] == [A]
 
 
 @pytest.mark.parametrize('more', [{'born_epoch_ms': 1_000}, {}])
@@ -98,18 +98,18 @@
     assert state is not None
     earlier = server_digest(state.listed)
     floor.list(born_epoch_ms=2_000)
-    floor.notices.note(PEER, [ServerLoad(earlier, 8, 0)])
+    floor.notices.record_peer_counts(PEER, [ServerLoad(earlier, 8, 0)])
     assert floor.is_new()
 
 
 def test_request_may_go_to_the_next_life_of_a_server_that_failed_it() -> None:
     floor = Book()
     floor.list(born_epoch_ms=1_000)
-    first = floor.book.choose(SERVICE, (), '')
+    first = floor.book.choose_server(SERVICE, (), '')
     assert first is not None
-    assert floor.book.choose(SERVICE, {first.life}, '') is None
+    assert floor.book.choose_server(SERVICE, {first.incarnation}, '') is None
     floor.list(born_epoch_ms=2_000)
-    assert floor.book.choose(SERVICE, {first.life}, '') is not None
+    assert floor.book.choose_server(SERVICE, {first.incarnation}, '') is not None
 
 
 def lived(version: int, born: int | None, value: str | None = 'up') -> ObservedRow[str]:
--- a/tests/test_forwarding/test_forwarding_replicated_rows.py
+++ b/tests/test_forwarding/test_forwarding_replicated_rows.py
@@ -43,10 +43,10 @@
     rows.apply_listing([row('a', 5), row('b', 6)], 6, 0.0)
     rows.record_outage(5_000.0)
     rows.apply_listing([], 8, 5_100.0)
-    rows.settle(5_200.0)
+    rows.drop_missing(5_200.0)
     assert len(rows.values()) == 2
     rows.apply_feed([row('a', 9)], 6_000.0)
-    rows.settle(5_000.0 + GRACE_MS)
+    rows.drop_missing(5_000.0 + GRACE_MS)
     assert [each.key for each in rows.rows()] == ['a']
 
 
--- a/tests/test_forwarding/test_forwarding_send_history.py
+++ b/tests/test_forwarding/test_forwarding_send_history.py
@@ -30,7 +30,7 @@
     # A server books an order and its answer is lost. The caller is told that it may have run;
     # sending it to another server would book it twice.
     course = SendHistory(route(RouteKind.ONCE))
-    course.note(A, outcome)
+    course.record_send(A, outcome)
     assert not course.may_send
     assert course.verdict is Verdict.MAY_HAVE_RUN
 
@@ -38,35 +38,35 @@
 @pytest.mark.parametrize('outcome', [SendOutcome.NOT_SENT, SendOutcome.REFUSED])
 def test_request_that_certainly_has_not_run_goes_to_another_server(outcome: SendOutcome) -> None:
     course = SendHistory(route(RouteKind.ONCE))
-    course.note(A, outcome)
+    course.record_send(A, outcome)
     assert course.may_send
     assert course.verdict is Verdict.NOT_RUN
-    assert course.avoid == {A}
+    assert course.excluded == {A}
 
 
 def test_refusal_after_a_run_does_not_make_it_not_run() -> None:
     # One server ran the request and broke off, the next turned it away. "Not run" would be false.
     course = SendHistory(route(RouteKind.IDEMPOTENT, attempts=3))
-    course.note(A, SendOutcome.UNKNOWN)
-    course.note(B, SendOutcome.REFUSED)
+    course.record_send(A, SendOutcome.UNKNOWN)
+    course.record_send(B, SendOutcome.REFUSED)
     assert course.verdict is Verdict.MAY_HAVE_RUN
     assert course.may_send
 
 
 def test_attempts_are_bounded_by_the_route() -> None:
     course = SendHistory(route(RouteKind.IDEMPOTENT, attempts=2))
-    course.note(A, SendOutcome.UNKNOWN)
+    course.record_send(A, SendOutcome.UNKNOWN)
     assert course.may_send
-    course.note(B, SendOutcome.FAILED)
+    course.record_send(B, SendOutcome.FAILED)
     assert not course.may_send
 
 
 def test_stream_that_cannot_be_resumed_runs_once() -> None:
     course = SendHistory(route(RouteKind.STREAM))
-    course.note(A, SendOutcome.UNKNOWN)
+    course.record_send(A, SendOutcome.UNKNOWN)
     assert not course.may_send
     resumable = SendHistory(route(RouteKind.STREAM, is_resumable=True))
-    resumable.note(A, SendOutcome.UNKNOWN)
+    resumable.record_send(A, SendOutcome.UNKNOWN)
     assert resumable.may_send
 
 
@@ -75,6 +75,6 @@
     course = SendHistory(route(RouteKind.IDEMPOTENT))
     for name in 'abcd':
         assert course.may_send
-        course.note(ServerIncarnation(name), SendOutcome.REFUSED)
+        course.record_send(ServerIncarnation(name), SendOutcome.REFUSED)
     assert not course.may_send
     assert course.verdict is Verdict.NOT_RUN
--- a/tests/test_forwarding/test_forwarding_topology.py
+++ b/tests/test_forwarding/test_forwarding_topology.py
@@ -56,7 +56,7 @@
         }
         zones = {instance_id: node.context.zone for instance_id, node in self.nodes.items()}
         for instance_id, node in self.nodes.items():
-            node.book.neighbours.replace(
+            node.book.topology.replace(
                 {other: zone for other, zone in zones.items() if other != instance_id}
             )
         self.datagrams = 0
@@ -66,17 +66,19 @@
 
     def tell(self, node: Node) -> None:
         """Deliver what an instance has to tell."""
-        for addressed in node.notices.address(node.notices.take()):
-            self.datagrams += len(addressed.receivers)
-            for receiver in addressed.receivers:
-                self.nodes[receiver].notices.note(node.context.instance_id, addressed.loads)
+        for addressed in node.notices.add_recipients(node.notices.take_due()):
+            self.datagrams += len(addressed.recipients)
+            for receiver in addressed.recipients:
+                self.nodes[receiver].notices.record_peer_counts(
+                    node.context.instance_id, addressed.loads
+                )
 
     def tell_totals(self) -> None:
         """Deliver everybody's sums."""
         for node in self.nodes.values():
             totals = node.notices.take_totals()
-            turn = node.notices.totals_turn
-            for receiver in node.book.neighbours.one_in_each_other_zone(turn):
+            turn = node.notices.totals_rotation
+            for receiver in node.book.topology.one_peer_per_remote_zone(turn):
                 self.datagrams += 1
                 self.nodes[receiver].notices.record_totals(totals)
 
@@ -85,8 +87,8 @@
     neighbours = PeerTopology(manual_context())
     neighbours.replace(other_instances(6) | other_instances(6, 'zone-b'))
     assert not neighbours.is_zoned
-    assert len(neighbours.near()) == 12
-    assert neighbours.store_pace == 1.0
+    assert len(neighbours.mesh_peers()) == 12
+    assert neighbours.store_interval_factor == 1.0
 
 
 def test_calls_of_the_store_grow_slower_than_the_fleet() -> None:
@@ -94,9 +96,9 @@
     # would be 370 rows each for 370 instances, and the writes half of what the store takes.
     neighbours = PeerTopology(manual_context())
     neighbours.replace(other_instances(2 * STORE_PACING_THRESHOLD - 1))
-    assert neighbours.store_pace == 2.0
+    assert neighbours.store_interval_factor == 2.0
     neighbours.replace(other_instances(10_000))
-    assert neighbours.store_pace == 3.0
+    assert neighbours.store_interval_factor == 3.0
 
 
 def test_request_is_told_to_the_zone_and_no_further() -> None:
@@ -164,7 +166,7 @@
     for state in node.book.states():
         state.own.online = 7
     node.state('s1').own.online = 3
-    chosen = node.book.choose(SERVICE, (), '')
+    chosen = node.book.choose_server(SERVICE, (), '')
     assert chosen is node.state('s1')
 
 
@@ -176,7 +178,7 @@
         if state.listed.zone == node.context.zone:
             state.own.online = 4
             state.own.batch = 3
-    chosen = node.book.choose(SERVICE, (), '')
+    chosen = node.book.choose_server(SERVICE, (), '')
     assert chosen is not None
     assert chosen.listed.zone == node.context.zone
 
@@ -188,7 +190,7 @@
         state.is_misplaced = state.listed.zone == node.context.zone and state.listed.id != 's0'
         state.record_latency(50.0 if state.listed.id != 's0' else 400.0)
     node.state('s0').own.online = 3
-    chosen = node.book.choose(SERVICE, (), '')
+    chosen = node.book.choose_server(SERVICE, (), '')
     assert chosen is not None
     assert chosen.listed.id != 's0'
 
@@ -209,7 +211,7 @@
             state.own.online -= 1
             fleet.tell(node)
         node = fleet.nodes[random.choice(names)]
-        chosen = node.book.choose(SERVICE, (), '')
+        chosen = node.book.choose_server(SERVICE, (), '')
         assert chosen is not None
         chosen.own.online += 1
         fleet.tell(node)
@@ -233,7 +235,7 @@
     heard: dict[InstanceId, list[str]] = {each: [] for each in fleet.nodes}
     for turn in range(3):
         for instance_id, node in fleet.nodes.items():
-            for receiver in node.book.neighbours.one_in_each_other_zone(turn):
+            for receiver in node.book.topology.one_peer_per_remote_zone(turn):
                 heard[receiver].append(fleet.nodes[instance_id].context.zone)
     for instance_id, zones in heard.items():
         others = [zone for zone in ZONES if zone != fleet.nodes[instance_id].context.zone]
@@ -248,8 +250,8 @@
     book.replace(listed_server(name, 's', 1) for name in ('full', 'free'))
     full = book.state(ServerId('full'))
     assert full is not None
-    book.on_choose(lambda: full.note_peer(InstanceId('other'), 1, 0, clock.ms))
-    for choose in (book.choose, book.choose_for_suspect):
+    book.on_choose(lambda: full.record_peer_counts(InstanceId('other'), 1, 0, clock.ms))
+    for choose in (book.choose_server, book.choose_for_suspect):
         chosen = choose(ServiceName('s'), (), 'name')
         assert chosen is not None
         assert chosen.listed.id == 'free'
@@ -257,9 +259,9 @@
 
 def test_notices_wait_in_a_large_fleet_only_and_less_for_owners() -> None:
     neighbours = PeerTopology(manual_context())
-    assert neighbours.gather_ms(is_owner=False) == 0.0
+    assert neighbours.coalesce_ms(is_owner=False) == 0.0
     neighbours.replace(other_instances(40))
-    assert 0.0 < neighbours.gather_ms(is_owner=True) < neighbours.gather_ms(is_owner=False)
+    assert 0.0 < neighbours.coalesce_ms(is_owner=True) < neighbours.coalesce_ms(is_owner=False)
 
 
 def test_sums_leave_idle_servers_out_and_say_once_more_that_one_is_idle() -> None:
--- a/tests/test_forwarding/test_forwarding_unresponsive_server.py
+++ b/tests/test_forwarding/test_forwarding_unresponsive_server.py
@@ -39,22 +39,22 @@
     def serve(self, served_by: Route) -> float:
         """Serve one request; give the time until its first event."""
         course = SendHistory(served_by)
-        self.patience.note(served_by, FIRST_EVENT_MS)
+        self.patience.record_first_answer(served_by, FIRST_EVENT_MS)
         started_ms = self._clock.now_ms()
         while course.may_send:
-            state = self.book.choose(SERVICE, course.avoid, '')
+            state = self.book.choose_server(SERVICE, course.excluded, '')
             assert state is not None
             if state.listed.id != DARK:
                 self._clock.ms += FIRST_EVENT_MS
-                state.note_success()
+                state.record_success()
                 return self._clock.now_ms() - started_ms
-            course.note(state.life, self._try_dark(served_by, state))
+            course.record_send(state.incarnation, self._try_dark(served_by, state))
         return float('inf')
 
     def _try_dark(self, served_by: Route, state: ServerState) -> SendOutcome:
         if self._keeps_connections:
-            self._clock.ms += self.patience.first_answer_ms(served_by, state, 0.0)
-            state.note_failure(self._clock.now_ms())
+            self._clock.ms += self.patience.first_answer_timeout_ms(served_by, state, 0.0)
+            state.record_failure(self._clock.now_ms())
             return SendOutcome.UNKNOWN
         self._clock.ms += CONNECT_TIMEOUT_MS
         state.record_unreachable(self._clock.now_ms())
@@ -91,20 +91,20 @@
     look_up = msgspec.structs.replace(route(RouteKind.IDEMPOTENT), target_ms=400.0)
     trivial = msgspec.structs.replace(look_up, name=RouteName('trivial'))
     for _ in range(20):
-        patience.note(look_up, 90.0)
-        patience.note(trivial, 2.0)
+        patience.record_first_answer(look_up, 90.0)
+        patience.record_first_answer(trivial, 2.0)
         state.record_latency(2.0)
-    assert patience.first_answer_ms(look_up, state, 0.0) >= 5 * 90.0
+    assert patience.first_answer_timeout_ms(look_up, state, 0.0) >= 5 * 90.0
 
 
 def test_last_server_is_waited_for() -> None:
     # Two servers may run a request, and the first was given up as silent. The second takes its
     # time as well; to give it up too would fail a request that is being worked on.
     course = SendHistory(route(RouteKind.IDEMPOTENT, attempts=2))
-    assert not course.is_last_run
-    course.note(ServerIncarnation(DARK), SendOutcome.NOT_SENT)
-    assert not course.is_last_run
-    course.note(ServerIncarnation('s-1'), SendOutcome.UNKNOWN)
+    assert not course.is_last_attempt
+    course.record_send(ServerIncarnation(DARK), SendOutcome.NOT_SENT)
+    assert not course.is_last_attempt
+    course.record_send(ServerIncarnation('s-1'), SendOutcome.UNKNOWN)
     assert course.may_send
-    assert course.is_last_run
-    assert SendHistory(route(RouteKind.ONCE, attempts=3)).is_last_run
+    assert course.is_last_attempt
+    assert SendHistory(route(RouteKind.ONCE, attempts=3)).is_last_attempt
--- a/tests/test_gateway/test_beliefs/test_beliefs.py
+++ b/tests/test_gateway/test_beliefs/test_beliefs.py
@@ -12,7 +12,7 @@
 
 
 def version(fleet: GatewayFleet, at: int) -> int:
-    return fleet.instances[at].beliefs.config.current.version
+    return fleet.instances[at].beliefs.config.table.version
 
 
 def wait_version(fleet: GatewayFleet, at: int) -> None:
--- a/tests/test_gateway/test_callers/test_callers_forwarding.py
+++ b/tests/test_gateway/test_callers/test_callers_forwarding.py
@@ -261,7 +261,7 @@
         (server,) = wait_until_seen(lambda: served_by(fleet, 'lm'), 'the request at a server')
         state = book.state(server.server_id)
         assert state is not None
-        wait_until_seen(lambda: state.failing(fleet.clock.now_ms()) > 0, 'the suspicion')
+        wait_until_seen(lambda: state.failure_share(fleet.clock.now_ms()) > 0, 'the suspicion')
         assert not reader.dead
         reader.kill()
 
@@ -282,7 +282,7 @@
     second.peers.send(more, [first.context.instance_id])
 
     def counted() -> bool:
-        first.book.choose(state.listed.service, (), '')
+        first.book.choose_server(state.listed.service, (), '')
         return state.online_count(first.clock.now_ms()) == 4
 
     wait_until_seen(counted, 'the second notice')
--- a/tests/test_gateway/test_callers/test_callers_keys.py
+++ b/tests/test_gateway/test_callers/test_callers_keys.py
@@ -135,7 +135,7 @@
     keyed.configure(3, accounts=[account('acme', ACME), account('other', ACME)])
     keyed.configure(4, accounts=[account('acme', ACME, rate_per_s=-1)])
     assert keyed.call('/fetch/x', x_api_key=OTHER).status == 200
-    assert keyed.instances[0].beliefs.config.current.version == 2
+    assert keyed.instances[0].beliefs.config.table.version == 2
 
 
 def test_job_is_not_unknown_to_an_instance_that_has_no_configuration_yet(
@@ -149,9 +149,9 @@
     def call_without_configuration(path: str, method: str) -> Reply:
         # The instance reads the configuration each second: only what it answers without it counts.
         while True:
-            config.current = EMPTY_ROUTE_TABLE
+            config.table = EMPTY_ROUTE_TABLE
             reply = keyed.call(path, b'', at=1, method=method, x_api_key=ACME)
-            if not config.current.version:
+            if not config.table.version:
                 return reply
 
     for method, path in (
--- a/tests/test_gateway/test_jobs/test_jobs.py
+++ b/tests/test_gateway/test_jobs/test_jobs.py
@@ -198,7 +198,8 @@
     fleet.list_server('lm-2', 'lm', state='draining')
     books = [instance.book for instance in fleet.instances]
     wait_until_seen(
-        lambda: all(len(book.usable(ServiceName('lm'))) == 1 for book in books), 'one server'
+        lambda: all(len(book.eligible_servers(ServiceName('lm'))) == 1 for book in books),
+        'one server',
     )
     fleet.servers['lm-1'].acts.extend([Act.IMPOSSIBLE] * 2)
     assert fleet.submit('job-1', 4).status == 202
--- a/tests/test_gateway/test_jobs/test_jobs_job_intake.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_intake.py
@@ -34,7 +34,7 @@
     # instance without having heard anything, and its last try ends without an answer.
     instance = fleet.instances[0]
     (route,) = (
-        each for each in instance.beliefs.config.current.routes if each.name == 'batch-stream'
+        each for each in instance.beliefs.config.table.routes if each.name == 'batch-stream'
     )
     request = CallerRequest(b'POST', b'/batch-stream/job', [], b'', instance.clock.now_ms())
     for within_ms, is_held in ((None, False), (5_000.0, True)):
--- a/tests/test_gateway/test_peers/test_peers_knowledge.py
+++ b/tests/test_gateway/test_peers/test_peers_knowledge.py
@@ -34,9 +34,9 @@
 def test_answer_leaves_out_what_the_asking_instance_has(fleet: GatewayFleet) -> None:
     # A configuration may hold thousands of routes. While the store is away all ask, again and
     # again, and each was told the whole of it each time.
-    version = fleet.instances[0].beliefs.config.current.version
+    version = fleet.instances[0].beliefs.config.table.version
     behind = known(fleet, instances_count=1, version=version - 1)
-    assert behind.table == fleet.instances[0].beliefs.config.current
+    assert behind.table == fleet.instances[0].beliefs.config.table
     assert len(behind.peers) == len(fleet.instances)
     level = known(fleet, instances_count=len(fleet.instances), version=version)
     assert level.table is None
@@ -64,7 +64,7 @@
     asking = fleet.instances[1].beliefs
     exchange = fleet.instances[0].peers.knowledge
     data = exchange.answer(
-        KnowledgeWanted(2, asking.list_digest), fleet.instances[1].beliefs.config.current.version
+        KnowledgeWanted(2, asking.list_digest), fleet.instances[1].beliefs.config.table.version
     )
     known_there = decode_msgpack(data.data, StoreState)
     assert known_there.has_same_servers
--- a/tests/test_gateway/test_servers/test_servers_crash_fleet.py
+++ b/tests/test_gateway/test_servers/test_servers_crash_fleet.py
@@ -67,7 +67,7 @@
             for name, zone in zones.items()
         }
         for name, member in self.members.items():
-            member.book.neighbours.replace({n: z for n, z in zones.items() if n != name})
+            member.book.topology.replace({n: z for n, z in zones.items() if n != name})
 
     def some(self, count: int) -> list[Member]:
         return self._random.sample(list(self.members.values()), count)
--- a/tests/test_gateway/test_servers/test_servers_evidence.py
+++ b/tests/test_gateway/test_servers/test_servers_evidence.py
@@ -11,20 +11,20 @@
 def standing(fleet: GatewayFleet, at: int, server: str) -> ServerHealth:
     state = fleet.instances[at].book.state(ServerId(server))
     assert state is not None
-    return state.record.standing
+    return state.health_record.health
 
 
 def test_failure_at_one_instance_keeps_others_from_the_server(fleet: GatewayFleet) -> None:
     # A server answers 500 at once. The other instance, which has sent it nothing, must not lose a
     # request to it that may run once only.
-    neighbours = fleet.instances[0].book.neighbours
-    wait_until_seen(neighbours.everybody, 'the other to be known')
+    neighbours = fleet.instances[0].book.topology
+    wait_until_seen(neighbours.all_peers, 'the other to be known')
     fleet.servers['app-1'].acts.extend([Act.FAIL] * 50)
     wait_until_seen(
         lambda: fleet.call('/order/a', b'x', at=0).status == 500 or None, 'a failed order'
     )
     wait_until_seen(
-        lambda: standing(fleet, 1, 'app-1') is not ServerHealth.SOUND, 'the other to be told'
+        lambda: standing(fleet, 1, 'app-1') is not ServerHealth.HEALTHY, 'the other to be told'
     )
     before = len(fleet.servers['app-1'].runs)
     replies = [fleet.call('/order/a', b'y', at=1).status for _ in range(20)]
@@ -39,7 +39,9 @@
         for at in range(2):
             assert fleet.call('/fetch/a', b'x', at=at).status == 200
         served = len(fleet.servers['app-1'].runs) > 6
-        return served and all(standing(fleet, at, 'app-1') is ServerHealth.SOUND for at in range(2))
+        return served and all(
+            standing(fleet, at, 'app-1') is ServerHealth.HEALTHY for at in range(2)
+        )
 
     wait_until_seen(both_sound, 'both to use it')
 
--- a/tests/test_platform/test_platform_accounts.py
+++ b/tests/test_platform/test_platform_accounts.py
@@ -23,21 +23,21 @@
         {'name': 'acme', 'api_keys': ['a', 'b'], 'priority': 1, 'rate_per_s': 54, 'burst': 5}
     )
     for key in ('a', 'b'):
-        account = found.account_of(key_hash(key), is_public=False)
+        account = found.authenticate(key_hash(key), is_public=False)
         assert isinstance(account, Account)
         assert (account.id, account.priority, account.rate_per_s) == ('acme', 1, 54.0)
-    unknown = found.account_of(key_hash('c'), is_public=False)
+    unknown = found.authenticate(key_hash('c'), is_public=False)
     assert unknown == NoAccount(NoAccountReason.UNKNOWN_KEY)
-    assert found.account_of('', is_public=False) == NoAccount(NoAccountReason.NO_KEY)
-    assert found.account_of('', is_public=True) is ANYBODY
+    assert found.authenticate('', is_public=False) == NoAccount(NoAccountReason.NO_KEY)
+    assert found.authenticate('', is_public=True) is ANYBODY
 
 
 def test_keys_are_needed_as_soon_as_the_configuration_speaks_of_accounts() -> None:
     # The operator removes the last account. Read like a configuration without accounts, the whole
     # fleet would be open to anybody.
-    assert not table().account_of('', is_public=False)
+    assert not table().authenticate('', is_public=False)
     open_table = decode_config(msgspec.json.encode({'version': 3}))
-    assert open_table.account_of('', is_public=False) is ANYBODY
+    assert open_table.authenticate('', is_public=False) is ANYBODY
 
 
 @pytest.mark.parametrize(
--- a/tests/test_servers/simulated_fleet.py
+++ b/tests/test_servers/simulated_fleet.py
@@ -53,7 +53,7 @@
         self.notices = EvidenceNotices(self.context, self.book)
 
     def standings(self) -> Counter[ServerHealth]:
-        return Counter(state.record.standing for state in self.book.states())
+        return Counter(state.health_record.health for state in self.book.states())
 
     def state(self, server: ServerId) -> ServerState:
         state = self.book.state(server)
@@ -95,7 +95,7 @@
                 listed_server(f's-{n}', SERVICE, zone=ZONES[n % 3]) for n in range(servers)
             )
             others = {each: AvailabilityZone(zone) for each, zone in zones.items() if each != own}
-            view.book.neighbours.replace(others)
+            view.book.topology.replace(others)
 
     def run(self, for_ms: float) -> Lost:
         """Send requests for some time; give what was lost in it."""
@@ -110,7 +110,7 @@
 
     def seen(self, server: ServerId) -> Counter[ServerHealth]:
         """Count the instances by how they see a server."""
-        return Counter(view.state(server).record.standing for view in self.views)
+        return Counter(view.state(server).health_record.health for view in self.views)
 
     def _request(self) -> None:
         view = self.random.choice(self.views)
@@ -119,10 +119,10 @@
         is_once = self.random.random() < 0.25
         avoid: set[ServerIncarnation] = set()
         for _ in range(1 if is_once else 2):
-            state = view.book.choose(SERVICE, avoid, '', is_once=is_once)
+            state = view.book.choose_server(SERVICE, avoid, '', is_once=is_once)
             if state is None:
                 break
-            avoid.add(state.life)
+            avoid.add(state.incarnation)
             outcome = self._send(view, state)
             if outcome is Outcome.SUCCEEDED:
                 return
@@ -140,11 +140,11 @@
         )
         if outcome is Outcome.SUCCEEDED:
             state.record_answered(self.clock.ms)
-            state.note_success()
+            state.record_success()
             state.own.online += 1
             self._running.append((self.clock.ms + WORK_MS, state))
         else:
-            state.note_failure(self.clock.ms, outcome)
+            state.record_failure(self.clock.ms, outcome)
         return outcome
 
     def _tell(self) -> None:
@@ -155,11 +155,11 @@
             _, sender, rows = self._on_way.popleft()
             for view in self.views:
                 if view is not sender and self.random.random() >= self.loss:
-                    view.notices.note(sender.context.instance_id, rows)
+                    view.notices.record_peer_evidence(sender.context.instance_id, rows)
         for view in list(self._telling):
             pause_ms = view.notices.next_pause_ms()
             if pause_ms is None:
                 self._telling.remove(view)
             elif pause_ms == 0.0:
-                self._on_way.append((now_ms + TELL_MS, view, view.notices.take()))
+                self._on_way.append((now_ms + TELL_MS, view, view.notices.take_due()))
                 self.datagrams += len(self.views) - 1
--- a/tests/test_servers/test_servers_choice.py
+++ b/tests/test_servers/test_servers_choice.py
@@ -89,7 +89,7 @@
 
     def _request(self, result: Result) -> None:
         at = self.random.randrange(INSTANCES)
-        state = self.books[at].choose(SERVICE, (), '')
+        state = self.books[at].choose_server(SERVICE, (), '')
         assert state is not None
         server = int(state.listed.id[2:])
         slowness = self.speeds[server] * self.pace(server) * (1 + 0.08 * self.running[server])
@@ -99,7 +99,7 @@
         first_ms = wait_ms + FIRST_MS * slowness * spread
         self.running[server] += 1
         if self.states_pace:
-            state.pace.note(self.pace(server), self.clock.ms)
+            state.reported_slowdown.record(self.pace(server), self.clock.ms)
         state.record_work(first_ms, FIRST_MS * 1.2, self.clock.ms)
         state.record_latency(first_ms)
         result.first_ms.append(first_ms)
@@ -126,7 +126,7 @@
         for number, book in enumerate(self.books):
             state = book.state(name)
             if number != at and state is not None:
-                state.note_peer(InstanceId(f'i-{at}'), told, 0, self.clock.ms)
+                state.record_peer_counts(InstanceId(f'i-{at}'), told, 0, self.clock.ms)
 
 
 UNEVEN = [0.6, 1.0, 1.6] * (SERVERS // 3)
@@ -187,7 +187,7 @@
     book = ServerRegistry(manual_context())
     book.replace(listed_server(f's-{n}', SERVICE) for n in range(9))
     for state in book.states():
-        state.pace.note(4.0 if state.listed.id == 's-0' else 1.0, 0.0)
+        state.reported_slowdown.record(4.0 if state.listed.id == 's-0' else 1.0, 0.0)
     random = Random(1)
     drawn: Counter[ServerId] = Counter()
     for _ in range(2_000):
@@ -201,10 +201,10 @@
     book = ServerRegistry(manual_context())
     book.replace(listed_server(f's-{n}', SERVICE) for n in range(30))
     for state in book.states():
-        state.pace.note(1.0, 0.0)
+        state.reported_slowdown.record(1.0, 0.0)
         state.own.online = 0 if state.listed.id == 's-7' else SLOTS
     for _ in range(20):
-        chosen = book.choose(SERVICE, (), '')
+        chosen = book.choose_server(SERVICE, (), '')
         assert chosen is not None
         assert chosen.listed.id == 's-7'
 
@@ -217,7 +217,7 @@
     for state in book.states():
         state.own.online = 2
         if state.listed.id in ('s-0', 's-1'):
-            state.pace.note(1.0, 0.0)
-    chosen = Counter(book.choose(SERVICE, (), '') for _ in range(400))
+            state.reported_slowdown.record(1.0, 0.0)
+    chosen = Counter(book.choose_server(SERVICE, (), '') for _ in range(400))
     assert len(chosen) == 8
     assert max(chosen.values()) <= 2 * 400 / 8
--- a/tests/test_servers/test_servers_failing.py
+++ b/tests/test_servers/test_servers_failing.py
@@ -15,7 +15,7 @@
 SEEDS = pytest.mark.parametrize('seed', range(3))
 BAD = ServerId('s-0')
 FAILING = {ServerId(f's-{n}') for n in range(6)}
-OUT = ServerHealth.OUT
+OUT = ServerHealth.EJECTED
 
 
 def good(_: Asked) -> Outcome:
@@ -36,7 +36,7 @@
     lost = fleet.run(7_000.0)
     assert lost.once <= 12
     assert lost.repeatable <= 3
-    assert all(fleet.seen(server)[ServerHealth.SOUND] == 0 for server in FAILING)
+    assert all(fleet.seen(server)[ServerHealth.HEALTHY] == 0 for server in FAILING)
 
 
 @SEEDS
@@ -107,7 +107,7 @@
     fleet.asked.clear()
     lost = fleet.run(6_000.0)
     assert lost.once <= 3
-    assert fleet.seen(BAD)[ServerHealth.SOUND] == 0
+    assert fleet.seen(BAD)[ServerHealth.HEALTHY] == 0
     assert fleet.asked[BAD] <= 20
 
 
@@ -124,7 +124,7 @@
     assert lost.once <= 1
     assert fleet.by_zone['zone-b', BAD] <= 12
     assert fleet.by_zone['zone-a', BAD] >= 120
-    assert fleet.views[0].state(BAD).record.standing is ServerHealth.SOUND
+    assert fleet.views[0].state(BAD).health_record.health is ServerHealth.HEALTHY
 
 
 @SEEDS
@@ -138,7 +138,7 @@
     fleet.run(6_000.0)
     for view in fleet.views[1:]:
         assert view.standings()[OUT] == 0
-        assert view.standings()[ServerHealth.DOUBTED] <= 20 // 4
+        assert view.standings()[ServerHealth.DEGRADED] <= 20 // 4
 
 
 @SEEDS
@@ -181,7 +181,7 @@
     fleet.run(1_000.0)
     fleet.answer = fails if is_failing else good
     fleet.run(3_000.0)
-    assert fleet.seen(BAD)[ServerHealth.SOUND] == (0 if is_failing else 9)
+    assert fleet.seen(BAD)[ServerHealth.HEALTHY] == (0 if is_failing else 9)
 
 
 def test_tellings_are_bounded_though_all_servers_fail() -> None:
@@ -200,7 +200,7 @@
         state.own.online = 0
 
     def chosen() -> set[ServerId]:
-        states = [view.book.choose(SERVICE, (), '', is_once=True) for _ in range(60)]
+        states = [view.book.choose_server(SERVICE, (), '', is_once=True) for _ in range(60)]
         return {state.listed.id for state in states if state is not None}
 
     assert new not in chosen()
--- a/tests/test_servers/test_servers_slowdown.py
+++ b/tests/test_servers/test_servers_slowdown.py
@@ -36,7 +36,7 @@
     assert facts.load == (3, 1)
     assert facts.pace is not None
     pace = ReportedSlowdown()
-    assert not pace.note(facts.pace, 0.0)
+    assert not pace.record(facts.pace, 0.0)
     assert pace.factor(0.0) == 1.0
 
 
@@ -53,8 +53,8 @@
 def test_figure_loses_its_weight_with_age() -> None:
     pace = ReportedSlowdown()
     for number in range(50):
-        pace.note(1.0, number)
-    pace.note(2.5, 100.0)
+        pace.record(1.0, number)
+    pace.record(2.5, 100.0)
     assert pace.factor(100.0) == pytest.approx(2.5)
     assert 1.6 < pace.factor(250.0) < 2.1
     assert pace.factor(2_000.0) < 1.2
@@ -63,15 +63,15 @@
 def test_figure_that_never_changes_counts_as_it_is() -> None:
     pace = ReportedSlowdown()
     for number in range(50):
-        pace.note(1.3, number)
+        pace.record(1.3, number)
     assert pace.factor(10_000.0) == pytest.approx(1.3)
 
 
 def test_stated_figure_is_bounded() -> None:
     pace = ReportedSlowdown()
-    assert pace.note(99.0, 0.0)
+    assert pace.record(99.0, 0.0)
     assert pace.factor(0.0) == 4.0
-    assert not pace.note(math.nan, 0.0)
+    assert not pace.record(math.nan, 0.0)
 
 
 def test_speed_is_learned_whatever_the_machine_does_meanwhile() -> None:
@@ -80,16 +80,16 @@
     for number in range(60):
         now_ms = number * 500.0
         pace = 2.0 if number % 2 else 1.0
-        state.pace.note(pace, now_ms)
+        state.reported_slowdown.record(pace, now_ms)
         state.record_work(20.0 * 1.6 * pace, 20.0, now_ms)
-    assert state.speed.factor == pytest.approx(1.6, rel=0.05)
+    assert state.latency_ratio.factor == pytest.approx(1.6, rel=0.05)
 
 
 def test_one_long_answer_is_no_slow_server() -> None:
     speed = LatencyRatio()
     for _ in range(20):
-        speed.note(20.0, 20.0)
-    speed.note(400.0, 20.0)
+        speed.record(20.0, 20.0)
+    speed.record(400.0, 20.0)
     assert speed.factor <= 1.2
 
 
@@ -97,4 +97,4 @@
     state = ServerState(listed_server('s-0', 's'), ServerIncarnation('s-0'))
     for _ in range(20):
         state.record_work(80.0, 20.0, 0.0)
-    assert state.slowness(0.0) == 1.0
+    assert state.expected_slowdown(0.0) == 1.0
