--- a/benchmarks/list_ways.py
+++ b/benchmarks/list_ways.py
@@ -20,7 +20,7 @@
 from citrondyke.decisions.server_list.reader_lease_tracker import MissingRows, ReaderLeaseTracker
 from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
 from citrondyke.driver.virtual.virtual_time import VirtualTime
-from citrondyke.gateway.pauses import retry_ms
+from citrondyke.gateway.retry_backoff import backoff_ms
 from citrondyke.ids import AvailabilityZone, InstanceId
 
 __all__ = ('main',)
@@ -139,7 +139,7 @@
             page(pages)
 
         def refused() -> None:
-            pause_ms = node.context.jittered_ms(retry_ms(tries))
+            pause_ms = node.context.jittered_ms(backoff_ms(tries))
             self.time.after(pause_ms, lambda: self.read_pages(node, then, tries + 1))
 
         page(0)
--- a/citrondyke/decisions/forwarding/admission_rule.py
+++ b/citrondyke/decisions/forwarding/admission_rule.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from citrondyke.decisions.accounts.account import ANYBODY
-from citrondyke.decisions.accounts.fair_share_rejection import Turns
+from citrondyke.decisions.accounts.account import ANONYMOUS_ACCOUNT
+from citrondyke.decisions.accounts.fair_share_policy import Turns
 
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
@@ -79,7 +79,7 @@
         route: Route,
         state: ServerState,
         left_ms: float,
-        account: Account = ANYBODY,
+        account: Account = ANONYMOUS_ACCOUNT,
     ) -> Admitted | Rejected:
         """Decide for the best server.
 
--- a/citrondyke/gateway/jobs/batch_subsystem.py
+++ b/citrondyke/gateway/jobs/batch_subsystem.py
@@ -8,7 +8,7 @@
 import gevent
 import msgspec
 
-from citrondyke.decisions.batch.batch_preemption import BatchPreemption
+from citrondyke.decisions.batch.batch_scheduler import BatchScheduler
 from citrondyke.decisions.batch.read_budget import ReadBudget
 from citrondyke.decisions.batch.start_rate_limiter import StartRateLimiter
 from citrondyke.decisions.batch.takeover import InstanceLiveness, TakeoverSchedule
@@ -37,8 +37,8 @@
 from citrondyke.storage.partitioned_table import PartitionedTable
 
 if TYPE_CHECKING:
-    from citrondyke.gateway.outside import Environment
     from citrondyke.gateway.peers.peer_codec import PeerText
+    from citrondyke.gateway.platform_adapters import PlatformAdapters
     from citrondyke.gateway.settings import GatewaySettings
     from citrondyke.ids import InstanceId, JobId
 
@@ -50,7 +50,7 @@
 
     context: Context
     table: PartitionedTable
-    beliefs: ReplicatedState
+    replicated: ReplicatedState
     book: ServerRegistry
     sends: ServerSends
     guard: PoisonRequestGuard
@@ -66,29 +66,33 @@
     """Takes jobs in, runs their items, keeps and shows what comes of them."""
 
     def __init__(
-        self, around: BatchCollaborators, life: str, settings: GatewaySettings, outside: Environment
+        self,
+        around: BatchCollaborators,
+        life: str,
+        settings: GatewaySettings,
+        adapters: PlatformAdapters,
     ) -> None:
         """Put the parts together.
 
         :param life: names this life of this instance.
         """
         self._around = around
-        self._outside = outside
+        self._adapters = adapters
         context, tasks = around.context, around.tasks
-        self.store = JobStore(around.table, outside.objects, settings.store.row_bytes)
+        self.store = JobStore(around.table, adapters.objects, settings.store.row_bytes)
         self._reader = JobReader(context, self.store)
         self.owned = OwnedJobs()
         self.committer = JobCommitter(context, self.owned, self.store, tasks, self._reader.adopt)
         pace = StartRateLimiter(context, around.book.topology)
-        self._needs = pace.needs
+        self._needs = pace.demand
         self.runner = JobRunner(
             context,
-            around.beliefs,
-            BatchPreemption(context, around.book, pace),
-            pace.needs,
+            around.replicated,
+            BatchScheduler(context, around.book, pace),
+            pace.demand,
             around.sends,
             around.guard,
-            outside.dialect,
+            adapters.dialect,
             self.owned,
             self.committer,
             around.metrics,
@@ -97,7 +101,7 @@
         self._sweeper = JobSweeper(
             context,
             self.store,
-            JobRemoval(around.table, outside.objects),
+            JobRemoval(around.table, adapters.objects),
             around.live,
             settings.job_kept_ms,
         )
@@ -123,14 +127,14 @@
                 self._gone_for_ms,
                 lambda: [beat.life for beat in around.membership.peers.values()],
             ),
-            lambda: around.beliefs.config.table,
+            lambda: around.replicated.config.table,
             settings.tokens_overshoot,
         )
         self.owned.on_job_taken_over(self.waiting.note_taken_over)
         self.intake = JobAcceptor(
             context,
             life,
-            outside.dialect,
+            adapters.dialect,
             self.store,
             self.owned,
             self.runner,
@@ -147,7 +151,7 @@
         around = self._around
         return JobEndpoint(
             around.context,
-            self._outside.dialect,
+            self._adapters.dialect,
             self.store,
             self.owned,
             self._reader,
@@ -167,7 +171,7 @@
 
     def take_needs(self, sender: InstanceId, text: BatchNeeds) -> None:
         """Take in what waits at a peer."""
-        self._needs.note_peer(sender, text.needs)
+        self._needs.record_peer_demand(sender, text.needs)
 
     def start(self) -> None:
         """Begin to follow the jobs and to run items."""
@@ -194,4 +198,4 @@
         # its jobs.
         if not self.keeper.is_listed:
             return None
-        return self._around.live.gone_for_ms(owner, life, version, since_ms)
+        return self._around.live.dead_for_ms(owner, life, version, since_ms)
--- a/citrondyke/gateway/jobs/job_claimer.py
+++ b/citrondyke/gateway/jobs/job_claimer.py
@@ -18,9 +18,9 @@
     StoredHead,
     decode_head,
 )
-from citrondyke.gateway.pauses import retry_ms
 from citrondyke.gateway.replication.change_feed import ChangeFeed
 from citrondyke.gateway.replication.unreadable_rows import UnreadableRows
+from citrondyke.gateway.retry_backoff import backoff_ms
 from citrondyke.ids import JobId
 from citrondyke.storage.failure import PlatformFailure
 
@@ -109,7 +109,7 @@
         try:
             head = decode_head(row.value)
         except UnreadableBytesError as error:
-            self._unreadable.note(row.part, row.version, error.message)
+            self._unreadable.log_once(row.part, row.version, error.message)
             return
         self._take(StoredHead(head, row.version))
 
@@ -167,7 +167,7 @@
     def _run_list(self) -> None:
         # How many share the reads is not known before; nothing else depends on it.
         with gevent.Timeout(FIRST_POLL_DELAY_MS / 1e3, False):
-            while not self._takeover.knows_instances:
+            while not self._takeover.has_polled_instances:
                 gevent.sleep(FIRST_PAUSE_S)
         while True:
             self.list_once()
@@ -234,7 +234,7 @@
                 or isinstance(progress, PlatformFailure)
             ):
                 failures_count += 1
-                gevent.sleep(retry_ms(failures_count) / 1e3)
+                gevent.sleep(backoff_ms(failures_count) / 1e3)
                 continue
             job = OwnedJob(head, claimed.version, items, results)
             for each in progress:
--- a/citrondyke/gateway/jobs/job_runner.py
+++ b/citrondyke/gateway/jobs/job_runner.py
@@ -10,12 +10,12 @@
 import msgspec
 
 from citrondyke.decisions.batch.batch_demand import CompletionLikelihood
-from citrondyke.decisions.batch.batch_preemption import RunningItem, Urgency, urgency
+from citrondyke.decisions.batch.batch_scheduler import RunningItem, Urgency, urgency
 from citrondyke.decisions.batch.item_priority import (
     ItemPriority,
     batch_demand_of,
     count_by_likelihood,
-    outlook,
+    priority_of,
 )
 from citrondyke.decisions.batch.owned_job import RunResult
 from citrondyke.decisions.batch.run_length import RunLengthEstimator
@@ -31,7 +31,7 @@
 
     from citrondyke.decisions.batch.batch_demand import DemandNotice
     from citrondyke.decisions.batch.batch_demand_table import BatchDemandTable
-    from citrondyke.decisions.batch.batch_preemption import BatchPreemption
+    from citrondyke.decisions.batch.batch_scheduler import BatchScheduler
     from citrondyke.decisions.batch.owned_job import ItemProgress, OwnedJob
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.forwarding.server_state import ServerState
@@ -84,8 +84,8 @@
     def __init__(
         self,
         context: Context,
-        beliefs: ReplicatedState,
-        give_way: BatchPreemption,
+        replicated: ReplicatedState,
+        give_way: BatchScheduler,
         needs: BatchDemandTable,
         sends: ServerSends,
         guard: PoisonRequestGuard,
@@ -97,7 +97,7 @@
     ) -> None:
         """Use the parts handed in."""
         self._context = context
-        self._beliefs = beliefs
+        self._replicated = replicated
         self._give_way = give_way
         self._needs = needs
         self._counted_ms = float('-inf')
@@ -111,7 +111,7 @@
         self._committer = committer
         self._metrics = metrics
         self._tasks = tasks
-        self._sender = ItemSender(context, sends, dialect, lambda: give_way.is_in_large_fleet)
+        self._sender = ItemSender(context, sends, dialect, lambda: give_way.is_fleet_large)
         self._lengths = RunLengthEstimator()
         self._runs: dict[int, _Run] = {}
         self._runs_count = 0
@@ -143,11 +143,13 @@
 
     def preempt_items(self) -> None:
         """Cut the items that stand in the way of online requests."""
-        crowded = self._give_way.crowded({run.state.incarnation for run in self._runs.values()})
-        if not crowded:
+        overloaded_servers = self._give_way.overloaded_servers(
+            {run.state.incarnation for run in self._runs.values()}
+        )
+        if not overloaded_servers:
             return
         epoch_ms = self._context.epoch_ms()
-        targets_ms = self._beliefs.config.table.shortest_targets_ms
+        targets_ms = self._replicated.config.table.shortest_targets_ms
         running = [
             RunningItem(
                 number,
@@ -158,9 +160,9 @@
                 targets_ms.get(run.state.listed.service, 0.0),
             )
             for number, run in self._runs.items()
-            if run.state.incarnation in crowded
+            if run.state.incarnation in overloaded_servers
         ]
-        for item in self._give_way.to_cut(running):
+        for item in self._give_way.items_to_preempt(running):
             run = self._runs[item.number]
             self._metrics.counters['items_cut'] += 1
             self._metrics.counters[f'items_cut_{item.urgency.value}'] += 1
@@ -221,7 +223,7 @@
                 urgency_now = self._urgency(job, progress, epoch_ms)
                 if service is None or (service, urgency_now) in full:
                     break
-                state = self._give_way.choose(service, urgency_now)
+                state = self._give_way.choose_server(service, urgency_now)
                 if state is None:
                     full.add((service, urgency_now))
                     break
@@ -243,7 +245,7 @@
                 found = [self._outlook(job, each, epoch_ms) for each in items]
                 outlooks.setdefault(service, []).extend(found)
         for service in services:
-            self._give_way.watch(service)
+            self._give_way.observe_online_load(service)
         if not is_due:
             return
         self._counted_ms = now_ms
@@ -251,7 +253,7 @@
         self._needs.record_own_demand(
             [batch_demand_of(service, found, now_ms) for service, found in outlooks.items()]
         )
-        told = self._needs.to_tell()
+        told = self._needs.take_due_notices()
         if told is not None:
             self._tell(told)
         if outlooks and now_ms - self._logged_ms >= LOG_EVERY_MS:
@@ -262,7 +264,7 @@
                     **{each.name.lower(): self._waiting[each] for each in CompletionLikelihood},
                     'running': len(self._runs),
                     'kept_places': self.kept_places_count(),
-                    'other_owners': sum(len(self._needs.others(each)) for each in outlooks),
+                    'other_owners': sum(len(self._needs.peer_demand(each)) for each in outlooks),
                 },
             )
 
@@ -272,12 +274,12 @@
 
     def kept_places_count(self) -> int:
         """Count the places that are kept free for online requests."""
-        return sum(self._give_way.kept.counts.values()) if self._owned.by_id else 0
+        return sum(self._give_way.headroom.by_service.values()) if self._owned.by_id else 0
 
     def _outlook(self, job: OwnedJob, progress: ItemProgress, epoch_ms: float) -> ItemPriority:
-        spare_ms = job.head.due_epoch_ms - epoch_ms - self._remaining_ms(job, progress)
+        slack_ms = job.head.due_epoch_ms - epoch_ms - self._remaining_ms(job, progress)
         margin_ms = self._lengths.margin_ms(job.head.route)
-        return outlook(spare_ms, margin_ms, has_begun=progress.last_event_id is not None)
+        return priority_of(slack_ms, margin_ms, has_begun=progress.last_event_id is not None)
 
     def _remaining_ms(self, job: OwnedJob, progress: ItemProgress) -> float:
         return self._lengths.remaining_ms(job.head.route, progress.events_count)
@@ -286,7 +288,7 @@
         return urgency(job.head.due_epoch_ms, epoch_ms, self._remaining_ms(job, progress))
 
     def _service(self, job: OwnedJob, progress: ItemProgress) -> ServiceName | None:
-        config = self._beliefs.config
+        config = self._replicated.config
         route = config.table.find(job.head.host, progress.item.path)
         if not isinstance(route, NoRoute):
             return route.pick_service(self._context.random)
@@ -306,7 +308,7 @@
     def _begin(self, job: OwnedJob, progress: ItemProgress, state: ServerState) -> None:
         progress.is_running = True
         # The place is counted now, so that the next choice sees it.
-        self._sends.enter(state, is_batch=True)
+        self._sends.add_request(state, is_batch=True)
         self._metrics.counters['items_started'] += 1
         self._runs_count += 1
         number = self._runs_count
@@ -319,7 +321,7 @@
     def _run_item(self, number: int, run: _Run) -> None:
         job, progress, state = run.job, run.progress, run.state
         run.has_begun = True
-        end = RunResult.BROKEN
+        end = RunResult.INTERRUPTED
         detail = ''
         started_ms = self._context.now_ms()
         events_before = progress.events_count
@@ -331,9 +333,9 @@
                 if end in (RunResult.COMPLETED, RunResult.IMPOSSIBLE):
                     self._guard.record_survived(run.work)
             else:
-                end = RunResult.STOPPED
+                end = RunResult.BLOCKED
         except GaveWayError:
-            end = RunResult.GAVE_WAY
+            end = RunResult.PREEMPTED
         except BrokenReplyError as error:
             detail = error.message
             if error.break_kind is BreakKind.NO_CONNECTION:
@@ -341,8 +343,12 @@
             else:
                 state.record_failure(self._context.now_ms())
                 # An item that is told to make room while it waits here would stay open for good.
-                self._guard.note_broken(
-                    state, run.work.content, error.break_kind, progress.first_event_ms, waits=False
+                self._guard.record_interrupted(
+                    state,
+                    run.work.content,
+                    error.break_kind,
+                    progress.first_event_ms,
+                    may_wait=False,
                 )
         except Exception:
             # An item whose run ended without a word would stay open for good.
@@ -350,7 +356,7 @@
             detail = 'unforeseen'
         finally:
             self._runs.pop(number, None)
-            self._sends.leave(state, is_batch=True)
+            self._sends.remove_request(state, is_batch=True)
         took_ms = self._context.now_ms() - started_ms
         self._lengths.record_event_interval(
             job.head.route, progress.events_count - events_before, took_ms
@@ -368,7 +374,7 @@
                 'detail': detail,
                 'last_event_id': progress.last_event_id,
                 'took_ms': round(took_ms, 1),
-                'content': run.work.content.digest if end is RunResult.BROKEN else None,
+                'content': run.work.content.digest if end is RunResult.INTERRUPTED else None,
             },
         )
         self._end(job, progress, end)
@@ -377,7 +383,7 @@
         self._pump()
 
     def _may_send(self, run: _Run) -> bool:
-        standing = self._guard.standing(run.work, is_item=True)
+        standing = self._guard.verdict(run.work, is_item=True)
         if standing is SuspectVerdict.TRIAL_DUE:
             return self._guard.claim_probe(run.work.content, run.progress.item.id, is_item=True)
         return standing in (SuspectVerdict.FREE, SuspectVerdict.SUSPECTED)
--- a/citrondyke/gateway/replication/unreadable_rows.py
+++ b/citrondyke/gateway/replication/unreadable_rows.py
@@ -9,7 +9,7 @@
 log = logbook.Logger(__name__)
 
 #: Rows that are remembered as logged; beyond it one may be logged a second time.
-TOMBSTONES_LIMIT = 1_000
+REMEMBERED_WORKS_LIMIT = 1_000
 
 
 class UnreadableRows:
@@ -23,13 +23,13 @@
         self._table = table
         self._logged: dict[str, int] = {}
 
-    def note(self, key: str, version: int, detail: str) -> None:
+    def log_once(self, key: str, version: int, detail: str) -> None:
         """Log a row unless this version of it was."""
         if self._logged.get(key) == version:
             return
         self._logged.pop(key, None)
         self._logged[key] = version
-        if len(self._logged) > TOMBSTONES_LIMIT:
+        if len(self._logged) > REMEMBERED_WORKS_LIMIT:
             del self._logged[next(iter(self._logged))]
         log.warning(
             'row.unreadable',
--- a/tests/test_platform/test_platform_decoding.py
+++ b/tests/test_platform/test_platform_decoding.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from citrondyke.decisions.accounts.limit_overshoot_budget import LimitOvershootBudget
+from citrondyke.decisions.accounts.overshoot_budget import OvershootBudget
 from citrondyke.decisions.batch.job import ItemResult, ItemState
 from citrondyke.decisions.forwarding.route import RouteKind
 from citrondyke.decisions.forwarding.route_table import NoRoute
@@ -85,10 +85,10 @@
     assert settings.seed_ips == ('10.2.0.28',)
     assert settings.stop_within_ms == 8_000.0
     assert settings.memory_bytes == 320 * 1024 * 1024
-    assert settings.limit_tolerance == LimitOvershootBudget(overshoot=0.1)
+    assert settings.limit_tolerance == OvershootBudget(overshoot=0.1)
     stated = SETTINGS.replace('grace_s = 8', 'quota_slack = 20\nquota_window_s = 7')
     tolerance = platform_settings(stated, 'boot.toml', 9000).limit_tolerance
-    assert tolerance == LimitOvershootBudget(window_ms=7_000.0, overshoot=0.1, slack=20.0)
+    assert tolerance == OvershootBudget(window_ms=7_000.0, overshoot=0.1, slack=20.0)
 
 
 def test_settings_are_the_same_as_json() -> None:
@@ -166,15 +166,15 @@
 
 
 def test_replies_tell_whether_they_ran() -> None:
-    facts = PlatformDialect().reply_facts
+    metadata = PlatformDialect().reply_metadata
     mark = (b'response-seal', b'x')
-    assert facts(ReplyHead(200, [mark])).is_signed
-    assert not facts(ReplyHead(200, [mark, (b'content-encoding', b'gzip')])).is_signed
-    assert facts(ReplyHead(503, [(b'not-executed', b'1')])).was_not_run
-    assert not facts(ReplyHead(503, [mark])).was_not_run
-    assert facts(ReplyHead(421, [])).is_misplaced
-    assert facts(ReplyHead(200, [(b'instance-load', b'3,1,8')])).load == (3, 1)
-    assert facts(ReplyHead(200, [(b'instance-load', b'many')])).load is None
+    assert metadata(ReplyHead(200, [mark])).is_signed
+    assert not metadata(ReplyHead(200, [mark, (b'content-encoding', b'gzip')])).is_signed
+    assert metadata(ReplyHead(503, [(b'not-executed', b'1')])).was_not_run
+    assert not metadata(ReplyHead(503, [mark])).was_not_run
+    assert metadata(ReplyHead(421, [])).is_misplaced
+    assert metadata(ReplyHead(200, [(b'instance-load', b'3,1,8')])).load == (3, 1)
+    assert metadata(ReplyHead(200, [(b'instance-load', b'many')])).load is None
 
 
 def test_job_calls_are_recognized() -> None:
@@ -217,8 +217,8 @@
 def test_any_headers_are_read(name: bytes, value: bytes) -> None:
     dialect = PlatformDialect()
     pairs = [(name.lower(), value), (b'deadline-ms', value), (b'last-event-id', value)]
-    dialect.call_facts(CallerRequest(b'GET', b'/', pairs, b'', 0.0))
-    dialect.reply_facts(ReplyHead(200, [(b'instance-load', value), (b'attempt-id', value)]))
+    dialect.request_metadata(CallerRequest(b'GET', b'/', pairs, b'', 0.0))
+    dialect.reply_metadata(ReplyHead(200, [(b'instance-load', value), (b'attempt-id', value)]))
 
 
 def test_check_settings_takes_both_forms(tmp_path: Path) -> None:
