--- a/citrondyke/decisions/forwarding/admission_rule.py
+++ b/citrondyke/decisions/forwarding/admission_rule.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from citrondyke.decisions.accounts.account import ANONYMOUS_ACCOUNT
-from citrondyke.decisions.accounts.fair_share_policy import Turns
+from citrondyke.decisions.accounts.fair_share_policy import FairSharePolicy
 
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
@@ -63,7 +63,7 @@
         """Start without a measurement."""
         self._context = context
         self._registry = book
-        self._fair_share = Turns(context)
+        self._fair_share = FairSharePolicy(context)
         self._service_time_ms: dict[RouteName, float] = {}
         self._rejected_ms: dict[ServiceName, deque[float]] = {}
 
@@ -88,7 +88,7 @@
         """
         service = state.listed.service
         priority = account.priority_on(route.priority)
-        self._fair_share.note(service, account.id)
+        self._fair_share.record_request(service, account.id)
         now_ms = self._context.now_ms()
         slots = max(1, state.listed.slots_count)
         ahead = state.online_count(now_ms) + state.protected_batch_count(now_ms) - slots + 1
--- a/tests/test_batch/test_batch_give_way.py
+++ b/tests/test_batch/test_batch_give_way.py
@@ -217,7 +217,7 @@
     floor = Floor()
     floor.book.replace([listed_server(A, SERVICE, SLOTS), listed_server('b', SERVICE, SLOTS)])
     monkeypatch.setattr(
-        ServerState, 'slowness', lambda state, _: 4.0 if state.listed.id == A else 1.0
+        ServerState, 'expected_slowdown', lambda state, _: 4.0 if state.listed.id == A else 1.0
     )
     chosen = [floor.give_way.choose_server(SERVICE, Urgency.PATIENT) for _ in range(200)]
     on_slow = sum(state is not None and state.listed.id == A for state in chosen)
