--- a/citrondyke/decisions/forwarding/__init__.py
+++ b/citrondyke/decisions/forwarding/__init__.py
@@ -1,3 +1,3 @@
-"""Whole-request forwarding: routes, the choice of server, repeats, limits; without any I/O."""
+"""Forwarding of requests: routes, server selection, retries and admission, without I/O."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/forwarding/load_notices.py
+++ b/citrondyke/decisions/forwarding/load_notices.py
@@ -1,4 +1,4 @@
-"""Which of an instance's counts its peers are told, and when."""
+"""Select which of this instance's request counts are published to peers, and when."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 
 __all__ = ('LoadNotices', 'ServerLoad')
 
-#: Counts that are not zero are told again, since datagrams get lost and counts lapse.
+#: Nonzero counts are published again after this time, since datagrams get lost and counts expire.
 RENEW_EVERY_MS = 500.0
-#: How often an instance of a large fleet tells one instance of each other zone what is on the
-#: servers of its own zone; with as many instances in each zone all hear of it that often.
+#: Interval at which an instance of a large fleet sends one instance of each remote zone the load of
+#: the servers of its own zone. With as many instances in each zone, every instance receives the
+#: totals at this interval.
 TOTALS_EVERY_MS = 500.0
-#: For so long after a server's last request somebody may still count what was told of it.
+#: Time after a server's last request during which some instance may still count published load.
 TOTAL_LIFETIME_MS = PEER_COUNT_MS + TOTALS_EVERY_MS
 
 
 class ServerLoad(msgspec.Struct, frozen=True):
-    """What the sender has on one server; in totals, what all have."""
+    """Requests of the sender on one server; in totals, requests of all instances."""
 
     server: int
     online: int
@@ -34,35 +35,35 @@
 
 
 class AddressedLoadCounts(msgspec.Struct, frozen=True):
-    """Counts and those who are told them."""
+    """Counts and the instances that receive them."""
 
     recipients: list[InstanceId]
     loads: list[ServerLoad]
 
 
 class LoadNotices:
-    """Tells peers what changed, a bounded number of times a second."""
+    """Publish changed counts to peers at a bounded rate."""
 
-    def __init__(self, context: Context, book: ServerRegistry) -> None:
-        """Start having told nothing."""
+    def __init__(self, context: Context, registry: ServerRegistry) -> None:
+        """Start with nothing published."""
         self._context = context
-        self._registry = book
+        self._registry = registry
         self._published: dict[ServerIncarnation, tuple[int, int]] = {}
         self._renewed_ms = 0.0
         self._sent_ms = float('-inf')
-        #: Turn in which totals were last told. Turns are counted by the wall clock, so that all
-        #: are in the same one, about.
+        #: Rotation in which totals were last sent. Rotations are counted by the wall clock, so that
+        #: all instances are in about the same one.
         self.totals_rotation = 0
-        #: When the servers of the own zone were last seen with requests.
+        #: When the servers of the local zone last had requests.
         self._last_busy_ms: dict[ServerIncarnation, float] = {}
 
     def next_pause_ms(self) -> float:
-        """Give the time until the next notice may go out."""
+        """Return the time until the next notice may be sent."""
         gap_ms = self._registry.topology.notice_interval_ms
         return max(0.0, self._sent_ms + gap_ms - self._context.now_ms())
 
     def take_due(self) -> list[ServerLoad]:
-        """Give what peers are to be told now; nothing when nothing changed."""
+        """Return the counts to publish now; empty if nothing changed."""
         now_ms = self._context.now_ms()
         is_renewal = now_ms - self._renewed_ms >= RENEW_EVERY_MS
         if is_renewal:
@@ -72,28 +73,28 @@
         for state in self._registry.states():
             listed.add(state.incarnation)
             counts = (state.own.online, state.own.batch)
-            told = self._published.get(state.incarnation, (0, 0))
-            if counts != told or (is_renewal and counts != (0, 0)):
+            published = self._published.get(state.incarnation, (0, 0))
+            if counts != published or (is_renewal and counts != (0, 0)):
                 self._published[state.incarnation] = counts
                 loads.append(ServerLoad(server_digest(state.listed), *counts))
-        for life in [each for each in self._published if each not in listed]:
-            del self._published[life]
+        for incarnation in [each for each in self._published if each not in listed]:
+            del self._published[incarnation]
         if loads:
             self._sent_ms = now_ms
         return loads
 
     def add_recipients(self, loads: list[ServerLoad]) -> list[AddressedLoadCounts]:
-        """Choose who is told of which counts.
+        """Choose the recipients of each count.
 
-        Besides the neighbours these are, for a server of another availability zone, the instances
-        of that zone, and whoever runs batch items on a server: an online request that has come to
-        it would wait until its owner hears of it.
+        Besides the peers of the mesh these are, for a server of a remote zone, the instances of
+        that zone, and every instance that runs batch items on the server: an online request there
+        would wait until the owner of the items receives its count.
         """
         if not loads:
             return []
-        neighbours = self._registry.topology
-        addressed = [AddressedLoadCounts(neighbours.mesh_peers(), loads)]
-        if not neighbours.is_zoned:
+        topology = self._registry.topology
+        addressed = [AddressedLoadCounts(topology.mesh_peers(), loads)]
+        if not topology.is_zoned:
             return addressed
         own_zone = self._context.zone
         by_zone: dict[AvailabilityZone, list[ServerLoad]] = {}
@@ -106,28 +107,28 @@
             if zone != own_zone:
                 by_zone.setdefault(zone, []).append(load)
             for owner in state.batch_by_peer(self._context.now_ms()):
-                if neighbours.zone_of(owner) not in (own_zone, zone):
+                if topology.zone_of(owner) not in (own_zone, zone):
                     by_owner.setdefault(owner, []).append(load)
         addressed += [
-            AddressedLoadCounts(neighbours.peers_in_zone(zone), by_zone[zone]) for zone in by_zone
+            AddressedLoadCounts(topology.peers_in_zone(zone), by_zone[zone]) for zone in by_zone
         ]
         addressed += [AddressedLoadCounts([owner], by_owner[owner]) for owner in by_owner]
         return addressed
 
     def take_totals(self) -> list[ServerLoad]:
-        """Give what all instances have on the servers of this zone, when that is to be told.
+        """Return the load of all instances on the servers of this zone when it is due.
 
-        Idle servers are left out once whoever heard of requests there has forgotten them: told of
-        each, all instances of a zone would send bytes that grow with the square of the fleet.
+        Idle servers are left out once all recipients have expired their earlier load. If every
+        server were sent, the bytes between zones would grow with the square of the fleet.
         """
-        turn = int(self._context.epoch_ms() // TOTALS_EVERY_MS)
-        if not self._registry.topology.is_zoned or turn == self.totals_rotation:
+        rotation = int(self._context.epoch_ms() // TOTALS_EVERY_MS)
+        if not self._registry.topology.is_zoned or rotation == self.totals_rotation:
             return []
-        self.totals_rotation = turn
+        self.totals_rotation = rotation
         now_ms = self._context.now_ms()
         self._last_busy_ms = {
-            life: busy_ms
-            for life, busy_ms in self._last_busy_ms.items()
+            incarnation: busy_ms
+            for incarnation, busy_ms in self._last_busy_ms.items()
             if now_ms - busy_ms <= TOTAL_LIFETIME_MS
         }
         totals = []
@@ -143,7 +144,7 @@
         return totals
 
     def record_peer_counts(self, peer: InstanceId, loads: list[ServerLoad]) -> None:
-        """Take in what a peer has on servers."""
+        """Apply a peer's request counts."""
         now_ms = self._context.now_ms()
         for load in loads:
             state = self._registry.by_digest(load.server)
@@ -151,7 +152,7 @@
                 state.record_peer_counts(peer, load.online, load.batch, now_ms)
 
     def record_totals(self, loads: list[ServerLoad]) -> None:
-        """Take in what all instances have on the servers of another zone."""
+        """Apply the load of all instances on the servers of a remote zone."""
         now_ms = self._context.now_ms()
         for load in loads:
             state = self._registry.by_digest(load.server)
--- a/citrondyke/decisions/forwarding/peer_topology.py
+++ b/citrondyke/decisions/forwarding/peer_topology.py
@@ -1,4 +1,4 @@
-"""Which instances tell each other of every request, and how often all of them call the store."""
+"""Which instances exchange every request count, and how often all of them call the store."""
 
 from __future__ import annotations
 
@@ -15,25 +15,26 @@
 
 __all__ = ('PeerTopology',)
 
-#: Fleets up to this tell all of all, so that each request finds the free place wherever it is.
-#: Beyond it only an availability zone does: hearing of each start and end of everybody's requests
-#: would take an instance more processor time than its own callers do.
+#: Fleets up to this size form a full mesh, so that each request finds free capacity on any server.
+#: Beyond it only an availability zone does: to process each start and end of all requests would
+#: take an instance more processor time than its own callers do.
 MESH_LIMIT = 24
-#: Datagrams that an instance sends to its neighbours in a second at most: with n of them a change
-#: waits n ms at the longest, 12 ms at 13 instances.
+#: Datagrams that an instance sends to its peers per second at most. With n peers a change waits at
+#: most n ms, 12 ms at 13 instances.
 DATAGRAMS_PER_S = 1_000.0
-#: In a large fleet an instance hears 80 notices a second and places one or two requests: woken up
-#: by each it took 20 ms of processor time a second for them, 4 with this (one instance, stand-ins).
-#: The tenth of a second is what its peers' news of crashes and jobs may wait.
+#: In a large fleet an instance receives 80 notices a second and routes one or two requests. Waking
+#: up for each notice took 20 ms of processor time a second, 4 ms with this (one instance,
+#: stand-ins). The tenth of a second is what its peers' updates on crashes and jobs may wait.
 COALESCE_MS = 100.0
-#: ... and where batch items must make room: an online request waits for them so long at the most,
-#: a tenth of the time within which its first event is expected.
+#: ... and where batch items may have to be preempted: an online request waits for this at most, a
+#: tenth of the time within which its first event is expected.
 OWNER_COALESCE_MS = 30.0
-#: Instances that collect what is seen of one thing: half of all may be lost at once, and then one
-#: of three is left seven times in eight.
+#: Instances that collect the observations on one subject. If half of all instances are lost at
+#: once, at least one of three is left seven times in eight.
 REGISTRARS_COUNT = 3
-#: Fleets beyond this call the store more rarely, in proportion, so that heartbeats and the reads
-#: of them, whose size grows with the fleet too, stay within its rates; at most three times.
+#: Larger fleets call the store less often, in proportion, so that heartbeats and reads of them,
+#: whose size also grows with the fleet, stay within its rates; the interval grows at most
+#: threefold.
 STORE_PACING_THRESHOLD = 45
 MAX_STORE_INTERVAL_FACTOR = 3.0
 
@@ -41,20 +42,20 @@
 class PeerTopology:
     """The other instances by availability zone.
 
-    Counts of requests must be tens of ms old at the most where requests are placed by them, or
-    all instances choose the server that looked free last. In a large fleet that is kept up for
-    the servers of an instance's own zone, by the instances of that zone and by all who use them;
-    what is on the others is heard of as a sum, twice a second.
+    Request counts that requests are routed by must be at most tens of ms old; otherwise all
+    instances choose the server that was last seen free. In a large fleet this holds for the servers
+    of an instance's own zone, whose counts are exchanged by the instances of that zone and by all
+    that use them. The load on other servers arrives as a total, twice a second.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start alone."""
+        """Start without peers."""
         self._context = context
         self._by_zone: dict[AvailabilityZone, list[InstanceId]] = {}
         self._zones: dict[InstanceId, AvailabilityZone] = {}
 
     def replace(self, zones: Mapping[InstanceId, AvailabilityZone]) -> None:
-        """Take in the other instances that there are."""
+        """Replace the set of other instances."""
         if zones == self._zones:
             return
         self._zones = dict(zones)
@@ -66,35 +67,36 @@
 
     @property
     def instances_count(self) -> int:
-        """Count all instances, this one included."""
+        """Count all instances, including this one."""
         return len(self._zones) + 1
 
     @property
     def is_zoned(self) -> bool:
-        """Tell whether only the own zone's requests are heard of at once."""
+        """Return whether only the local zone's counts are exchanged at once."""
         return self.instances_count > MESH_LIMIT
 
     @property
     def mesh_size(self) -> int:
-        """Count the instances that hear of each other at once, this one included."""
+        """Count the instances that exchange every change at once, including this one."""
         return len(self.mesh_peers()) + 1
 
     @property
     def zones_count(self) -> int:
-        """Count the availability zones with instances, this one's included."""
+        """Count the availability zones that have instances, including this one."""
         return len(self._by_zone.keys() | {self._context.zone})
 
     @property
     def notice_interval_ms(self) -> float:
-        """Give the time between two notices of one instance."""
+        """Return the minimum time between two notices of one instance."""
         return len(self.mesh_peers()) * 1e3 / DATAGRAMS_PER_S
 
     def coalesce_ms(self, *, is_owner: bool) -> float:
-        """Give the time for which notices that came may lie before they are read; 0 for none.
+        """Return how long received notices may wait to be read; 0 for no wait.
 
-        They are read before each choice of a server in any case.
+        They are always read before a server is chosen.
 
-        :param is_owner: whether this instance has batch jobs, whose items make room by them.
+        :param is_owner: whether this instance owns batch jobs, whose items may be preempted because
+            of the notices.
         """
         if not self.is_zoned:
             return 0.0
@@ -102,48 +104,48 @@
 
     @property
     def store_interval_factor(self) -> float:
-        """Give the factor by which calls of the store are rarer than in a small fleet."""
+        """Return the factor by which store calls are less frequent than in a small fleet."""
         return min(
             MAX_STORE_INTERVAL_FACTOR, max(1.0, self.instances_count / STORE_PACING_THRESHOLD)
         )
 
     def mesh_peers(self) -> list[InstanceId]:
-        """List the instances that are told of every change."""
+        """List the peers that receive every change."""
         if self.is_zoned:
             return self.peers_in_zone(self._context.zone)
         return list(self._zones)
 
     def all_peers(self) -> list[InstanceId]:
-        """List all other instances; for what seldom has to be told."""
+        """List all other instances, for rare messages."""
         return list(self._zones)
 
     def registrars(self, name: str) -> list[InstanceId]:
-        """Choose the instances that collect what is seen of something; this one may be one.
+        """Choose the instances that collect observations on a subject; may include this one.
 
-        All choose the same ones, as far as they know of the same instances.
+        All instances choose the same ones as far as they know the same instances.
         """
-        everybody = [*self._zones, self._context.instance_id]
-        return nlargest(REGISTRARS_COUNT, everybody, key=lambda each: rendezvous_weight(each, name))
+        instances = [*self._zones, self._context.instance_id]
+        return nlargest(REGISTRARS_COUNT, instances, key=lambda each: rendezvous_weight(each, name))
 
     def peers_in_zone(self, zone: AvailabilityZone) -> list[InstanceId]:
         """List the other instances of an availability zone."""
         return self._by_zone.get(zone, [])
 
     def zone_of(self, instance_id: InstanceId) -> AvailabilityZone | None:
-        """Give an instance's availability zone; ``None`` when it is not known."""
+        """Return an instance's availability zone; ``None`` if the instance is unknown."""
         return self._zones.get(instance_id)
 
-    def one_peer_per_remote_zone(self, turn: int) -> list[InstanceId]:
-        """Give one instance of each other availability zone, another one each turn.
+    def one_peer_per_remote_zone(self, rotation: int) -> list[InstanceId]:
+        """Return one instance of each remote zone, a different one in each rotation.
 
-        Those of one zone begin at different places of the others, so that in each turn all of
-        another zone are told by somebody, as far as there are as many here. Drawn by chance, a
-        third of them heard nothing in a turn, and some nothing in four.
+        The instances of one zone start at different offsets, so that in each rotation every
+        instance of a remote zone is covered, if there are as many instances here. With a random
+        choice a third of them received nothing in a rotation, and some nothing in four.
         """
         own_id = self._context.instance_id
-        place = sum(other < own_id for other in self.peers_in_zone(self._context.zone))
+        offset = sum(other < own_id for other in self.peers_in_zone(self._context.zone))
         return [
-            instances[(place + turn) % len(instances)]
+            instances[(offset + rotation) % len(instances)]
             for zone, instances in self._by_zone.items()
             if zone != self._context.zone
         ]
--- a/citrondyke/decisions/forwarding/replicated_config.py
+++ b/citrondyke/decisions/forwarding/replicated_config.py
@@ -1,4 +1,4 @@
-"""The newest configuration that an instance has seen, and how sure it is of it."""
+"""The newest configuration that an instance has seen, and whether it is confirmed."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 __all__ = ('ReplicatedConfig',)
 
-#: A configuration that was confirmed within this time is current enough to say that a route does
-#: not exist. It is read every second, and pushed beside that.
+#: A configuration confirmed within this time is current enough to report that a route does not
+#: exist. It is read every second, and changes are pushed as well.
 CONFIRMATION_VALID_MS = 2_500.0
 
 
 class ReplicatedConfig:
-    """The newest version wins and nothing goes back.
+    """Keep the newest version of the configuration; never go back to an older one.
 
-    Reads of the store can be seconds old, and a peer may be behind; taking an older version
-    would send requests to services that the operator has already taken them from.
+    Reads of the store can be seconds old, and a peer may be stale. An older version would route
+    requests to services that the operator has already withdrawn.
     """
 
     def __init__(self) -> None:
@@ -27,33 +27,36 @@
         self._peer_version = ConfigVersion(0)
 
     def update_if_newer(self, table: RouteTable) -> bool:
-        """Take in a configuration; tell whether it is new."""
+        """Apply a configuration if it is newer; return whether it was."""
         if table.version <= self.table.version:
             return False
         self.table = table
         return True
 
     def find_account(self, account_id: TenantId) -> Account | None:
-        """Find an account in the configuration in force."""
+        """Find an account in the current configuration."""
         return self.table.find_account(account_id)
 
     def confirm(self, now_ms: float) -> None:
-        """Note that the store was asked and showed nothing newer; a peer may tell of it late."""
+        """Record that a read of the store at this time showed nothing newer.
+
+        A peer may report an older confirmation late; the latest time is kept.
+        """
         self._confirmed_ms = max(self._confirmed_ms, now_ms)
 
     def record_peer_version(self, version: ConfigVersion) -> None:
-        """Take in that a peer has a version."""
+        """Record that a peer has a version."""
         self._peer_version = max(self._peer_version, version)
 
     def age_ms(self, now_ms: float) -> float:
-        """Give the time since the store last confirmed it."""
+        """Return the time since the store last confirmed the configuration."""
         return now_ms - self._confirmed_ms
 
     def is_confirmed(self, now_ms: float) -> bool:
-        """Tell whether what it does not hold does not exist.
+        """Return whether what the configuration lacks certainly does not exist.
 
-        What a peer has already is on its way here: a key that was just added would be refused for
-        good by an instance that is a moment behind.
+        It is not confirmed while a peer has a newer version, which then is on its way here: a stale
+        instance would reject a key that was just added, and the caller would not retry.
         """
         is_behind = self._peer_version > self.table.version
         return not is_behind and self.age_ms(now_ms) <= CONFIRMATION_VALID_MS
--- a/citrondyke/decisions/forwarding/replicated_rows.py
+++ b/citrondyke/decisions/forwarding/replicated_rows.py
@@ -1,4 +1,4 @@
-"""Which rows of a followed table are there, though reads lag and rows lapse in an outage."""
+"""Track which rows of a followed table exist despite stale reads and outages of the store."""
 
 from __future__ import annotations
 
@@ -14,75 +14,77 @@
 
 Value = TypeVar('Value')
 
-#: Deletions, and lives, that are remembered; reads lag by seconds, and no fleet replaces so many
-#: servers then.
+#: Deletions and incarnations that are remembered. Reads lag by seconds, and no fleet replaces this
+#: many servers in that time.
 TOMBSTONES_LIMIT = 2_000
 
 
 class ObservedRow(msgspec.Struct, Generic[Value], frozen=True):
-    """One row as a read or a feed showed it; ``None`` where it holds nothing to use."""
+    """One row from a read or a feed; ``value`` is ``None`` if it holds nothing usable."""
 
     key: str
     version: int
     value: Value | None
-    #: When the life that wrote it began; ``None`` where it does not say.
+    #: Start of the incarnation that wrote it; ``None`` if not stated.
     born_epoch_ms: int | None = None
-    #: It stands in the table, but by another writer, so that it holds nothing to use.
+    #: The row exists, but another writer wrote it, so that it holds nothing usable.
     is_foreign: bool = False
 
 
 class ReplicatedRows(Generic[Value]):
-    """The newest of all rows seen; never goes back to an older state of a row.
+    """Keep the newest state of each row; never go back to an older one.
 
-    Rows that are missing are dropped late after an outage: servers that could not renew theirs
-    come back within ``grace_ms`` of the store's return, and dropping them at once would leave
-    callers without any server although all of them work.
+    After an outage of the store, missing rows are dropped late: servers that could not renew their
+    rows return within ``grace_ms`` of the store's return. Dropping the rows at once would leave
+    callers without a server although all servers work.
     """
 
     def __init__(self, grace_ms: float) -> None:
-        """Start with nothing listed.
+        """Start empty.
 
-        :param grace_ms: from the end of an outage until a missing row counts as gone.
+        :param grace_ms: time from the end of an outage until a missing row counts as deleted.
         """
         self._grace_ms = grace_ms
         self._rows: dict[str, ObservedRow[Value]] = {}
-        #: Versions of deletions, so that a late read does not bring a row back.
+        #: Versions up to which writes of a deleted key are outdated, so that a stale read does not
+        #: restore the row.
         self._outdated_versions: dict[str, int] = {}
-        #: The latest life seen of each key. A write of an earlier life may be done seconds late,
-        #: after the next life's; taken in, requests would name a life that is over.
+        #: The latest incarnation seen of each key. A write of an earlier incarnation may take
+        #: effect seconds late, after the next one's. If it were applied, requests would name an
+        #: incarnation that has exited.
         self._latest_born: dict[str, int] = {}
-        #: Rows to be dropped unless they come back, by the time from which that holds.
+        #: Rows to be dropped unless they return, with the time at which that happens.
         self._missing: dict[str, float] = {}
         self._grace_until_ms = 0.0
-        #: As of which versions rows were gone, for neighbours.
+        #: Versions as of which rows were deleted, for peers.
         self._deleted_versions: dict[str, int] = {}
         self._change_log = ServerListChangeLog()
         self.version = 0
-        #: Of the keys and versions of all rows that are there.
+        #: Digest of the keys and versions of all existing rows.
         self.digest = 0
 
     @property
     def revision(self) -> int:
-        """Give the number of changes so far of what is there."""
+        """Return the number of changes so far."""
         return self._change_log.number
 
     def values(self) -> list[Value]:
-        """Give what stands in the rows that are there."""
+        """Return the values of the existing rows."""
         return [row.value for row in self._rows.values() if row.value is not None]
 
     @property
     def count(self) -> int:
-        """Count the rows that are there."""
+        """Count the existing rows."""
         return len(self._rows)
 
     def rows(self) -> list[ObservedRow[Value]]:
-        """Give the rows that are there."""
+        """Return the existing rows."""
         return list(self._rows.values())
 
     def changes_since(self, revision: int) -> list[ObservedRow[Value]] | None:
-        """Give the rows that changed behind a revision, as they are by now.
+        """Return the rows that changed after a revision, in their current state.
 
-        :returns: ``None`` where that is not remembered any more.
+        :returns: ``None`` if the change log does not reach back to the revision.
         """
         keys = self._change_log.changed_since(revision)
         if keys is None:
@@ -91,26 +93,29 @@
         for key in keys:
             row = self._rows.get(key)
             if row is None:
-                gone = self._deleted_versions.get(key)
-                if gone is None:
+                deleted_at = self._deleted_versions.get(key)
+                if deleted_at is None:
                     return None
-                row = ObservedRow(key, gone, None)
+                row = ObservedRow(key, deleted_at, None)
             found.append(row)
         return found
 
     def record_outage(self, now_ms: float) -> None:
-        """Take note that the store did not answer."""
+        """Record that the store did not answer."""
         self._grace_until_ms = now_ms + self._grace_ms
 
     def apply_feed(self, rows: Iterable[ObservedRow[Value]], now_ms: float) -> None:
-        """Take in changes in their order."""
+        """Apply changes in order."""
         for row in rows:
             self._apply(row, now_ms)
 
     def apply_listing(
         self, rows: Iterable[ObservedRow[Value]], version: int, now_ms: float
     ) -> None:
-        """Take in a whole listing as of a version; one older than what is known adds nothing."""
+        """Apply a full listing as of a version.
+
+        A listing older than the known version removes nothing.
+        """
         present = set()
         for row in rows:
             present.add(row.key)
@@ -123,7 +128,7 @@
                 self._drop(key, known.version, now_ms, max(version, known.version + 1))
 
     def drop_missing(self, now_ms: float) -> None:
-        """Drop what was missing for long enough."""
+        """Drop the rows that have been missing for the grace time."""
         for key, due_ms in list(self._missing.items()):
             if due_ms <= now_ms:
                 self._remove(key)
@@ -133,8 +138,8 @@
         if self._is_outdated(row, known):
             return
         if row.is_foreign:
-            # Whoever wrote it, the server's own entry is not there any more; an outage of the
-            # store is no reason to believe that it still is.
+            # The server's own entry no longer exists, so the row is removed even within the grace
+            # time of an outage.
             _record_version(self._outdated_versions, row.key, row.version)
             _record_version(self._deleted_versions, row.key, row.version)
             self._remove(row.key)
@@ -153,7 +158,7 @@
         self._change_log.record_change(row.key, len(self._rows))
 
     def _is_outdated(self, row: ObservedRow[Value], known: ObservedRow[Value] | None) -> bool:
-        """Tell whether a row is no news: the order is by life where stated, else by version."""
+        """Return whether a row is outdated, by incarnation if stated, else by version."""
         deleted = self._outdated_versions.get(row.key, 0)
         born, latest_born = row.born_epoch_ms, self._latest_born.get(row.key)
         if born is not None and latest_born is not None and born != latest_born:
@@ -163,14 +168,15 @@
             return row.key not in self._missing
         return row.version < newest
 
-    def _drop(self, key: str, version: int, now_ms: float, gone_version: int) -> None:
-        """Drop a row.
+    def _drop(self, key: str, version: int, now_ms: float, deleted_version: int) -> None:
+        """Drop a row, after the grace time if the store had an outage.
 
-        :param version: up to which writes of it are outdated.
-        :param gone_version: as of which the store did not hold it, later than its last write.
+        :param version: version up to which writes of it are outdated.
+        :param deleted_version: version as of which the store did not hold it, later than its last
+            write.
         """
         _record_version(self._outdated_versions, key, version)
-        _record_version(self._deleted_versions, key, gone_version)
+        _record_version(self._deleted_versions, key, deleted_version)
         if now_ms >= self._grace_until_ms:
             self._remove(key)
             return
--- a/citrondyke/decisions/forwarding/route.py
+++ b/citrondyke/decisions/forwarding/route.py
@@ -1,4 +1,4 @@
-"""One route: which requests it takes, who serves them, and what may be repeated."""
+"""Routes: which requests a route matches, which services serve it, what may be repeated."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RouteKind(Enum):
-    """What kind of work a route takes."""
+    """Kind of work of a route."""
 
     #: May run more than once.
     IDEMPOTENT = 'idempotent'
@@ -29,7 +29,7 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True):
-    """A part of a route's requests that goes to one service."""
+    """A service and its share of a route's requests."""
 
     service: ServiceName
     weight: float
@@ -44,22 +44,22 @@
     prefix: str
     kind: RouteKind
     shares: tuple[ServiceShare, ...]
-    #: The longest that a caller is kept waiting.
+    #: Longest time that a caller waits.
     timeout_ms: float
-    #: Until the answer, or a stream's first event, for full benefit.
+    #: Target time until the answer, or a stream's first event.
     target_ms: float
     #: 0 is the most urgent.
     priority: int = 0
-    #: Servers that may run one request, one after the other.
+    #: Number of servers that may run one request, one after the other.
     attempts_limit: int = 1
-    #: Whether a stream may go on at another server behind its last event.
+    #: Whether a stream may be resumed at another server after its last event.
     is_resumable: bool = False
-    #: Batch jobs: from the first submission until all results are due.
+    #: Batch jobs: time from submission until all results are due.
     completion_target_ms: float = 0.0
-    #: Batch jobs: from the first submission until an item may be abandoned.
+    #: Batch jobs: time from submission until an item may be abandoned.
     item_wait_ms: float = 0.0
-    #: Batch jobs: tokens of an account's accepted items that no server has finished, at all
-    #: instances; 0 is no limit.
+    #: Batch jobs: limit on the tokens of an account's accepted items that no server has finished,
+    #: over all instances; 0 is no limit.
     waiting_tokens_limit: int = 0
     #: Whether it may be used without a key.
     is_public: bool = False
@@ -73,17 +73,17 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether a request that may have run may be sent again."""
+        """Return whether a request that may have run may be sent again."""
         return self.kind is RouteKind.IDEMPOTENT or self.is_resumable
 
     @property
     def may_run_again(self) -> bool:
-        """Tell whether a request that one server fails may run at another."""
+        """Return whether a request that fails at one server may run at another."""
         return self.may_repeat and self.attempts_limit > 1
 
 
 class RouteLimits(msgspec.Struct, frozen=True):
-    """Bounds on what a caller may send and on how long it may take."""
+    """Limits on a caller's request size and on the time it may take to arrive."""
 
     head_bytes: int = 16_384
     body_bytes: int = 4_194_304
--- a/citrondyke/decisions/forwarding/route_table.py
+++ b/citrondyke/decisions/forwarding/route_table.py
@@ -27,12 +27,12 @@
 
 
 class NoRoute(msgspec.Struct, frozen=True):
-    """Stands in the place of a route."""
+    """Result of a lookup that finds no route."""
 
     reason: NoRouteReason
 
     def __bool__(self) -> bool:
-        """Count as no route."""
+        """Evaluate as false."""
         return False
 
 
@@ -41,7 +41,7 @@
 
 class _HostRoutes(msgspec.Struct, frozen=True):
     by_prefix: dict[str, Route]
-    #: Lengths of the prefixes, the longest first.
+    #: Lengths of the prefixes in descending order.
     lengths: tuple[int, ...]
 
 
@@ -51,17 +51,17 @@
     version: ConfigVersion
     routes: tuple[Route, ...] = ()
     limits: RouteLimits = RouteLimits()
-    #: ``None`` where callers need no key; with an empty list nobody has one.
+    #: ``None`` if callers need no key; with an empty list no caller has one.
     accounts: tuple[Account, ...] | None = None
 
     @cached_property
     def by_name(self) -> dict[RouteName, Route]:
-        """Give the routes by their names."""
+        """Return the routes by name."""
         return {route.name: route for route in self.routes}
 
     @cached_property
     def shortest_targets_ms(self) -> dict[ServiceName, float]:
-        """Give the shortest target of the online routes to each service."""
+        """Return the shortest target of the online routes to each service."""
         found: dict[ServiceName, float] = {}
         for route in self.routes:
             for share in route.shares if route.kind is not RouteKind.BATCH else ():
@@ -70,10 +70,10 @@
         return found
 
     def find(self, host: str, path: str) -> Route | NoRoute:
-        """Choose the route of a request: its host's longest prefix that begins the path.
+        """Find the route of a request: the longest prefix of its host that matches the path.
 
-        A configuration may hold thousands of routes, and each request needs one: only as many
-        looks are made as the host's prefixes have different lengths.
+        A configuration may hold thousands of routes, and each request is looked up: the number of
+        lookups is only the number of different prefix lengths of the host.
         """
         routes = self._by_host.get(host)
         if routes is None:
@@ -85,14 +85,14 @@
         return NO_ROUTE
 
     def authenticate(self, key_digest: str, *, is_public: bool) -> Account | NoAccount:
-        """Find whose request it is.
+        """Find the account of a request.
 
-        :param key_digest: of the key that it brings; empty where it brings none.
-        :param is_public: whether it may come without one.
+        :param key_digest: digest of the key that it carries; empty without a key.
+        :param is_public: whether a key is optional.
         """
         if not self.version:
-            # Without a configuration everybody would look like nobody's caller, to whom the jobs
-            # of accounts do not exist.
+            # Without a configuration every caller would look anonymous, and the jobs of accounts
+            # would not exist for it.
             return NoAccount(NoAccountReason.NO_CONFIGURATION)
         if self.accounts is None:
             return ANONYMOUS_ACCOUNT
@@ -105,11 +105,11 @@
         return NoAccount(unknown)
 
     def find_account(self, account_id: TenantId) -> Account | None:
-        """Find an account by its name."""
+        """Find an account by its id."""
         return self._accounts_by_id.get(account_id)
 
     def has_public_batch(self, host: str) -> bool:
-        """Tell whether jobs of a host may be asked for without a key."""
+        """Return whether jobs of a host may be queried without a key."""
         routes = self._by_host.get(host)
         return routes is not None and any(
             route.is_public and route.kind is RouteKind.BATCH for route in routes.by_prefix.values()
@@ -117,7 +117,7 @@
 
     @cached_property
     def has_limits(self) -> bool:
-        """Tell whether some account's requests are counted."""
+        """Return whether any account's requests are counted."""
         return any(account.has_limit for account in self.accounts or ())
 
     @cached_property
@@ -132,7 +132,7 @@
     def _by_host(self) -> dict[str, _HostRoutes]:
         prefixes: dict[str, dict[str, Route]] = {}
         for route in self.routes:
-            # Of two with the same prefix the first counts.
+            # Of two routes with the same prefix the first one applies.
             prefixes.setdefault(route.host, {}).setdefault(route.prefix, route)
         return {
             host: _HostRoutes(
--- a/citrondyke/decisions/forwarding/send_history.py
+++ b/citrondyke/decisions/forwarding/send_history.py
@@ -1,4 +1,4 @@
-"""What has become of one request at the servers, and what may still be done with it."""
+"""The sends of one request to servers, and whether it may be sent again."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 
 __all__ = ('SendHistory', 'SendOutcome', 'Verdict')
 
-#: Servers that may turn one request away before it is given up: more tries would hold a caller
-#: who could be told at once.
+#: Servers that may reject one request before it is given up: further attempts would delay a caller
+#: that can be answered at once.
 REJECTIONS_LIMIT = 4
 
 
 class SendOutcome(Enum):
     """How one send of a request to a server ended."""
 
-    #: No connection came about; nothing was sent.
+    #: No connection was established; nothing was sent.
     NOT_SENT = 'not_sent'
-    #: The server states that it did not run it.
+    #: The server states that it did not run the request.
     REFUSED = 'refused'
-    #: The server ran it and answered with a failure.
+    #: The server ran the request and answered with a failure.
     FAILED = 'failed'
-    #: Cut or silent after it was sent: it may have run.
+    #: Aborted or unanswered after it was sent: it may have run.
     UNKNOWN = 'unknown'
 
 
 class Verdict(Enum):
-    """What a caller is told when a request is given up."""
+    """What the caller is told when a request is given up."""
 
     #: No server ran it and none will.
     NOT_RUN = 'not_run'
@@ -39,10 +39,10 @@
 
 
 class SendHistory:
-    """The sends of one request.
+    """Record the sends of one request.
 
-    A failure that is not repeated: without the distinction between a refusal and a broken
-    connection a caller would be told "not run" of an order that was booked.
+    Keeps rejections and broken connections apart: otherwise a caller would be told "not run" of an
+    order that was booked.
     """
 
     def __init__(self, route: Route) -> None:
@@ -53,18 +53,18 @@
         self._may_have_run_at: set[ServerIncarnation] = set()
         self._not_run_count = 0
 
-    def record_send(self, life: ServerIncarnation, outcome: SendOutcome) -> None:
-        """Take in how a send ended."""
+    def record_send(self, incarnation: ServerIncarnation, outcome: SendOutcome) -> None:
+        """Record how a send ended."""
         self.sends_count += 1
-        self.excluded.add(life)
+        self.excluded.add(incarnation)
         if outcome in (SendOutcome.NOT_SENT, SendOutcome.REFUSED):
             self._not_run_count += 1
         else:
-            self._may_have_run_at.add(life)
+            self._may_have_run_at.add(incarnation)
 
     @property
     def may_send(self) -> bool:
-        """Tell whether another server may be tried."""
+        """Return whether another server may be tried."""
         if self._not_run_count >= REJECTIONS_LIMIT:
             return False
         if not self._may_have_run_at:
@@ -73,21 +73,21 @@
 
     @property
     def is_last_attempt(self) -> bool:
-        """Tell whether no other server may be tried once the next one may have run the request.
+        """Return whether the next attempt is the last one that may run the request.
 
-        What runs then is waited for as long as its caller waits: cut, it would be given up for
-        nothing.
+        The last attempt may take until the caller's timeout: if it were aborted earlier, the
+        request would fail although it is being processed.
         """
         return (
             not self._route.may_repeat
             or len(self._may_have_run_at) + 1 >= self._route.attempts_limit
         )
 
-    def may_have_run_at(self, life: ServerIncarnation) -> bool:
-        """Tell whether a server may have run it."""
-        return life in self._may_have_run_at
+    def may_have_run_at(self, incarnation: ServerIncarnation) -> bool:
+        """Return whether a server may have run it."""
+        return incarnation in self._may_have_run_at
 
     @property
     def verdict(self) -> Verdict:
-        """Tell what is known."""
+        """Return whether the request may have run."""
         return Verdict.MAY_HAVE_RUN if self._may_have_run_at else Verdict.NOT_RUN
--- a/citrondyke/decisions/forwarding/server_list_entry.py
+++ b/citrondyke/decisions/forwarding/server_list_entry.py
@@ -1,4 +1,4 @@
-"""A backend server as the list of servers tells of it."""
+"""A backend server as the server list describes it."""
 
 from __future__ import annotations
 
@@ -10,33 +10,32 @@
 
 
 class ServerListEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """One life of one backend server."""
+    """One incarnation of one backend server."""
 
-    #: A server that starts again may keep it.
+    #: A restarted server may keep it.
     id: ServerId
     service: ServiceName
     ip: str
     port: int
     zone: AvailabilityZone
-    #: Requests that it runs at once.
+    #: Requests that the server runs at once.
     slots_count: int
     is_leaving: bool = False
-    #: When this life began, by the server's clock; ``None`` where it does not say.
+    #: Start of this incarnation by the server's clock; ``None`` if not stated.
     born_epoch_ms: int | None = None
-    #: Counts what this life wrote into its entry; begins anew with each life.
+    #: Counts the writes of this incarnation to its entry; restarts with each incarnation.
     seq: int = 0
 
     @property
     def stated_incarnation(self) -> ServerIncarnation:
-        """Name this life as all instances name it; the id alone where it does not state one."""
+        """Return the fleet-wide name of this incarnation; the id alone without a start time."""
         born = '' if self.born_epoch_ms is None else f'@{self.born_epoch_ms}'
         return ServerIncarnation(f'{self.id}{born}')
 
     def is_later_incarnation_than(self, known: ServerListEntry) -> bool:
-        """Tell whether this entry was written by a later life than a known, older entry.
+        """Return whether a later incarnation than that of a known, older entry wrote this one.
 
-        Where one of the two does not say when it was born, only a sequence that begins anew
-        shows it.
+        If either does not state its start time, only a sequence number that restarts shows it.
         """
         if self.born_epoch_ms is None or known.born_epoch_ms is None:
             return self.seq < known.seq
--- a/citrondyke/decisions/forwarding/server_registry.py
+++ b/citrondyke/decisions/forwarding/server_registry.py
@@ -1,4 +1,4 @@
-"""All backend servers as one instance knows them, and the choice among them."""
+"""All backend servers that an instance knows, and the choice among them."""
 
 from __future__ import annotations
 
@@ -22,53 +22,55 @@
 
 __all__ = ('RegistryChange', 'ServerRegistry', 'server_digest')
 
-#: What a server in another availability zone must be better by, in requests: the way there costs
-#: a caller a millisecond and the operator bytes between zones, a request ahead tens of ms.
+#: Penalty of a server in a remote zone, in requests. The distance costs a caller a millisecond and
+#: the operator traffic between zones; a request queued before it costs tens of ms.
 REMOTE_ZONE_COST = 0.4
-#: What a server that has read the shared part of a prompt before is better by, in requests: the
-#: caller's first event comes sooner by what need not be read again, less than by a free place.
+#: Advantage of a server that has cached the shared prefix of a prompt, in requests. The caller's
+#: first event arrives earlier by the part that need not be read again, which is worth less than
+#: free capacity.
 PREFIX_CACHE_GAIN = 0.6
-#: A server's times count within these bounds of the service's mean.
+#: Bounds of a server's mean latency relative to the service's median.
 MAX_SLOWDOWN = 4.0
 MIN_SLOWDOWN = 0.7
-#: ... and where its counts are heard of twice a second only: in that time its zone and two others
-#: may have chosen it as well.
+#: Penalty of a remote zone if its counts arrive only twice a second: in that time its own zone and
+#: two others may have chosen the server too.
 STALE_REMOTE_ZONE_COST = 1.5
-#: What a server that fails all requests is worse by, in requests. One that fails every second one
-#: seldom fails two in a row, so that it is not ejected: 400 requests to five servers, one of them
-#: such, had up to 23 failures without this and at most 10 with it (replay of
-#: even load, five seeds).
+#: Penalty of a server that fails all requests, in requests. A server that fails every second
+#: request seldom fails two in a row, so that it is not ejected. In a replay of 400 requests to five
+#: servers, one of them such, under even load with five seeds, it caused up to 23 failures without
+#: this and at most 10 with it.
 FAILURE_SHARE_COST = 12.0
-#: Servers that are looked at for one request in a large fleet where the own zone has fewer.
+#: Servers compared for one request in a large fleet if the local zone has fewer.
 MIN_CANDIDATES_COUNT = 3
 
 
 def server_digest(listed: ServerListEntry) -> int:
-    """Shorten what names a server's life for messages between instances.
+    """Return a digest of a server's incarnation for messages between instances.
 
-    A notice about an earlier life would otherwise count on the next one.
+    With a digest of the id alone, a notice about an earlier incarnation would count for the next
+    one.
     """
     return content_bucket(listed.stated_incarnation.encode()) & 0xFFFF_FFFF
 
 
 class RegistryChange(msgspec.Struct):
-    """What a new list of servers changed."""
+    """What a new server list changed."""
 
     added: list[ServerId] = []
     removed: list[ServerState] = []
-    #: Lives that are over, as the next one has begun; what is on its way to them is lost.
+    #: Earlier incarnations of restarted servers; requests on their way to them are lost.
     restarted: list[ServerState] = []
 
     def __bool__(self) -> bool:
-        """Tell whether anything changed."""
+        """Return whether anything changed."""
         return bool(self.added or self.removed or self.restarted)
 
 
 class ServerRegistry:
-    """Servers by id and by service."""
+    """Backend servers by id and by service."""
 
     def __init__(self, context: Context) -> None:
-        """Start without a server."""
+        """Start without servers."""
         self._context = context
         self._states: dict[ServerId, ServerState] = {}
         self._by_incarnation: dict[ServerIncarnation, ServerState] = {}
@@ -80,21 +82,21 @@
         self.topology = PeerTopology(context)
         self.health_policy = HealthPolicy(context, self.topology)
 
-    def on_choose(self, look: Callable[[], None]) -> None:
-        """Have the counts of peers brought up to date before each choice."""
-        self._refresh_counts = look
+    def on_choose(self, refresh: Callable[[], None]) -> None:
+        """Set the callback that applies pending counts of peers before each choice."""
+        self._refresh_counts = refresh
 
     def replace(self, listed: Iterable[ServerListEntry]) -> RegistryChange:
-        """Take in the list of servers.
+        """Apply a server list.
 
-        A later life of a known server is a server of its own: counts, failures, times and
-        connections of the one before say nothing of it.
+        A later incarnation of a known server counts as a new server: the counts, failures,
+        latencies and connections of the earlier one do not apply to it.
         """
         change = RegistryChange()
-        wanted = {entry.id: entry for entry in listed}
-        for server_id in [each for each in self._states if each not in wanted]:
+        entries = {entry.id: entry for entry in listed}
+        for server_id in [each for each in self._states if each not in entries]:
             change.removed.append(self._states.pop(server_id))
-        for server_id, entry in wanted.items():
+        for server_id, entry in entries.items():
             state = self._states.get(server_id)
             if state is not None and entry.is_later_incarnation_than(state.listed):
                 change.restarted.append(self._states.pop(server_id))
@@ -117,198 +119,200 @@
         return change
 
     def _incarnation_of(self, entry: ServerListEntry) -> ServerIncarnation:
-        """Name a life so that no other one that this instance has seen has its name."""
+        """Name an incarnation uniquely among all that this instance has seen."""
         if entry.born_epoch_ms is not None:
             return entry.stated_incarnation
         self._incarnations_count += 1
         return ServerIncarnation(f'{entry.id}~{self._incarnations_count}')
 
     def state(self, server_id: ServerId) -> ServerState | None:
-        """Give what is believed of a server; ``None`` when it is not listed any more."""
+        """Return the state of a server; ``None`` if it is no longer listed."""
         return self._states.get(server_id)
 
-    def find_incarnation(self, life: ServerIncarnation) -> ServerState | None:
-        """Find a server by its life; ``None`` when that is over."""
-        return self._by_incarnation.get(life)
+    def find_incarnation(self, incarnation: ServerIncarnation) -> ServerState | None:
+        """Find a server by its incarnation; ``None`` if that has ended."""
+        return self._by_incarnation.get(incarnation)
 
     def by_digest(self, digest: int) -> ServerState | None:
-        """Find a server by the digest of its life."""
+        """Find a server by the digest of its incarnation."""
         return self._by_digest.get(digest)
 
     def states(self) -> Iterable[ServerState]:
-        """Give all servers."""
+        """Return all servers."""
         return self._states.values()
 
     def eligible_servers(
-        self, service: ServiceName, avoid: Collection[ServerIncarnation] = ()
+        self, service: ServiceName, excluded: Collection[ServerIncarnation] = ()
     ) -> list[ServerState]:
-        """List the servers that take new work.
+        """List the servers that accept new work.
 
-        Ejected ones are left out while others are there; if all are ejected, all count, since a
-        wrong suspicion of all of them must not turn every caller away.
+        Ejected servers are left out unless all are ejected: a wrong suspicion of all servers must
+        not reject every caller.
         """
         self.evaluate_health(service)
-        return self._healthy_servers(self._available_servers(service, avoid))
+        return self._healthy_servers(self._available_servers(service, excluded))
 
-    def _healthy_servers(self, open_ones: list[ServerState]) -> list[ServerState]:
+    def _healthy_servers(self, available: list[ServerState]) -> list[ServerState]:
         now_ms = self._context.now_ms()
-        return [state for state in open_ones if not state.is_ejected(now_ms)] or open_ones
+        return [state for state in available if not state.is_ejected(now_ms)] or available
 
     def _available_servers(
-        self, service: ServiceName, avoid: Collection[ServerIncarnation]
+        self, service: ServiceName, excluded: Collection[ServerIncarnation]
     ) -> list[ServerState]:
         return [
             state
             for state in self._by_service.get(service, ())
             if not state.listed.is_leaving
             and not state.is_misplaced
-            and state.incarnation not in avoid
+            and state.incarnation not in excluded
         ]
 
     def evaluate_health(self, service: ServiceName) -> None:
-        """Judge the servers of a service by what has become known of them."""
+        """Update the health of the servers of a service."""
         self.health_policy.evaluate(self._by_service.get(service, ()))
 
     def choose_server(
         self,
         service: ServiceName,
-        avoid: Collection[ServerIncarnation],
+        excluded: Collection[ServerIncarnation],
         prefix: str,
         *,
         is_once: bool = False,
     ) -> ServerState | None:
-        """Choose the server of an online request; ``None`` when no server takes work.
+        """Choose the server of an online request; ``None`` if no server accepts work.
 
-        :param avoid: lives of servers that had the request already.
-        :param prefix: names the shared part of its prompt; empty where there is none.
-        :param is_once: whether it may run once only.
+        :param excluded: incarnations of servers that already had the request.
+        :param prefix: name of the shared prefix of its prompt; empty for none.
+        :param is_once: whether it may run at most once.
         """
         self._refresh_counts()
         self.evaluate_health(service)
-        open_ones = self._available_servers(service, avoid)
-        usable = self._healthy_servers(open_ones)
-        if not usable:
+        available = self._available_servers(service, excluded)
+        eligible = self._healthy_servers(available)
+        if not eligible:
             return None
         now_ms = self._context.now_ms()
         if is_once:
-            usable = self.health_policy.servers_for_at_most_once(
-                usable, lambda state: _is_full(state, now_ms), now_ms
+            eligible = self.health_policy.servers_for_at_most_once(
+                eligible, lambda state: _is_full(state, now_ms), now_ms
             )
-        elif not avoid:
-            tried = self.health_policy.server_to_probe(open_ones)
-            if tried is not None:
-                return tried
-        looked_at = self._zone_candidates(usable)
-        preferred = self._preferred_for_prefix(looked_at, prefix)
-        few = looked_at
-        # One that has not answered this instance yet is taken for one of the middle.
-        is_paced = any(state.reported_slowdown.is_known for state in usable)
-        if is_paced:
-            few = sample_candidates(looked_at, self._context.random, now_ms)
-            if preferred is not None and preferred not in few:
-                few = [*few, preferred]
-        mean_ms = None if is_paced else _median_latency_ms(usable)
-        best = self._cheapest(few, mean_ms, preferred, now_ms)
-        if len(few) < len(usable) and _is_full(best, now_ms):
-            # A request must not wait or be turned away while a server elsewhere has a place.
+        elif not excluded:
+            probed = self.health_policy.server_to_probe(available)
+            if probed is not None:
+                return probed
+        candidates = self._zone_candidates(eligible)
+        preferred = self._preferred_for_prefix(candidates, prefix)
+        drawn = candidates
+        # A server that has not answered this instance yet counts as average.
+        is_slowdown_known = any(state.reported_slowdown.is_known for state in eligible)
+        if is_slowdown_known:
+            drawn = sample_candidates(candidates, self._context.random, now_ms)
+            if preferred is not None and preferred not in drawn:
+                drawn = [*drawn, preferred]
+        median_ms = None if is_slowdown_known else _median_latency_ms(eligible)
+        best = self._cheapest(drawn, median_ms, preferred, now_ms)
+        if len(drawn) < len(eligible) and _is_full(best, now_ms):
+            # A request must not wait or be rejected while another server has capacity.
             best = self._cheapest(
-                usable, mean_ms, self._preferred_for_prefix(usable, prefix), now_ms
+                eligible, median_ms, self._preferred_for_prefix(eligible, prefix), now_ms
             )
         return best
 
     def choose_for_suspect(
-        self, service: ServiceName, avoid: Collection[ServerIncarnation], name: str
+        self, service: ServiceName, excluded: Collection[ServerIncarnation], name: str
     ) -> ServerState | None:
-        """Choose the server of a request that may end it; ``None`` when none takes work.
+        """Choose the server of a poison suspect; ``None`` if no server accepts work.
 
-        The same request goes to the same server wherever it comes in, and others to others:
-        after a crash everybody who was there moves on at once, and by load alone they all choose
-        the same server, so that the next crash tells nothing of who did it and takes them all
-        along again.
+        The same request goes to the same server from every instance, and different requests go to
+        different servers. After a crash all requests of that server move on at once. Chosen by load
+        alone, they would all meet on the same server, so that the next crash would not show which
+        request caused it and would interrupt all of them again.
 
-        :param name: names what is asked for.
+        :param name: digest of the request's content.
         """
         self._refresh_counts()
-        usable = self.eligible_servers(service, avoid)
-        if not usable:
+        eligible = self.eligible_servers(service, excluded)
+        if not eligible:
             return None
         now_ms = self._context.now_ms()
-        roomy = [state for state in usable if not _is_full(state, now_ms)]
-        return max(roomy or usable, key=lambda state: rendezvous_weight(state.listed.id, name))
+        with_capacity = [state for state in eligible if not _is_full(state, now_ms)]
+        return max(
+            with_capacity or eligible, key=lambda state: rendezvous_weight(state.listed.id, name)
+        )
 
     def _cheapest(
         self,
         states: list[ServerState],
-        mean_ms: float | None,
+        median_ms: float | None,
         preferred: ServerState | None,
         now_ms: float,
     ) -> ServerState:
-        """Choose the cheapest server.
+        """Choose the server of the lowest cost.
 
-        :param mean_ms: mean time of answers; ``None`` where the servers state their pace.
+        :param mean_ms: median latency; ``None`` if the servers report their slowdown.
         """
-        request_cost = REQUEST_COST if mean_ms is None else 1.0
+        request_cost = REQUEST_COST if median_ms is None else 1.0
         return min(
             states,
             key=lambda state: (
-                self._cost(state, mean_ms, now_ms)
+                self._cost(state, median_ms, now_ms)
                 - PREFIX_CACHE_GAIN * request_cost * (state is preferred),
                 self._context.random.random(),
             ),
         )
 
-    def _zone_candidates(self, usable: list[ServerState]) -> list[ServerState]:
-        """Leave the servers of other zones out of a large fleet's choice while there is room.
+    def _zone_candidates(self, eligible: list[ServerState]) -> list[ServerState]:
+        """Leave out most servers of remote zones in a large fleet.
 
-        Their counts are up to half a second old, and several zones choose the same one: of 271
-        requests sent there 39 waited for their first event for over 250 ms, of 733 to servers of
-        the own zone 3 (20 s of bursts at 69 instances, as one zone logged them).
+        Their counts are up to half a second old, and several zones choose the same server: of 271
+        requests sent there 39 waited over 250 ms for their first event, of 733 to servers of the
+        local zone 3 (20 s of bursts at 69 instances, in the log of one zone).
         """
         if not self.topology.is_zoned:
-            return usable
-        near = [state for state in usable if state.listed.zone == self._context.zone]
-        far = [state for state in usable if state.listed.zone != self._context.zone]
-        far_count = min(len(far), max(0, MIN_CANDIDATES_COUNT - len(near)))
-        return near + self._context.random.sample(far, far_count)
+            return eligible
+        local = [state for state in eligible if state.listed.zone == self._context.zone]
+        remote = [state for state in eligible if state.listed.zone != self._context.zone]
+        remote_count = min(len(remote), max(0, MIN_CANDIDATES_COUNT - len(local)))
+        return local + self._context.random.sample(remote, remote_count)
 
-    def _cost(self, state: ServerState, mean_ms: float | None, now_ms: float) -> float:
+    def _cost(self, state: ServerState, median_ms: float | None, now_ms: float) -> float:
         zone_cost = STALE_REMOTE_ZONE_COST if self.topology.is_zoned else REMOTE_ZONE_COST
-        if mean_ms is None:
+        if median_ms is None:
             cost = expected_finish(state, now_ms)
             zone_cost *= REQUEST_COST
         else:
-            cost = self._cost_by_count(state, mean_ms, now_ms)
-        # Quick errors leave a server empty: each counts as a request that is on it.
+            cost = self._cost_by_count(state, median_ms, now_ms)
+        # Quick errors leave a server empty: each failure counts as a request in progress.
         cost += FAILURE_SHARE_COST * state.failure_share(now_ms) + state.health_record.failures
         if state.listed.zone == self._context.zone:
             return cost
         return cost + zone_cost
 
     @staticmethod
-    def _cost_by_count(state: ServerState, mean_ms: float, now_ms: float) -> float:
+    def _cost_by_count(state: ServerState, median_ms: float, now_ms: float) -> float:
         slots = state.listed.slots_count
         total = state.total_count(now_ms)
-        # Batch items make room where all places are taken, so that only online requests count
-        # there; before that a free place is better than one that must be made.
+        # If all capacity is used, batch items are preempted, so that only online requests count.
+        # Until then free capacity is preferred to capacity that must be preempted.
         cost = float(total) if total < slots else slots + state.online_count(now_ms)
-        if not mean_ms or not state.mean_ms:
+        if not median_ms or not state.mean_ms:
             return cost + 1.0
-        factor = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, state.mean_ms / mean_ms))
+        factor = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, state.mean_ms / median_ms))
         return (cost + 1.0) * factor
 
     @staticmethod
-    def _preferred_for_prefix(usable: list[ServerState], prefix: str) -> ServerState | None:
+    def _preferred_for_prefix(eligible: list[ServerState], prefix: str) -> ServerState | None:
         if not prefix:
             return None
-        return max(usable, key=lambda state: rendezvous_weight(state.listed.id, prefix))
+        return max(eligible, key=lambda state: rendezvous_weight(state.listed.id, prefix))
 
 
 def _no_update() -> None:
-    """Stand where counts come in by themselves."""
+    """Do nothing, for registries whose counts are applied elsewhere."""
 
 
 def _is_full(state: ServerState, now_ms: float) -> bool:
-    """Tell whether online requests and the batch items that keep places fill a server."""
+    """Return whether online requests and protected batch items fill a server."""
     busy_count = state.online_count(now_ms) + state.protected_batch_count(now_ms)
     return busy_count >= state.listed.slots_count
 
