--- a/citrondyke/decisions/forwarding/server_state.py
+++ b/citrondyke/decisions/forwarding/server_state.py
@@ -127,7 +127,7 @@
         self.ejected_until_ms = 0.0
 
     def record_failure(self, now_ms: float, outcome: Outcome = Outcome.UNANSWERED) -> None:
-        """Record a failure; enough consecutive ones eject the server at this instance for a time."""
+        """Record a failure; enough consecutive ones eject the server here for a time."""
         self.health_record.record(outcome, now_ms)
         self._failure_share *= 0.5 ** ((now_ms - self._failure_share_ms) / FAILURE_HALF_LIFE_MS)
         self._failure_share += FAILURE_SMOOTHING_FACTOR * (1.0 - self._failure_share)
--- a/citrondyke/decisions/server_list/reader_lease_tracker.py
+++ b/citrondyke/decisions/server_list/reader_lease_tracker.py
@@ -39,7 +39,7 @@
 
 
 class _ReaderState(msgspec.Struct):
-    incarnation: str
+    life: str
     #: Up to which all changes that this reader told are known here; -1 where none are.
     number: int
     received_ms: float
@@ -76,7 +76,7 @@
         heard = self._readers.get(reader)
         if heard is None or heard.number < 0:
             return ServerListCursor('', 0)
-        return ServerListCursor(heard.incarnation, heard.number)
+        return ServerListCursor(heard.life, heard.number)
 
     def record_cursor(
         self, reader: InstanceId, told: ServerListCursor, own_digest: int
@@ -136,7 +136,7 @@
 
     def _reader_state(self, reader: InstanceId, life: str) -> _ReaderState:
         heard = self._readers.pop(reader, None)
-        if heard is None or heard.incarnation != life:
+        if heard is None or heard.life != life:
             heard = _ReaderState(life, -1, self._context.now_ms())
         self._readers[reader] = heard
         while len(self._readers) > READERS_LIMIT:
--- a/citrondyke/decisions/servers/health_evaluator.py
+++ b/citrondyke/decisions/servers/health_evaluator.py
@@ -61,7 +61,7 @@
     unanswered: int = 0
     succeeded: int = 0
     unanswered_observers: int = 0
-    observers: list[InstanceId] = []
+    witnesses: list[InstanceId] = []
     local_zone: _ZoneResults = msgspec.field(default_factory=_ZoneResults)
     remote_zones: dict[AvailabilityZone | None, _ZoneResults] = {}
 
@@ -127,7 +127,7 @@
         floor = _baseline_failures(states, views)
         alone_left = max(1, len(states) // SINGLE_OBSERVER_DIVISOR) - sum(
             state.health_record.health is ServerHealth.EJECTED
-            and len(views[state.incarnation].observers) == 1
+            and len(views[state.incarnation].witnesses) == 1
             for state in concerned
         )
         changes = []
@@ -135,7 +135,7 @@
             view = views[state.incarnation]
             after = self._next_health(state, view, floor, now_ms)
             is_going = after is ServerHealth.EJECTED is not state.health_record.health
-            if is_going and len(view.observers) == 1:
+            if is_going and len(view.witnesses) == 1:
                 if alone_left <= 0:
                     after = ServerHealth.DEGRADED
                 alone_left -= 1
@@ -163,7 +163,7 @@
         # A server that was silent may have been full; what it failed it may fail again.
         if recovered > 0 and (silent_ms > WINDOW_MS or not view.failed):
             return ServerHealth.HEALTHY
-        is_degraded = bool(view.observers) or record.health is ServerHealth.DEGRADED
+        is_degraded = bool(view.witnesses) or record.health is ServerHealth.DEGRADED
         return ServerHealth.DEGRADED if is_degraded else ServerHealth.HEALTHY
 
     def _trusted_peers(
@@ -238,7 +238,7 @@
         view.unanswered_observers += bool(unanswered)
         view.succeeded += succeeded
         if failed or unanswered:
-            view.observers.append(witness)
+            view.witnesses.append(witness)
         is_own = zone == self._context.zone
         here = view.local_zone if is_own else view.remote_zones.setdefault(zone, _ZoneResults())
         here.failures += failed + unanswered
@@ -279,6 +279,6 @@
         failures=view.failed + view.unanswered,
         successes=view.succeeded,
         failure_age_ms=now_ms - record.last_failure_ms,
-        observers=view.observers,
-        ejections_count=len(record.ejected_at_ms),
+        witnesses=view.witnesses,
+        outs_count=len(record.ejected_at_ms),
     )
--- a/citrondyke/decisions/servers/server_health.py
+++ b/citrondyke/decisions/servers/server_health.py
@@ -35,6 +35,6 @@
     #: Time since the last failure; infinite where none is known.
     failure_age_ms: float
     #: Who saw failures.
-    observers: list[InstanceId]
+    witnesses: list[InstanceId]
     #: How often it went out lately.
-    ejections_count: int
+    outs_count: int
--- a/citrondyke/gateway/replication/replicated_state.py
+++ b/citrondyke/gateway/replication/replicated_state.py
@@ -215,7 +215,7 @@
             state.listed.id for state in self._book.states() if state.listed.is_leaving
         }
         change = self._book.replace(listed)
-        for state in change.removed:
+        for state in change.went:
             self._on_server_gone(state)
         for state in change.restarted:
             self._on_incarnation_ended(state)
@@ -227,8 +227,8 @@
                 'servers.changed',
                 extra={
                     'source': source,
-                    'came': change.added,
-                    'went': [state.listed.id for state in change.removed],
+                    'came': change.came,
+                    'went': [state.listed.id for state in change.went],
                     'lives_over': [state.incarnation for state in change.restarted],
                     'leaving': leaving,
                     'count': len(listed),
