--- a/citrondyke/decisions/accounts/slot_steward.py
+++ b/citrondyke/decisions/accounts/slot_steward.py
@@ -99,7 +99,7 @@
         self._are_prior_grants_known = False
         self._prior_grant_accounts: frozenset[TenantId] = frozenset()
         self._quotas: dict[TenantId, AccountQuota] = {}
-        era = context.random.getrandbits(32)
+        lease_epoch = context.random.getrandbits(32)
         filled_ms = -ADVANCE_GRANT_MS
         if self._previous_copy is not None:
             # The copy is valid as of now, while the lease may have started earlier. From here on
@@ -107,8 +107,8 @@
             self.since_ms, filled_ms = self._now_ms(), min(0.0, self._previous_copy.filled_ms)
         self.held_since_ms = lease.held_since_ms
         self._began_ms = self._now_ms()
-        self._floors = QuotaFloors(era, lease.replica_set_id(), filled_ms, self.since_ms)
-        self._advance_grants = AdvanceGrantRecords(slot, era)
+        self._floors = QuotaFloors(lease_epoch, lease.replica_set_id(), filled_ms, self.since_ms)
+        self._advance_grants = AdvanceGrantRecords(slot, lease_epoch)
         self._published_number = -1
         if self._previous_copy is not None:
             for account_id, floor in self._previous_copy.floors.items():
@@ -123,16 +123,16 @@
         number: int,
         account: Account,
         need: UseNeed,
-        refused: tuple[int, ...] = (),
+        rejected_works: tuple[int, ...] = (),
     ) -> UseAnswered:
         """Grant or reject one use.
 
-        :param refused: work of the account that the requesting instance has rejected locally.
+        :param rejected_works: work of the account that the requester has rejected locally.
         """
         now_ms = self._now_ms()
         quota = self._quota_of(account)
         quota.reservations.expire(now_ms)
-        quota.rejected_work.record(refused, now_ms)
+        quota.rejected_work.record(rejected_works, now_ms)
         due_ms = quota.reservations.due_ms_of(need.work)
         if due_ms is None and quota.rejected_work.should_reject_retry(need.work, now_ms):
             quota.record_rejected(now_ms)
@@ -206,9 +206,9 @@
             if not self._floors.is_acknowledged_by(replica)
         ]
 
-    def record_acknowledged(self, replica: InstanceId, era: int, number: int) -> None:
+    def record_acknowledged(self, replica: InstanceId, lease_epoch: int, number: int) -> None:
         """Record that a replica has stored the floors up to ``number``."""
-        self._floors.record_acknowledged(replica, era, number)
+        self._floors.record_acknowledged(replica, lease_epoch, number)
 
     def next_store_call(self) -> AdvanceGrantStoreCall | None:
         """Return the next call for the advance grant records, if any."""
@@ -290,8 +290,8 @@
         quota.local_rejection_until_ms = max(quota.local_rejection_until_ms, now_ms + pause_ms)
         # There is no reservation, so the retry time is not before the caller's deadline.
         at_ms = max(due_ms, now_ms + need.left_ms)
-        refused = self._rejection(number, at_ms, now_ms, is_kept=False)
-        return msgspec.structs.replace(refused, pause_ms=pause_ms, expected=tuple(expected))
+        rejection = self._rejection(number, at_ms, now_ms, is_kept=False)
+        return msgspec.structs.replace(rejection, pause_ms=pause_ms, expected=tuple(expected))
 
     @staticmethod
     def _rejection(number: int, at_ms: float, now_ms: float, *, is_kept: bool) -> UseAnswered:
