--- a/citrondyke/decisions/batch/batch_scheduler.py
+++ b/citrondyke/decisions/batch/batch_scheduler.py
@@ -116,14 +116,14 @@
     @property
     def is_fleet_large(self) -> bool:
         """Return whether the fleet is so large that CPU time matters more than capacity."""
-        return self._registry.neighbours.is_zoned
+        return self._registry.topology.is_zoned
 
     def observe_online_load(self, service: ServiceName) -> None:
         """Sample the online load of a service with waiting items; only in a large fleet."""
-        if not self._registry.neighbours.is_zoned:
+        if not self._registry.topology.is_zoned:
             return
         now_ms = self._context.now_ms()
-        local, _ = self._split_by_zone(self._registry.usable(service))
+        local, _ = self._split_by_zone(self._registry.eligible_servers(service))
         self.headroom.observe(service, sum(state.online_count(now_ms) for state in local))
 
     def choose_server(self, service: ServiceName, urgency_now: Urgency) -> ServerState | None:
@@ -133,7 +133,7 @@
         published late, so that online requests there do not take the item into account in time.
         """
         now_ms = self._context.now_ms()
-        local, remote = self._split_by_zone(self._registry.usable(service))
+        local, remote = self._split_by_zone(self._registry.eligible_servers(service))
         is_at_risk = urgency_now is Urgency.AT_RISK
         candidates = [
             _Candidate(state, free)
@@ -168,7 +168,7 @@
         # once, and a deterministic choice would overload it.
         weights = [
             candidate.free**2
-            / candidate.state.slowness(now_ms)
+            / candidate.state.expected_slowdown(now_ms)
             * (LOCAL_ZONE_WEIGHT if candidate.state.listed.zone == self._context.zone else 1.0)
             for candidate in candidates
         ]
@@ -179,7 +179,7 @@
 
         In a small fleet each server needs its own, because there are few servers to use instead.
         """
-        if not self._registry.neighbours.is_zoned:
+        if not self._registry.topology.is_zoned:
             return servers_count
         return self.headroom.headroom_for(service, servers_count)
 
@@ -187,7 +187,7 @@
         self, usable: list[ServerState]
     ) -> tuple[list[ServerState], list[ServerState]]:
         """Separate servers with fresh load counts from those in remote zones of a large fleet."""
-        if not self._registry.neighbours.is_zoned:
+        if not self._registry.topology.is_zoned:
             return usable, []
         zone = self._context.zone
         local = [state for state in usable if state.listed.zone == zone]
@@ -229,10 +229,13 @@
         self, state: ServerState, items: list[RunningItem], now_ms: float
     ) -> list[RunningItem]:
         # The preemptions of other owners are not known yet; another one now would be too many.
-        if now_ms - self._preempted_ms.get(state.life, float('-inf')) < self._rate_limiter.gap_ms:
+        if (
+            now_ms - self._preempted_ms.get(state.incarnation, float('-inf'))
+            < self._rate_limiter.gap_ms
+        ):
             return []
         wait_ms = 0.0
-        if self._registry.neighbours.is_zoned:
+        if self._registry.topology.is_zoned:
             # In a smaller fleet load counts are at most 10 ms old, and no wait is needed.
             wait_ms = _online_wait_limit_ms(state, min(item.target_ms for item in items), now_ms)
         count = self._preemption_count(state, len(items), wait_ms, now_ms)
@@ -241,7 +244,7 @@
         count -= ending_count
         if count <= 0:
             return []
-        self._preempted_ms[state.life] = now_ms
+        self._preempted_ms[state.incarnation] = now_ms
         order = [Urgency.LATE, Urgency.PATIENT, Urgency.AT_RISK]
         items.sort(
             key=lambda item: (order.index(item.urgency), -item.remaining_ms, -item.started_ms)
@@ -249,11 +252,13 @@
         preempted = items[:count]
         batch_left = state.batch_count(now_ms) - len(preempted)
         while (
-            preempted and preempted[-1].urgency is Urgency.AT_RISK and batch_left < state.held_limit
+            preempted
+            and preempted[-1].urgency is Urgency.AT_RISK
+            and batch_left < state.protected_batch_limit
         ):
             preempted.pop()
             batch_left += 1
-        self._excess_history[state.life].remove_excess(len(preempted))
+        self._excess_history[state.incarnation].remove_excess(len(preempted))
         return preempted
 
     def _preemption_count(
@@ -278,9 +283,9 @@
         """
         excess = _excess_count(state, now_ms)
         if excess <= 0:
-            self._excess_history.pop(state.life, None)
+            self._excess_history.pop(state.incarnation, None)
             return 0
-        history = self._excess_history.setdefault(state.life, _ExcessHistory(deque()))
+        history = self._excess_history.setdefault(state.incarnation, _ExcessHistory(deque()))
         samples = history.samples
         if samples and now_ms - samples[-1][0] > EXCESS_GAP_MS:
             samples.clear()
@@ -312,7 +317,7 @@
 
 def _free_capacity(state: ServerState, now_ms: float) -> int:
     """Return the unused capacity of a server; 0 if it is ejected."""
-    if state.is_out(now_ms):
+    if state.is_ejected(now_ms):
         return 0
     return state.listed.slots_count - state.total_count(now_ms)
 
@@ -333,6 +338,6 @@
 
 def _may_run_at_risk(state: ServerState, now_ms: float) -> bool:
     """Return whether an item at risk may start on a full server that has no overload yet."""
-    if state.is_out(now_ms) or state.batch_count(now_ms) >= state.held_limit:
+    if state.is_ejected(now_ms) or state.batch_count(now_ms) >= state.protected_batch_limit:
         return False
     return state.total_count(now_ms) <= state.listed.slots_count
--- a/citrondyke/gateway/instance.py
+++ b/citrondyke/gateway/instance.py
@@ -97,8 +97,8 @@
         self.store = Dependency(self.clock, 'store')
         self._evidence = EvidenceExchange(self.context, self.book)
         health_log = HealthLog(self.metrics)
-        self.book.soundness.on_change = health_log.changed
-        self.book.soundness.on_trial = health_log.probe_started
+        self.book.health_policy.on_change = health_log.changed
+        self.book.health_policy.on_probe = health_log.probe_started
         self._sends = ServerSends(
             self.clock, adapters.dialect, self._on_load_change, self._evidence.record_outcome
         )
@@ -137,7 +137,7 @@
         limits = StewardRateLimiter(
             self.context,
             self.membership.everybody,
-            self.replicated.config.account,
+            self.replicated.config.find_account,
             settings.limit_tolerance,
             began_ms,
         )
@@ -190,7 +190,7 @@
         self.batch = BatchSubsystem(batch_collaborators, incarnation, settings, adapters)
         self._loads = LoadExchange(
             LoadNotices(self.context, self.book),
-            self.book.neighbours,
+            self.book.topology,
             self.batch.runner.preempt_items,
         )
         self.peers = Peers(
@@ -223,7 +223,7 @@
             lambda: self.replicated.is_complete,
             steps,
             {
-                'configuration': lambda: self.replicated.config.current.version > 0,
+                'configuration': lambda: self.replicated.config.table.version > 0,
                 'servers': lambda: self.replicated.has_servers,
                 'peers': lambda: self.membership.is_known,
                 'lease': lambda: bool(self.limits.held_slots()),
@@ -359,7 +359,7 @@
     def _run_periodic_updates(self) -> None:
         while True:
             gevent.sleep(UPDATE_EVERY_S)
-            self.book.neighbours.replace(
+            self.book.topology.replace(
                 {instance_id: beat.zone for instance_id, beat in self.membership.peers.items()}
             )
             self._live.timeout_factor = self._store_interval_factor()
@@ -367,10 +367,10 @@
             self.peers.list_readers.look()
 
     def _store_interval_factor(self) -> float:
-        return self.book.neighbours.store_pace
+        return self.book.topology.store_interval_factor
 
     def _batch_window_ms(self) -> float:
-        return self.book.neighbours.gather_ms(is_owner=bool(self.batch.owned.by_id))
+        return self.book.topology.coalesce_ms(is_owner=bool(self.batch.owned.by_id))
 
     def _relay(self, call: StoreCall) -> StoreAnswer:
         return self.peers.relay(call)
--- a/citrondyke/gateway/jobs/job_runner.py
+++ b/citrondyke/gateway/jobs/job_runner.py
@@ -103,7 +103,7 @@
         self._counted_ms = float('-inf')
         self._waiting: Counter[CompletionLikelihood] = Counter()
         self._logged_ms = float('-inf')
-        self._look: Callable[[], None] = _nothing_new
+        self._look: Callable[[], None] = _no_update
         self._tell: Callable[[list[DemandNotice]], None] = _nobody
         self._sends = sends
         self._guard = guard
@@ -144,23 +144,23 @@
     def preempt_items(self) -> None:
         """Cut the items that stand in the way of online requests."""
         overloaded_servers = self._give_way.overloaded_servers(
-            {run.state.life for run in self._runs.values()}
+            {run.state.incarnation for run in self._runs.values()}
         )
         if not overloaded_servers:
             return
         epoch_ms = self._context.epoch_ms()
-        targets_ms = self._replicated.config.current.shortest_targets_ms
+        targets_ms = self._replicated.config.table.shortest_targets_ms
         running = [
             RunningItem(
                 number,
-                run.state.life,
+                run.state.incarnation,
                 run.started_ms,
                 self._urgency(run.job, run.progress, epoch_ms),
                 self._remaining_ms(run.job, run.progress),
                 targets_ms.get(run.state.listed.service, 0.0),
             )
             for number, run in self._runs.items()
-            if run.state.life in overloaded_servers
+            if run.state.incarnation in overloaded_servers
         ]
         for item in self._give_way.items_to_preempt(running):
             run = self._runs[item.number]
@@ -289,7 +289,7 @@
 
     def _service(self, job: OwnedJob, progress: ItemProgress) -> ServiceName | None:
         config = self._replicated.config
-        route = config.current.find(job.head.host, progress.item.path)
+        route = config.table.find(job.head.host, progress.item.path)
         if not isinstance(route, NoRoute):
             return route.pick_service(self._context.random)
         if config.is_confirmed(self._context.now_ms()):
@@ -299,7 +299,7 @@
                 extra={
                     'job_id': job.head.job_id,
                     'item_id': progress.item.id,
-                    'config_version': config.current.version,
+                    'config_version': config.table.version,
                 },
             )
             self._end(job, progress, RunResult.IMPOSSIBLE)
@@ -343,7 +343,7 @@
             if error.break_kind is BreakKind.NO_CONNECTION:
                 self._guard.record_connect_failure(state, error)
             else:
-                state.note_failure(self._context.now_ms())
+                state.record_failure(self._context.now_ms())
                 # An item that is told to make room while it waits here would stay open for good.
                 self._guard.record_interrupted(
                     state,
@@ -394,7 +394,7 @@
         job.end_run(progress, end, self._context.now_ms(), self._context.epoch_ms())
 
 
-def _nothing_new() -> None:
+def _no_update() -> None:
     """Stand in until there are peers."""
 
 
--- a/citrondyke/gateway/operator_state.py
+++ b/citrondyke/gateway/operator_state.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.steward_rate_limiter import StewardRateLimiter
     from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry
-    from citrondyke.decisions.forwarding.current_config import CurrentConfig
+    from citrondyke.decisions.forwarding.replicated_config import ReplicatedConfig
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.ids import InstanceId
 
@@ -24,7 +24,7 @@
     def __init__(
         self,
         instance_id: InstanceId,
-        config: CurrentConfig,
+        config: ReplicatedConfig,
         limits: StewardRateLimiter,
         suspects: SuspectRegistry,
         metrics: Metrics,
@@ -38,7 +38,7 @@
 
     def page(self) -> bytes:
         """Give the state as JSON."""
-        table = self._config.current
+        table = self._config.table
         state = InstanceState(
             instance=self._instance_id,
             config_version=table.version,
--- a/citrondyke/gateway/replication/replicated_state.py
+++ b/citrondyke/gateway/replication/replicated_state.py
@@ -7,7 +7,7 @@
 import logbook
 import msgspec
 
-from citrondyke.decisions.forwarding.current_config import CurrentConfig
+from citrondyke.decisions.forwarding.replicated_config import ReplicatedConfig
 from citrondyke.decisions.forwarding.replicated_rows import ObservedRow, ReplicatedRows
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.gateway.replication.unreadable_rows import UnreadableRows
@@ -59,7 +59,7 @@
         :param on_incarnation_ended: called for each incarnation of a server that another one
             has replaced.
         """
-        self.config = CurrentConfig()
+        self.config = ReplicatedConfig()
         self.has_servers = False
         self._context = context
         self._decoder = decoder
@@ -85,7 +85,7 @@
     @property
     def is_complete(self) -> bool:
         """Tell whether requests can be served by them."""
-        return self.config.current.version > 0 and self.has_servers
+        return self.config.table.version > 0 and self.has_servers
 
     @property
     def is_config_readable(self) -> bool:
@@ -129,9 +129,9 @@
 
     def apply_route_table(self, table: RouteTable, source: str) -> None:
         """Take in a configuration."""
-        before = self.config.current.version
+        before = self.config.table.version
         age_ms = self.config.age_ms(self._context.now_ms())
-        if self.config.offer(table):
+        if self.config.update_if_newer(table):
             log.info(
                 'config.taken',
                 extra={
@@ -204,7 +204,7 @@
         now_ms = self._context.now_ms()
         if self._store.is_lost:
             self._servers.record_outage(now_ms)
-        self._servers.settle(now_ms)
+        self._servers.drop_missing(now_ms)
         if self._on_reconciled is not None:
             self._on_reconciled()
         if self._servers.revision == self._reconciled_revision:
@@ -217,7 +217,7 @@
         change = self._book.replace(listed)
         for state in change.went:
             self._on_server_gone(state)
-        for state in change.ended:
+        for state in change.restarted:
             self._on_incarnation_ended(state)
         leaving = [
             entry.id for entry in listed if entry.is_leaving and entry.id not in leaving_before
@@ -229,7 +229,7 @@
                     'source': source,
                     'came': change.came,
                     'went': [state.listed.id for state in change.went],
-                    'lives_over': [state.life for state in change.ended],
+                    'lives_over': [state.incarnation for state in change.restarted],
                     'leaving': leaving,
                     'count': len(listed),
                     'store_version': self._servers.version,
--- a/citrondyke/gateway/servers/poison_request_guard.py
+++ b/citrondyke/gateway/servers/poison_request_guard.py
@@ -68,7 +68,7 @@
         self._metrics = metrics
         self._tasks = tasks
         self._exit_detector = ServerExitDetector(context)
-        self.publisher = SuspectPublisher(context, book.neighbours, suspects)
+        self.publisher = SuspectPublisher(context, book.topology, suspects)
         self._exit_checks: dict[int, gevent.Greenlet] = {}
 
     def start(self, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
@@ -154,7 +154,7 @@
         """
         server = server_digest(state.listed)
         if state.listed.is_leaving or (
-            state.is_gone and not self._exit_detector.has_exited(server)
+            state.is_delisted and not self._exit_detector.has_exited(server)
         ):
             # The server exits as planned.
             return
--- a/tests/test_batch/test_batch_scheduler.py
+++ b/tests/test_batch/test_batch_scheduler.py
@@ -34,7 +34,7 @@
         context = manual_context(self.clock, name, seed=seed)
         self.book = ServerRegistry(context)
         self.book.replace([listed_server(A, SERVICE, SLOTS)])
-        self.rate_limiter = StartRateLimiter(context, self.book.neighbours)
+        self.rate_limiter = StartRateLimiter(context, self.book.topology)
         self.scheduler = BatchScheduler(context, self.book, self.rate_limiter)
 
     @property
@@ -45,7 +45,7 @@
 
     def preempt(self, *urgencies: Urgency) -> list[Urgency]:
         items = [
-            RunningItem(number, self.state.life, float(number), each)
+            RunningItem(number, self.state.incarnation, float(number), each)
             for number, each in enumerate(urgencies)
         ]
         self.state.own.batch = len(items)
@@ -83,7 +83,7 @@
             world.state.own.online = online
             for peer in names:
                 if peer != name:
-                    world.state.note_peer(InstanceId(peer), 0, 2, world.clock.ms + 100.0)
+                    world.state.record_peer_counts(InstanceId(peer), 0, 2, world.clock.ms + 100.0)
             stopped += len(world.preempt(*[Urgency.PATIENT] * 2))
         assert stopped == max(0, min(6, online + 6 - SLOTS))
 
@@ -103,7 +103,7 @@
     world = OneServer()
     world.state.own.online = SLOTS
     assert len(world.preempt(*[Urgency.AT_RISK] * 6)) == 6 - SLOTS // 4
-    assert world.state.held_limit == SLOTS // 4
+    assert world.state.protected_batch_limit == SLOTS // 4
 
 
 def test_item_at_risk_starts_on_a_full_server() -> None:
@@ -134,7 +134,7 @@
     started = 0
     for seed in range(70):
         world = OneServer(seed)
-        world.book.neighbours.replace(other_instances(69))
+        world.book.topology.replace(other_instances(69))
         world.state.own.online = SLOTS - 5
         for _ in range(3):
             world.clock.ms += 20.0 + seed % 5
@@ -144,7 +144,7 @@
 
 def test_small_fleet_starts_items_without_delay() -> None:
     world = OneServer()
-    world.book.neighbours.replace(other_instances(1))
+    world.book.topology.replace(other_instances(1))
     started = 0
     for _ in range(4):
         started += world.scheduler.choose_server(SERVICE, Urgency.PATIENT) is not None
@@ -153,9 +153,11 @@
 
 def test_owner_preempts_once_per_gap() -> None:
     world = OneServer()
-    world.book.neighbours.replace(other_instances(69))
+    world.book.topology.replace(other_instances(69))
     world.state.own.online = 3
-    items = [RunningItem(number, world.state.life, 0.0, Urgency.PATIENT) for number in range(8)]
+    items = [
+        RunningItem(number, world.state.incarnation, 0.0, Urgency.PATIENT) for number in range(8)
+    ]
     world.state.own.batch = 8
     assert len(world.scheduler.items_to_preempt(items)) == 3
     assert world.scheduler.items_to_preempt(items) == []
@@ -165,13 +167,13 @@
 
 def large_fleet_world() -> OneServer:
     world = OneServer()
-    world.book.neighbours.replace(other_instances(69))
+    world.book.topology.replace(other_instances(69))
     return world
 
 
 def running(world: OneServer, target_ms: float, *remaining_ms: float) -> list[RunningItem]:
     return [
-        RunningItem(number, world.state.life, 0.0, Urgency.PATIENT, each, target_ms)
+        RunningItem(number, world.state.incarnation, 0.0, Urgency.PATIENT, each, target_ms)
         for number, each in enumerate(remaining_ms)
     ]
 
@@ -187,7 +189,7 @@
         assert world.scheduler.items_to_preempt(items) == []
         world.clock.ms += ONLINE_WAIT_SHARE * target_ms / 2
         world.state.own.online = 2
-        assert world.scheduler.overloaded_servers([world.state.life]) == set()
+        assert world.scheduler.overloaded_servers([world.state.incarnation]) == set()
         world.clock.ms += ONLINE_WAIT_SHARE * target_ms / 2
 
 
@@ -216,7 +218,7 @@
     world = OneServer()
     world.book.replace([listed_server(A, SERVICE, SLOTS), listed_server('b', SERVICE, SLOTS)])
     monkeypatch.setattr(
-        ServerState, 'slowness', lambda state, _: 4.0 if state.listed.id == A else 1.0
+        ServerState, 'expected_slowdown', lambda state, _: 4.0 if state.listed.id == A else 1.0
     )
     chosen = [world.scheduler.choose_server(SERVICE, Urgency.PATIENT) for _ in range(200)]
     on_slow = sum(state is not None and state.listed.id == A for state in chosen)
--- a/tests/test_gateway/test_callers/test_callers_forwarding.py
+++ b/tests/test_gateway/test_callers/test_callers_forwarding.py
@@ -261,7 +261,7 @@
         (server,) = wait_until_seen(lambda: served_by(fleet, 'lm'), 'the request at a server')
         state = book.state(server.server_id)
         assert state is not None
-        wait_until_seen(lambda: state.failing(fleet.clock.now_ms()) > 0, 'a recorded failure')
+        wait_until_seen(lambda: state.failure_share(fleet.clock.now_ms()) > 0, 'a recorded failure')
         assert not reader.dead
         reader.kill()
 
@@ -282,7 +282,7 @@
     second.peers.send(more, [first.context.instance_id])
 
     def counted() -> bool:
-        first.book.choose(state.listed.service, (), '')
+        first.book.choose_server(state.listed.service, (), '')
         return state.online_count(first.clock.now_ms()) == 4
 
     wait_until_seen(counted, 'the second notice')
--- a/tests/test_gateway/test_callers/test_callers_keys.py
+++ b/tests/test_gateway/test_callers/test_callers_keys.py
@@ -137,7 +137,7 @@
     keyed.configure(3, accounts=[account('acme', ACME), account('other', ACME)])
     keyed.configure(4, accounts=[account('acme', ACME, rate_per_s=-1)])
     assert keyed.call('/fetch/x', x_api_key=OTHER).status == 200
-    assert keyed.instances[0].replicated.config.current.version == 2
+    assert keyed.instances[0].replicated.config.table.version == 2
 
 
 def test_instance_without_a_configuration_does_not_report_a_job_as_unknown(
@@ -151,9 +151,9 @@
     def call_without_configuration(path: str, method: str) -> Reply:
         # The instance reads the configuration each second; only responses sent without it count.
         while True:
-            config.current = EMPTY_ROUTE_TABLE
+            config.table = EMPTY_ROUTE_TABLE
             reply = keyed.call(path, b'', at=1, method=method, x_api_key=ACME)
-            if not config.current.version:
+            if not config.table.version:
                 return reply
 
     for method, path in (
--- a/tests/test_gateway/test_servers/test_servers_evidence.py
+++ b/tests/test_gateway/test_servers/test_servers_evidence.py
@@ -11,20 +11,20 @@
 def standing(fleet: GatewayFleet, at: int, server: str) -> ServerHealth:
     state = fleet.instances[at].book.state(ServerId(server))
     assert state is not None
-    return state.record.standing
+    return state.health_record.health
 
 
 def test_failure_at_one_instance_keeps_others_from_the_server(fleet: GatewayFleet) -> None:
     # A server responds 500 at once. The other instance has sent it nothing, but must not lose a
     # non-idempotent request to it.
-    neighbours = fleet.instances[0].book.neighbours
-    wait_until_seen(neighbours.everybody, 'the other instance to be known')
+    neighbours = fleet.instances[0].book.topology
+    wait_until_seen(neighbours.all_peers, 'the other instance to be known')
     fleet.servers['app-1'].acts.extend([Act.FAIL] * 50)
     wait_until_seen(
         lambda: fleet.call('/order/a', b'x', at=0).status == 500 or None, 'a failed order'
     )
     wait_until_seen(
-        lambda: standing(fleet, 1, 'app-1') is not ServerHealth.SOUND,
+        lambda: standing(fleet, 1, 'app-1') is not ServerHealth.HEALTHY,
         'the other instance to receive the outcomes',
     )
     before = len(fleet.servers['app-1'].runs)
@@ -40,7 +40,9 @@
         for at in range(2):
             assert fleet.call('/fetch/a', b'x', at=at).status == 200
         served = len(fleet.servers['app-1'].runs) > 6
-        return served and all(standing(fleet, at, 'app-1') is ServerHealth.SOUND for at in range(2))
+        return served and all(
+            standing(fleet, at, 'app-1') is ServerHealth.HEALTHY for at in range(2)
+        )
 
     wait_until_seen(both_healthy, 'both instances to use it')
 
