--- a/tests/test_batch/wave_world.py
+++ b/tests/test_batch/wave_world.py
@@ -314,19 +314,19 @@
         each.is_publishing = False
         if each.is_dead:
             return
-        for addressed in each.notices.address(each.notices.take()):
-            self._send(each, addressed.loads, addressed.receivers)
+        for addressed in each.notices.add_recipients(each.notices.take_due()):
+            self._send(each, addressed.loads, addressed.recipients)
 
     def _publish_totals(self, each: Instance) -> None:
         self.after(TOTALS_EVERY_MS, lambda: self._publish_totals(each))
         totals = [] if each.is_dead else each.notices.take_totals()
         if totals:
-            turn = each.notices.totals_turn
-            receivers = each.book.topology.one_in_each_other_zone(turn)
-            self._send(each, ZoneTotals(totals), receivers)
+            rotation = each.notices.totals_rotation
+            recipients = each.book.topology.one_peer_per_remote_zone(rotation)
+            self._send(each, ZoneTotals(totals), recipients)
 
-    def _send(self, each: Instance, told: Notice, receivers: list[InstanceId]) -> None:
+    def _send(self, each: Instance, told: Notice, recipients: list[InstanceId]) -> None:
         sender = each.context.instance_id
-        for receiver in receivers:
+        for recipient in recipients:
             if self.random.random() >= self.loss:
-                self.after(1.0, partial(self.by_id[receiver].inbox.append, (sender, told)))
+                self.after(1.0, partial(self.by_id[recipient].inbox.append, (sender, told)))
