--- a/citrondyke/gateway/replication/change_feed.py
+++ b/citrondyke/gateway/replication/change_feed.py
@@ -1,4 +1,4 @@
-"""The loop over a table's feed of changes."""
+"""Long-polling loop over a table's change feed."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 log = logbook.Logger(__name__)
 
-#: A feed is asked anew after so long, so that one on a dead connection is noticed.
+#: Timeout of one long poll, so that a dead connection is noticed.
 FEED_WAIT_MS = 4_000.0
-#: Pause after a feed's answer: heartbeats change rows all the time, and changes that come within
-#: it share an answer. A server that leaves may get requests for 2 s after it said so.
+#: Pause after a response, so that changes within it share the next one: heartbeats change rows all
+#: the time. It is short enough because a draining server may get requests for 2 s.
 FEED_PAUSE_MS = 250.0
 
 
 class ChangeFeed:
-    """Hands on changes in their order, and begins anew where the history is lost."""
+    """Delivers changes in order, and rereads the table if the store has dropped its history."""
 
     def __init__(
         self,
@@ -45,11 +45,14 @@
     ) -> None:
         """Follow one table.
 
-        :param pace: gives the factor by which calls are rarer than in a small fleet.
+        :param interval_factor: returns the factor by which polling intervals are longer than in a
+            small fleet.
         :param reread: finds out what the feed did not tell, and gives the version from which
             it goes on; 0 where the store did not answer.
-        :param cover: tells whether somebody else follows it; ``None`` where nobody does.
-        :param resume_version: gives the version behind which to go on after that; 0 for none.
+        :param delegation: whether another instance follows the table for this one; ``None`` if that
+            never happens.
+        :param resume_version: returns the version after which to continue when delegation ends; 0
+            requires a reread.
         """
         self._context = context
         self._table = table
@@ -61,9 +64,9 @@
         self._resume_version = resume_version
 
     def run(self, version: int = 0) -> None:
-        """Follow it for good.
+        """Follow the table forever.
 
-        :param version: behind which to begin; 0 where nothing has been read yet.
+        :param version: version after which to begin; 0 if nothing has been read yet.
         """
         failures_count = 0
         while True:
@@ -85,7 +88,7 @@
             gevent.sleep(self._context.jittered_ms(backoff_ms(failures_count)) / 1e3)
 
     def _wait_while_delegated(self) -> int:
-        """Leave it to others while they tell of changes; give the version to go on behind."""
+        """Pause while reads are delegated; return the version after which to continue."""
         while self._delegation.is_delegated:
             gevent.sleep(self._context.jittered_ms(FEED_PAUSE_MS) / 1e3)
         return self._resume_version()
--- a/citrondyke/gateway/replication/dependency.py
+++ b/citrondyke/gateway/replication/dependency.py
@@ -1,4 +1,4 @@
-"""Whether something that an instance depends on answers; logged when that changes."""
+"""Availability of a service that an instance depends on; changes are logged."""
 
 from __future__ import annotations
 
@@ -13,33 +13,33 @@
 
 log = logbook.Logger(__name__)
 
-#: Without an answer for so long it counts as lost; a single lost reply is none.
+#: A dependency whose calls fail for this long counts as lost; a single lost reply does not matter.
 LOST_AFTER_MS = 1_000.0
 
 
 class Dependency:
-    """Calls and answers of one dependency, from all who use it.
+    """Tracks the calls to a dependency and their responses, from all of its users.
 
-    It is silent from the first call on that stays without an answer, not from the last answer
-    on: a large fleet calls so rarely that seconds without a call say nothing.
+    It counts as unresponsive from the first unanswered call on, not from the last response on: in a
+    large fleet an instance calls so rarely that seconds without a call prove nothing.
     """
 
     def __init__(self, clock: Clock, name: str) -> None:
-        """Start as neither lost nor found."""
+        """Start as available."""
         self._clock = clock
         self._name = name
         self._last_answer_ms = clock.now_ms()
-        #: When the first call since the last answer was made; ``None`` where there was none.
+        #: When the first call since the last response was made; ``None`` if there was none.
         self._unanswered_since_ms: float | None = None
         self.is_lost = False
 
     def record_call(self) -> None:
-        """Take note of a call that is being made; its answer or failure is told too."""
+        """Record that a call begins; its response or failure must be recorded too."""
         if self._unanswered_since_ms is None:
             self._unanswered_since_ms = self._clock.now_ms()
 
     def record_answer(self) -> None:
-        """Take note of an answer."""
+        """Record a response."""
         unanswered_ms = self.unanswered_ms
         self._last_answer_ms = self._clock.now_ms()
         self._unanswered_since_ms = None
@@ -51,7 +51,7 @@
             )
 
     def record_failure(self, detail: str) -> None:
-        """Take note of a failure."""
+        """Record a failed call."""
         unanswered_ms = self.unanswered_ms
         if not self.is_lost and unanswered_ms >= LOST_AFTER_MS:
             self.is_lost = True
@@ -66,7 +66,7 @@
 
     @property
     def unanswered_ms(self) -> float:
-        """Give the time for which calls have had no answer; 0 where none waits for one."""
+        """Time since the first unanswered call; 0 if no call is unanswered."""
         return (
             0.0
             if self._unanswered_since_ms is None
@@ -75,5 +75,5 @@
 
     @property
     def answer_age_ms(self) -> float:
-        """Give the time since the last answer."""
+        """Time since the last response."""
         return self._clock.now_ms() - self._last_answer_ms
--- a/citrondyke/gateway/replication/fleet_queries.py
+++ b/citrondyke/gateway/replication/fleet_queries.py
@@ -1,4 +1,4 @@
-"""What is known of the other instances and of the open jobs."""
+"""Queries about the other instances and the open jobs of the fleet."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class FleetQueries(msgspec.Struct, frozen=True):
-    """Ways to ask for it."""
+    """Queries that the accounting of token shares makes to membership and to the job claimer."""
 
-    #: Heads of the open jobs that are known.
+    #: Returns the heads of the known open jobs.
     heads: Callable[[], Iterable[JobHead]]
-    #: For how long a life of an instance has been gone, by the version of a row that it wrote and
-    #: the time at which that was first seen; ``None`` if it is not.
+    #: Returns for how long an incarnation of an instance has been dead, given the version of a row
+    #: that it wrote and the time at which that row was first seen; ``None`` if it is alive.
     dead_for_ms: Callable[[InstanceId, str, int, float], float | None]
-    #: Lives of the other instances.
+    #: Returns the incarnations of the other instances.
     lives: Callable[[], Iterable[str]]
--- a/citrondyke/gateway/replication/followers.py
+++ b/citrondyke/gateway/replication/followers.py
@@ -1,4 +1,4 @@
-"""Which tables an instance follows, and who takes in what they show."""
+"""Followers of the tables that an instance replicates."""
 
 from __future__ import annotations
 
@@ -31,13 +31,14 @@
     config_delegation: ReadDelegation,
     servers_delegation: ReadDelegation,
 ) -> tuple[TableFollower, TableFollower]:
-    """Follow the configuration and the list of servers.
+    """Create the followers of the configuration and of the server list.
 
-    :param store: told whether the store answers.
-    :param pace: gives the factor by which calls are rarer than in a small fleet.
-    :param config_delegation: tells whether others read the configuration for this instance.
-    :param servers_delegation: the same for the list of servers.
-    :returns: what follows the configuration, and what the list of servers.
+    :param store: records the calls to the store and their responses.
+    :param interval_factor: returns the factor by which polling intervals are longer than in a small
+        fleet.
+    :param config_delegation: whether another instance reads the configuration for this one.
+    :param servers_delegation: the same for the server list.
+    :returns: the follower of the configuration, and the follower of the server list.
     """
     config = TableFollower(
         context,
@@ -71,11 +72,11 @@
     interval_factor: Callable[[], float],
     tasks: Tasks,
 ) -> None:
-    """Follow the heartbeats, without a feed.
+    """Follow the heartbeat rows by polling, without a feed.
 
-    They change all the time, and silences are judged by the second.
+    Every row changes all the time, and liveness timeouts are in seconds, so a feed gains nothing.
 
-    :param table: by way of peers where the store does not answer.
+    :param table: calls go through peers if the store does not respond.
     """
     TableFollower(
         context,
--- a/citrondyke/gateway/replication/read_delegation.py
+++ b/citrondyke/gateway/replication/read_delegation.py
@@ -1,4 +1,4 @@
-"""Whether somebody else reads a table for this instance."""
+"""Delegation of a table's reads to another instance."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 
 class ReadDelegation(ABC):
-    """What a follower of a table asks before it calls the store."""
+    """Decides for a table's follower whether it must read the store itself."""
 
     @property
     @abstractmethod
     def is_delegated(self) -> bool:
-        """Tell whether the changes are heard of from somebody who reads them."""
+        """Whether another instance reads the table and sends its changes to this one."""
 
     @property
     @abstractmethod
     def is_delegate_reader(self) -> bool:
-        """Tell whether others rely on the reads of this instance."""
+        """Whether other instances rely on the reads of this one."""
 
     @abstractmethod
     def delay_first_read(self) -> None:
-        """Wait, a bounded time, for somebody who has read it."""
+        """Wait for a bounded time for an instance that has read the table."""
 
 
 class NoReadDelegation(ReadDelegation):
-    """Everybody reads."""
+    """No delegation: every instance reads the table itself."""
 
     @property
     def is_delegated(self) -> bool:
-        """Tell that nobody does."""
+        """Return ``False``."""
         return False
 
     @property
     def is_delegate_reader(self) -> bool:
-        """Tell that nobody relies on it."""
+        """Return ``False``, since no instance relies on this one."""
         return False
 
     def delay_first_read(self) -> None:
-        """Wait for nobody."""
+        """Return at once."""
--- a/citrondyke/gateway/replication/replicated_state.py
+++ b/citrondyke/gateway/replication/replicated_state.py
@@ -1,4 +1,4 @@
-"""What an instance believes of the configuration and the backend servers."""
+"""An instance's replica of the configuration and the server list."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 log = logbook.Logger(__name__)
 
 
-#: Rows of servers that are remembered as decoded, or twice those that are listed.
+#: Limit on cached decoded server rows, unless twice the number of listed servers is larger.
 DECODED_LIMIT = 2_000
 
 
 class RowDecoder(msgspec.Struct, frozen=True):
-    """How the operator's and the servers' rows are read."""
+    """Decoders of the configuration row and of the server rows."""
 
     config_key: str
     config: Callable[[bytes], RouteTable]
@@ -41,7 +41,11 @@
 
 
 class ReplicatedState:
-    """Takes in rows from the store and from peers, and logs what changes."""
+    """Replica of the configuration and the server list, possibly stale.
+
+    Merges rows from the store and from peers, applies the server list to the server registry, and
+    logs what changes.
+    """
 
     def __init__(
         self,
@@ -53,9 +57,10 @@
         on_server_gone: Callable[[ServerState], None],
         on_incarnation_ended: Callable[[ServerState], None],
     ) -> None:
-        """Start believing nothing.
+        """Start empty.
 
-        :param on_server_gone: called for each server that is listed no more.
+        :param lapsed_grace_ms: time after an outage of the store until a missing server is removed.
+        :param on_server_gone: called for each server that was removed from the list.
         :param on_incarnation_ended: called for each incarnation of a server that another one
             has replaced.
         """
@@ -68,10 +73,10 @@
         self._servers: ReplicatedRows[ServerListEntry] = ReplicatedRows(lapsed_grace_ms)
         self._on_server_gone = on_server_gone
         self._on_incarnation_ended = on_incarnation_ended
-        #: Reads show all rows each second, few of them changed.
+        #: Cache of decoded rows: reads return all rows each second, and few of them have changed.
         self._decoded_rows: dict[str, ObservedRow[ServerListEntry]] = {}
         self._config_version = 0
-        #: The newest configuration may hold routes that are not known here.
+        #: While set, the newest configuration may have routes that are not known here.
         self._is_config_unreadable = False
         self._reconciled_revision = -1
         self._on_reconciled: Callable[[], None] | None = None
@@ -79,30 +84,30 @@
         self._unreadable_servers = UnreadableRows('servers')
 
     def on_reconciled(self, call: Callable[[], None]) -> None:
-        """Have something called whenever the list of servers was taken in."""
+        """Set the callback for each update of the server list."""
         self._on_reconciled = call
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether requests can be served by them."""
+        """Whether both the configuration and servers are known, so that requests can be served."""
         return self.config.current.version > 0 and self.has_servers
 
     @property
     def is_config_readable(self) -> bool:
-        """Tell whether the newest configuration of the store is the one that is known."""
+        """Whether the newest configuration of the store could be decoded."""
         return not self._is_config_unreadable
 
     def on_config_changes(self, rows: Iterable[PartRow]) -> None:
-        """Take in changes of the operator's table."""
+        """Apply changes of the configuration table."""
         self._apply_config_rows(rows)
 
     def on_config_listing(self, rows: Iterable[PartRow], _: int) -> None:
-        """Take in a read of the operator's table."""
+        """Apply a full read of the configuration table."""
         self._apply_config_rows(rows)
         self.on_config_current()
 
     def on_config_current(self) -> None:
-        """Take note that the store holds no newer configuration than the one that was seen."""
+        """Record that the store holds no newer configuration than the one that was read."""
         if not self._is_config_unreadable:
             self.config.confirm(self._context.now_ms())
 
@@ -121,14 +126,14 @@
                 self._is_config_unreadable = True
 
     def apply_config(self, raw: bytes, source: str) -> None:
-        """Take in a configuration as the operator wrote it.
+        """Decode and apply a configuration as the operator wrote it.
 
-        :raises UnreadableBytesError: when the bytes hold none.
+        :raises UnreadableBytesError: if the bytes are not a valid configuration.
         """
         self.apply_route_table(self._decoder.config(raw), source)
 
     def apply_route_table(self, table: RouteTable, source: str) -> None:
-        """Take in a configuration."""
+        """Apply a decoded configuration if it is newer."""
         before = self.config.current.version
         age_ms = self.config.age_ms(self._context.now_ms())
         if self.config.offer(table):
@@ -145,51 +150,51 @@
             )
 
     def on_server_rows(self, rows: Iterable[PartRow]) -> None:
-        """Take in changes of the list of servers."""
+        """Apply changes of the server list."""
         self._servers.apply_feed(self._decoded(rows), self._context.now_ms())
         self.has_servers = self.has_servers or bool(self._servers.values())
         self.reconcile('feed')
 
     def on_servers_current(self) -> None:
-        """Take note that all changes of the list of servers were seen."""
+        """Record that all changes of the server list were read."""
         self.reconcile('look')
 
     def on_server_listing(self, rows: Iterable[PartRow], version: int) -> None:
-        """Take in a read of the list of servers."""
+        """Apply a full read of the server list."""
         self._servers.apply_listing(self._decoded(rows), version, self._context.now_ms())
         self.has_servers = True
         self.reconcile('read')
 
     @property
     def list_revision(self) -> int:
-        """Give the number of changes of the list of servers so far."""
+        """Number of changes of the server list so far."""
         return self._servers.revision
 
     @property
     def servers_count(self) -> int:
-        """Count the servers in the list."""
+        """Number of servers in the list."""
         return self._servers.count
 
     @property
     def list_digest(self) -> int:
-        """Give a digest of the list of servers; equal lists have equal ones."""
+        """Digest of the server list; equal lists have equal digests."""
         return self._servers.digest
 
     def servers_since(self, revision: int) -> list[ObservedRow[ServerListEntry]] | None:
-        """Give the rows of the servers that changed since; ``None`` where that is not known."""
+        """Return the server rows that changed since a revision; ``None`` if that is not known."""
         return self._servers.changes_since(revision)
 
     def server_rows(self) -> tuple[list[ObservedRow[ServerListEntry]], int]:
-        """Give the rows of the servers, and the version as of which they were listed."""
+        """Return the server rows and the version of the table that they reflect."""
         return self._servers.rows(), self._servers.version
 
     def merge_servers(
         self, rows: list[ObservedRow[ServerListEntry]], version: int, *, is_whole: bool
     ) -> None:
-        """Take in the servers that a peer knows.
+        """Merge the server rows of a peer.
 
-        :param is_whole: whether the peer heard from the store just now, so that a server which it
-            does not list is gone.
+        :param is_whole: whether the peer has just read the store, so that a server missing from
+            ``rows`` was removed.
         """
         now_ms = self._context.now_ms()
         if is_whole:
@@ -200,7 +205,10 @@
         self.reconcile('peer')
 
     def reconcile(self, source: str) -> None:
-        """Make the list of servers what the rows say by now."""
+        """Update the server registry from the rows; rows may also have expired since.
+
+        :param source: what caused the update, for the log.
+        """
         now_ms = self._context.now_ms()
         if self._store.is_lost:
             self._servers.record_outage(now_ms)
--- a/citrondyke/gateway/replication/table_follower.py
+++ b/citrondyke/gateway/replication/table_follower.py
@@ -1,4 +1,4 @@
-"""Follows one part of a table by a feed and, beside it, by reads."""
+"""Follows one part of a table by a change feed and, in parallel, by polling."""
 
 from __future__ import annotations
 
@@ -26,28 +26,28 @@
 
 Answer = TypeVar('Answer')
 
-#: A feed can fall silent without an end; the reads beside it bound what is missed to this.
+#: A feed can stall without an error; polling bounds the delay of a change to this.
 READ_EVERY_MS = 1_000.0
-#: ... and those of one who reads for others: they rely on it until 1.6 s after the store's last
-#: answer, for which a slow store takes 300 ms.
+#: ... and this is the interval of a delegate reader: other instances rely on it until 1.6 s after
+#: the store's last response, and a slow store takes 300 ms to respond.
 DELEGATE_READ_EVERY_MS = 600.0
-#: Bytes of values a second that one instance may spend on whole reads of a table that it can be
-#: told the changes of instead: the configuration of thousands of routes has 350 KB, the list of
-#: 3,000 servers 700 KB, and hundreds of instances that read them every 3 s would take tens of MB a
-#: second from the store.
+#: Bytes of values per second that an instance may use on full reads of a table, where polling for
+#: changes would do. A configuration of thousands of routes has 350 KB and the list of 3,000 servers
+#: 700 KB; hundreds of instances that read them every 3 s would read tens of MB/s from the store.
 FULL_READS_BYTES_PER_S = 16_384.0
-#: A look for changes goes back so far behind the one before. The store may hide changes for a
-#: second and name a version beyond them, and a look behind that would never show them.
+#: Each poll for changes starts from the version that was current this long ago. The store may hide
+#: a change for a second while it reports a later version; a poll after that version would never
+#: return the change.
 REREAD_WINDOW_MS = 5_000.0
-#: While others read the table for this instance, it looks so often itself: a proof that two readers
-#: do not both miss a change for good, and short against the time for which the store remembers.
+#: While reads are delegated, an instance still polls at this interval: it finds changes that both
+#: readers missed. The interval is short compared to the time for which the store keeps its history.
 DELEGATED_POLL_EVERY_MS = 10_000.0
-#: ... and reads the whole of it by so much more rarely.
+#: ... and its full reads are less frequent by this factor.
 DELEGATED_FULL_READ_FACTOR = 8.0
 
 
 class TableFollower:
-    """Hands on rows and whole listings as they are seen; what they mean is decided elsewhere."""
+    """Delivers rows and full listings of a table to callbacks, which interpret them."""
 
     def __init__(
         self,
@@ -63,16 +63,18 @@
         with_feed: bool = True,
         delegation: ReadDelegation | None = None,
     ) -> None:
-        """Follow the rows with an empty part.
+        """Follow the rows whose part is empty.
 
-        :param dependency: told of answers and failures; ``None`` where calls go by way of peers.
+        :param dependency: records responses and failures; ``None`` if calls go through peers.
         :param on_rows: called with changes in order.
-        :param on_listing: called with all rows and the version as of which they stand.
-        :param pace: gives the factor by which calls are rarer than in a small fleet.
-        :param on_current: called when a look for changes alone has shown how all rows are by now;
-            ``None`` where only whole reads will do.
-        :param with_feed: whether changes matter sooner than by the next read.
-        :param cover: tells whether somebody else reads it; ``None`` where nobody does.
+        :param on_listing: called with all rows and the version that they reflect.
+        :param interval_factor: returns the factor by which polling intervals are longer than in a
+            small fleet.
+        :param on_current: called when a poll for changes has brought all rows up to date; ``None``
+            to make every poll a full read.
+        :param with_feed: whether changes must arrive before the next poll.
+        :param delegation: whether another instance reads the table for this one; ``None`` if that
+            never happens.
         """
         self._context = context
         self._table = table
@@ -85,14 +87,14 @@
         self._interval_factor = interval_factor
         self._delegation = NoReadDelegation() if delegation is None else delegation
         self._version = 0
-        #: Of the values, by the last whole read or by whoever made it.
+        #: Size of all values at the last full read, by this instance or a delegate reader.
         self.size_bytes = 0
-        #: Of the values of the rows that the store showed last, on average.
+        #: Average size of the values in the last response of the feed.
         self.row_bytes = 0.0
         self._last_answer_ms = float('-inf')
-        #: When a whole read may be made again rather than a look for changes.
+        #: When the next poll may be a full read rather than a poll for changes.
         self._next_full_read_ms = float('-inf')
-        #: Versions up to which looks showed everything, with their times, the oldest first.
+        #: Versions up to which polls returned all changes, with their times, the oldest first.
         self._polls: deque[tuple[float, int]] = deque()
         self._last_poll_ms = float('-inf')
         self._first_read_done = Event()
@@ -108,33 +110,34 @@
         )
 
     def start(self, tasks: Tasks) -> None:
-        """Begin both."""
+        """Start polling and, if it is used, the feed."""
         tasks.keep(self._run_reads)
         if self._with_feed:
             tasks.keep(self._run_feed)
 
     @property
     def has_read_all(self) -> bool:
-        """Tell whether all rows were seen."""
+        """Whether all rows were read."""
         return self._version > 0
 
     @property
     def settled_version(self) -> int:
-        """Give the version of the newest look that is old enough; 0 before the first.
+        """Version of the newest poll that is older than ``REREAD_WINDOW_MS``; 0 before the first.
 
-        What the store hid for a moment lies behind it, unless it was the very first look.
+        A change that the store hides for a moment comes after it, unless it was the first poll.
         """
         return self._reread_recent() if self._polls else 0
 
     @property
     def answer_age_ms(self) -> float:
-        """Give the time since the store last told this instance of the table."""
+        """Time since the store's last response about the table."""
         return self._context.now_ms() - self._last_answer_ms
 
     def adopt(self, version: int, size_bytes: int) -> None:
-        """Go on from where somebody else has read to, should that be needed.
+        """Adopt the version that a delegate reader has read, to continue from it later.
 
-        :param version: up to which all changes are known here by way of others.
+        :param version: version up to which all changes were received from other instances.
+        :param size_bytes: size of all values.
         """
         now_ms = self._context.now_ms()
         self.size_bytes = size_bytes
@@ -149,7 +152,7 @@
         self._first_read_done.set()
 
     def read_once(self) -> bool:
-        """Read all rows; tell whether the store answered."""
+        """Read all rows; return whether the store responded."""
         on_page = None if self._version else self._apply_first_page
         listing = self._call_store(
             'read', lambda: self._table.read_all(self._name, '', '', on_page)
@@ -168,14 +171,14 @@
         return True
 
     def poll_once(self) -> bool:
-        """Bring the rows up to date, by their changes where all of them are many bytes.
+        """Bring the rows up to date: by a poll for changes, or by a full read when one is due.
 
-        :returns: whether the store answered.
+        :returns: whether the store responded.
         """
         if self._on_current is None or self._context.now_ms() >= self._next_full_read_ms:
             return self.read_once()
-        behind = self._reread_recent()
-        feed = self._call_store('feed', lambda: self._table.follow(self._name, behind, 0.0))
+        after_version = self._reread_recent()
+        feed = self._call_store('feed', lambda: self._table.follow(self._name, after_version, 0.0))
         if isinstance(feed, PlatformFailure):
             return feed.reason is PlatformFailureReason.HISTORY_LOST and self.read_once()
         self._on_rows(feed.rows)
@@ -186,7 +189,7 @@
         return True
 
     def _reread_recent(self) -> int:
-        """Give the version of the newest look that is old enough, or of the last whole read."""
+        """Return the version of the newest old enough poll, or of the last full read."""
         self._drop_old_reads()
         return self._polls[0][1]
 
@@ -196,7 +199,7 @@
             self._polls.popleft()
 
     def _resume_version(self) -> int:
-        """Give the version behind which a feed goes on after others read; 0 for a whole read."""
+        """Return the version after which the feed continues after a delegation; 0 to reread."""
         return self.settled_version
 
     def _on_feed(self, rows: tuple[PartRow, ...]) -> None:
@@ -206,13 +209,13 @@
         self._on_rows(rows)
 
     def _current_interval_factor(self) -> float:
-        """Give the pace; who reads for others is as quick as in a small fleet."""
+        """Return the interval factor; a delegate reader polls as often as in a small fleet."""
         return 1.0 if self._delegation.is_delegate_reader else self._interval_factor()
 
     def _apply_first_page(self, page: Listing) -> None:
-        """Hand on the rows of the first read as they come: some are enough to begin with.
+        """Deliver the pages of the first read as they arrive: a part is enough to serve requests.
 
-        The last page comes with the whole listing.
+        The last page is delivered with the whole listing.
         """
         if page.has_more:
             self._on_rows(page.rows)
@@ -220,7 +223,7 @@
     def _call_store(
         self, what: str, call: Callable[[], Answer | PlatformFailure]
     ) -> Answer | PlatformFailure:
-        """Make a call, and have the dependency told of it and of what became of it."""
+        """Call the store and record the call and its result in the dependency."""
         dependency = self._dependency
         if dependency is None:
             return call()
@@ -230,7 +233,7 @@
             self._last_answer_ms = self._context.now_ms()
             dependency.record_answer()
         elif answer.reason is not PlatformFailureReason.HISTORY_LOST:
-            # That one is an answer, and a whole read follows it.
+            # A lost history is a response, and a full read follows it.
             dependency.record_failure(f'{what} {self._name}: {answer.reason.value}')
         return answer
 
--- a/citrondyke/gateway/replication/unreadable_rows.py
+++ b/citrondyke/gateway/replication/unreadable_rows.py
@@ -1,4 +1,4 @@
-"""Rows that cannot be read, logged once for each version."""
+"""Log of rows that cannot be decoded, once per version."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 log = logbook.Logger(__name__)
 
-#: Rows that are remembered as logged; beyond it one may be logged a second time.
+#: Limit on rows remembered as logged; beyond it a row may be logged again.
 REMEMBERED_WORKS_LIMIT = 1_000
 
 
 class UnreadableRows:
-    """Remembers what was logged: tables are read each second, and a row may stay for hours."""
+    """Logs each undecodable row once: tables are read each second, and a row may stay for hours."""
 
     def __init__(self, table: str) -> None:
         """Start with nothing logged.
@@ -24,7 +24,7 @@
         self._logged: dict[str, int] = {}
 
     def log_once(self, key: str, version: int, detail: str) -> None:
-        """Log a row unless this version of it was."""
+        """Log a row unless this version of it was logged."""
         if self._logged.get(key) == version:
             return
         self._logged.pop(key, None)
--- a/tests/test_gateway/test_replication/test_replication_dependency.py
+++ b/tests/test_gateway/test_replication/test_replication_dependency.py
@@ -1,4 +1,4 @@
-"""Whether the store answers is judged by calls, however rare they are."""
+"""Tests that the store's availability is derived from calls, however rare they are."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from tests.support.manual_clock import ManualClock
 
 
-def test_seconds_without_a_call_are_no_silence() -> None:
-    # 195 instances call the store every 3 s. Each took the time between two calls for an outage
-    # and asked its peers for all that they know, each 400 ms: 232 KB a second and instance.
+def test_time_between_calls_is_not_an_outage() -> None:
+    # Each of 195 instances calls the store every 3 s. If the time between two calls counted as an
+    # outage, each would request its peers' whole state every 400 ms: 232 KB/s per instance.
     clock = ManualClock()
     store = Dependency(clock, 'store')
     store.record_call()
@@ -18,7 +18,7 @@
     assert store.answer_age_ms == 3_000.0
 
 
-def test_silence_begins_with_the_first_call_without_an_answer() -> None:
+def test_outage_begins_with_the_first_unanswered_call() -> None:
     clock = ManualClock()
     store = Dependency(clock, 'store')
     clock.ms += 5_000.0
--- a/tests/test_gateway/test_replication/test_replication_state.py
+++ b/tests/test_gateway/test_replication/test_replication_state.py
@@ -1,4 +1,4 @@
-"""Configuration and servers are followed, though the store is out of reach."""
+"""Tests that instances follow the configuration and the server list through store outages."""
 
 from __future__ import annotations
 
@@ -32,20 +32,20 @@
         assert fleet.call('/later/a', at=at).status == 200
 
 
-def test_instance_that_the_store_turns_away_follows_its_peers(fleet: GatewayFleet) -> None:
-    # The store refuses one instance and serves the other while the operator adds a route and a
-    # server leaves. The refused one hears of both from its peer and never says 404.
+def test_instance_that_the_store_rejects_follows_its_peers(fleet: GatewayFleet) -> None:
+    # The store rejects the calls of one instance only, while the operator adds a route and a server
+    # starts draining. That instance learns of both from its peer.
     refused = fleet.instances[1]
     fleet.store.faults.refused_ips = {refused.address.ip}
     gevent.sleep(0.8)
     fleet.configure(7, NEW_ROUTE)
     fleet.list_server('app-1', 'app', state='draining')
-    wait_until_seen(lambda: version(fleet, 1) == 7, 'the change at the refused instance')
+    wait_until_seen(lambda: version(fleet, 1) == 7, 'the change at the rejected instance')
     wait_leaving(fleet, 1)
     assert fleet.call('/later/a', at=1).status == 200
 
 
-def test_instance_that_starts_while_the_store_refuses_it_learns_from_a_seed(
+def test_instance_that_starts_without_the_store_learns_from_a_seed(
     fleet: GatewayFleet,
 ) -> None:
     seed = fleet.instances[0].address.ip
@@ -55,15 +55,15 @@
     assert fleet.call('/fetch/a', at=2).status == 200
 
 
-def test_route_is_not_denied_while_nothing_confirms_that_it_is_missing(
+def test_unknown_route_is_not_final_while_the_configuration_is_unconfirmed(
     fleet: GatewayFleet,
 ) -> None:
-    # The store is down for all. A route that was added at that moment is not known; 404 would be
-    # final for its callers, 503 tells them to come back.
+    # The store is down for all instances. A route that was just added is not known yet: a 404 would
+    # be final for its callers, a 503 makes them retry.
     fleet.store.faults.refused_ips = {'*'}
-    wait_until_seen(lambda: fleet.call('/later/a').status == 503, 'doubt')
+    wait_until_seen(lambda: fleet.call('/later/a').status == 503, 'a 503')
     fleet.store.faults.refused_ips = set()
-    wait_until_seen(lambda: fleet.call('/later/a').status == 404, 'certainty')
+    wait_until_seen(lambda: fleet.call('/later/a').status == 404, 'a 404')
 
 
 def test_requests_are_served_while_the_store_is_down(fleet: GatewayFleet) -> None:
@@ -73,9 +73,9 @@
         assert fleet.call('/fetch/a', request_id=f'request-{number}').status == 200
 
 
-def test_lost_history_is_read_anew(fleet: GatewayFleet) -> None:
-    # The store forgets its history while an instance is behind; its feed ends with 410. The next
-    # read brings what was missed.
+def test_table_is_reread_after_a_lost_history(fleet: GatewayFleet) -> None:
+    # The store drops its history while an instance is behind, so its feed ends with 410. The next
+    # full read returns the missed changes.
     fleet.store.faults.stale_at = fleet.store.table.version
     fleet.configure(7, NEW_ROUTE)
     fleet.store.table.forget_history()
@@ -83,7 +83,7 @@
     wait_until_seen(lambda: version(fleet, 0) == 7, 'the change')
 
 
-def test_stale_reads_never_take_a_change_back(fleet: GatewayFleet) -> None:
+def test_stale_reads_never_revert_a_change(fleet: GatewayFleet) -> None:
     before = fleet.store.table.version
     fleet.configure(7, NEW_ROUTE)
     wait_until_seen(lambda: version(fleet, 0) == 7, 'the change')
@@ -92,7 +92,7 @@
     assert version(fleet, 0) == 7
 
 
-def test_leaving_server_gets_nothing_new(fleet: GatewayFleet) -> None:
+def test_draining_server_gets_no_new_requests(fleet: GatewayFleet) -> None:
     fleet.list_server('app-1', 'app', state='draining')
     for at in (0, 1):
         wait_leaving(fleet, at)
@@ -102,7 +102,7 @@
     assert not fleet.servers['app-1'].runs
 
 
-def test_removed_server_gets_nothing_new(fleet: GatewayFleet) -> None:
+def test_removed_server_leaves_the_registry(fleet: GatewayFleet) -> None:
     fleet.store.remove(SERVERS_TABLE, 'app-1')
     books = [each.book for each in fleet.instances]
     wait_until_seen(
@@ -111,7 +111,8 @@
 
 
 def test_peers_count_each_others_requests(fleet: GatewayFleet) -> None:
-    # Two instances that do not know of each other's requests choose the same server and fill it.
+    # If two instances don't know of each other's requests, both choose the same server and overload
+    # it.
     server = fleet.servers['lm-1']
     server.event_gap_ms = 300.0
     fleet.servers['lm-2'].event_gap_ms = 300.0
@@ -126,5 +127,6 @@
             lambda: sum(state.online_count(now_ms()) for state in states) == 1, 'the count'
         )
     wait_until_seen(
-        lambda: sum(state.online_count(now_ms()) for state in states) == 0, 'the count to go'
+        lambda: sum(state.online_count(now_ms()) for state in states) == 0,
+        'the count to return to zero',
     )
--- a/tests/test_gateway/test_replication/test_replication_table_follower.py
+++ b/tests/test_gateway/test_replication/test_replication_table_follower.py
@@ -1,4 +1,4 @@
-"""A large table is followed by its changes, and read as a whole only now and then."""
+"""Tests that a large table is followed by its changes, with rare full reads."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class _CountedTable(FlakyTable):
-    """Counts the bytes that it shows."""
+    """Counts the bytes that it returns."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,7 +47,7 @@
 
 
 class Follower:
-    """A follower of one table, without its loops."""
+    """A follower of one table without its loops."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -59,19 +59,19 @@
             self.table,
             'config',
             Dependency(self.clock, 'store'),
-            self._take,
-            lambda rows, _: self._take(tuple(rows)),
+            self._record_rows,
+            lambda rows, _: self._record_rows(tuple(rows)),
             lambda: 1.0,
-            self._note_current,
+            self._record_current,
         )
 
     def put(self, value: bytes, key: str = 'all') -> None:
         self.table.transact(PartTransaction('', puts=(RowPut('config', key, value),)))
 
-    def _take(self, rows: tuple[PartRow, ...]) -> None:
+    def _record_rows(self, rows: tuple[PartRow, ...]) -> None:
         self.seen += [row.value for row in rows]
 
-    def _note_current(self) -> None:
+    def _record_current(self) -> None:
         self.current_count += 1
 
 
@@ -80,9 +80,9 @@
     return Follower()
 
 
-def test_many_routes_are_not_read_again_and_again(follower: Follower) -> None:
-    # A configuration of 1,400 routes has 350 KB. 195 instances read it every 3 s, though nothing
-    # had changed; the store would have sent 23 MB a second.
+def test_unchanged_configuration_is_not_read_repeatedly(follower: Follower) -> None:
+    # A configuration of 1,400 routes has 350 KB. If 195 instances read it every 3 s although
+    # nothing has changed, the store sends 23 MB/s.
     follower.put(LARGE)
     for _ in range(20):
         assert follower.follower.poll_once()
@@ -94,7 +94,7 @@
     assert follower.table.shown_bytes == 2 * len(LARGE)
 
 
-def test_change_is_seen_without_a_whole_read(follower: Follower) -> None:
+def test_change_is_read_without_a_full_read(follower: Follower) -> None:
     follower.put(LARGE)
     follower.follower.poll_once()
     follower.put(b'next')
@@ -102,8 +102,8 @@
     assert follower.seen == [LARGE, b'next']
 
 
-def test_lost_history_is_made_up_by_a_whole_read(follower: Follower) -> None:
-    # The store drops its history in a moment in which this instance heard nothing.
+def test_lost_history_causes_a_full_read(follower: Follower) -> None:
+    # The store drops its history while this instance has not read the latest change.
     follower.put(LARGE)
     follower.follower.poll_once()
     follower.put(b'next')
@@ -112,10 +112,10 @@
     assert follower.seen[-1] == b'next'
 
 
-def test_change_that_the_feed_hid_for_a_moment_is_seen_with_the_next_look(
+def test_change_that_the_feed_hides_is_found_by_the_next_poll(
     follower: Follower,
 ) -> None:
-    # The store tells nobody of a change for a second, and names a version beyond it.
+    # The store hides a change for a second while it reports a later version.
     follower.put(LARGE)
     follower.follower.poll_once()
     follower.put(b'next')
@@ -126,11 +126,11 @@
     assert follower.seen[-1] == b'next'
 
 
-def test_list_of_which_some_row_changes_all_the_time_is_not_read_as_a_whole(
+def test_list_with_frequent_changes_is_not_read_in_full(
     follower: Follower,
 ) -> None:
-    # Of 3,000 servers some come, leave or warm up in each second. 300 instances that read all
-    # 700 KB of them every 3 s take 70 MB a second from the store, and spend their time on it.
+    # Of 3,000 servers some start, drain or warm up in each second. If 300 instances read all 700 KB
+    # every 3 s, the store sends 70 MB/s, and the instances spend their time on it.
     for number in range(1_400):
         follower.put(b'x' * 250, f'server-{number:05d}')
     follower.follower.poll_once()
@@ -140,16 +140,16 @@
         follower.clock.ms += 1_000.0
         assert follower.follower.poll_once()
     assert follower.seen[-1] == b'y' * 250
-    looks_bytes = follower.table.shown_bytes - whole_bytes
-    # Each change is shown by the looks of the five seconds that it lies behind.
-    assert looks_bytes <= 20 * 250 * (REREAD_WINDOW_MS / 1e3 + 1)
+    polls_bytes = follower.table.shown_bytes - whole_bytes
+    # Each change is returned by all polls of the following five seconds.
+    assert polls_bytes <= 20 * 250 * (REREAD_WINDOW_MS / 1e3 + 1)
 
 
-def test_change_that_was_hidden_behind_newer_ones_is_seen_by_a_look_back(
+def test_change_that_is_hidden_while_newer_ones_are_shown_is_found(
     follower: Follower,
 ) -> None:
-    # The store hides a change for a moment and shows a newer one meanwhile; a look behind the
-    # newer one would never show the first.
+    # The store hides a change for a moment and returns a newer one meanwhile. A poll after the
+    # newer one would never return the first.
     follower.put(LARGE)
     follower.follower.poll_once()
     follower.clock.ms += 10_000.0
@@ -164,8 +164,8 @@
     assert follower.seen[-1] == b'hidden'
 
 
-def test_first_pages_are_handed_on_before_the_last(follower: Follower) -> None:
-    # All instances start at once and each reads a list of six pages; the first one is enough to
+def test_first_pages_are_delivered_before_the_last(follower: Follower) -> None:
+    # All instances start at once and each reads a list of six pages. The first page is enough to
     # serve the first caller.
     for number in range(1_200):
         follower.put(b'x', f'server-{number:05d}')
@@ -184,9 +184,9 @@
     assert len(follower.seen) == 1_000 + 1_200
 
 
-def test_who_goes_on_after_its_readers_asks_for_changes_only(follower: Follower) -> None:
-    # Both readers of a zone are lost. 73 instances that each read 700 KB then would take what the
-    # readers had spared.
+def test_instance_that_loses_its_readers_polls_for_changes_only(follower: Follower) -> None:
+    # Both delegate readers of a zone are lost. If 73 instances each read 700 KB then, the load that
+    # delegation saves would come back at once.
     follower.put(LARGE)
     follower.follower.adopt(follower.table.version, len(LARGE))
     follower.put(b'next')
@@ -195,7 +195,7 @@
     assert follower.table.shown_bytes < len(LARGE)
 
 
-def test_list_that_others_read_is_read_as_a_whole_now_and_then(follower: Follower) -> None:
+def test_delegated_list_is_still_read_in_full_occasionally(follower: Follower) -> None:
     follower.put(LARGE)
     follower.follower.adopt(follower.table.version, len(LARGE))
     follower.clock.ms += (
@@ -205,11 +205,11 @@
     assert follower.table.shown_bytes == len(LARGE)
 
 
-def test_change_that_was_hidden_from_the_reader_is_seen_when_nobody_reads(
+def test_change_that_was_hidden_from_a_lost_reader_is_found(
     follower: Follower,
 ) -> None:
-    # The store hid a change from the reader whose position was taken over, and the reader was
-    # lost before it looked back.
+    # The store hides a change from the reader whose version was adopted, and the reader is lost
+    # before it rereads the recent changes.
     follower.put(LARGE)
     settled = follower.table.version
     follower.put(b'hidden', 'a')
