--- a/citrondyke/decisions/servers/server_health.py
+++ b/citrondyke/decisions/servers/server_health.py
@@ -17,11 +17,11 @@
     """Who may be sent to a server."""
 
     #: Everybody.
-    SOUND = 'sound'
+    HEALTHY = 'sound'
     #: What may be repeated; what may run once only where no sound server has a place.
-    DOUBTED = 'doubted'
+    DEGRADED = 'doubted'
     #: Single requests that may be repeated, one instance at a time.
-    OUT = 'out'
+    EJECTED = 'out'
 
 
 class HealthChange(msgspec.Struct, frozen=True, kw_only=True):
--- a/citrondyke/gateway/callers/event_relay.py
+++ b/citrondyke/gateway/callers/event_relay.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from citrondyke.decisions.forwarding.failover_timeouts import EVENT_MS
+from citrondyke.decisions.forwarding.failover_timeouts import EVENT_TIMEOUT_MS
 from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
 from citrondyke.gateway.callers.event_stream import EventSplitter
 
@@ -74,6 +74,6 @@
         caller.start_stream(reply.head.status, self._dialect.response_headers(reply.head))
 
     def _until_ms(self, forwarded: ForwardedRequest) -> float:
-        if not forwarded.route.is_resumable or forwarded.course.is_last_run:
+        if not forwarded.route.is_resumable or forwarded.course.is_last_attempt:
             return forwarded.until_ms
-        return min(forwarded.until_ms, self._context.now_ms() + EVENT_MS)
+        return min(forwarded.until_ms, self._context.now_ms() + EVENT_TIMEOUT_MS)
--- a/citrondyke/gateway/replication/change_feed.py
+++ b/citrondyke/gateway/replication/change_feed.py
@@ -47,8 +47,8 @@
 
         :param interval_factor: returns the factor by which polling intervals are longer than in a
             small fleet.
-        :param reread: finds out what the feed did not tell, and gives the version from which
-            it goes on; 0 where the store did not answer.
+        :param reread: reads what the feed did not deliver, and returns the version after which the
+            feed continues; 0 if the store did not respond.
         :param delegation: whether another instance follows the table for this one; ``None`` if that
             never happens.
         :param resume_version: returns the version after which to continue when delegation ends; 0
--- a/citrondyke/gateway/servers/health_log.py
+++ b/citrondyke/gateway/servers/health_log.py
@@ -31,11 +31,11 @@
     def changed(self, change: HealthChange) -> None:
         """Log a change with the evidence for it."""
         event = 'server.doubted'
-        if change.after is ServerHealth.OUT:
+        if change.after is ServerHealth.EJECTED:
             event = 'server.out'
-        elif change.before is ServerHealth.OUT:
+        elif change.before is ServerHealth.EJECTED:
             event = 'server.back'
-        elif change.after is ServerHealth.SOUND:
+        elif change.after is ServerHealth.HEALTHY:
             event = 'server.sound'
         self._metrics.counters[event.replace('.', 's_')] += 1
         log.info(
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -122,9 +122,7 @@
     def wait_version(self, version: int) -> None:
         """Wait until all instances have a version of the configuration."""
         wait_until_seen(
-            lambda: all(
-                each.replicated.config.current.version >= version for each in self.instances
-            ),
+            lambda: all(each.replicated.config.table.version >= version for each in self.instances),
             f'version {version} everywhere',
         )
 
