--- a/citrondyke/decisions/server_list/reader_election.py
+++ b/citrondyke/decisions/server_list/reader_election.py
@@ -1,4 +1,4 @@
-"""Which instances read the list of servers for their availability zone, and when that pays."""
+"""Which instances read the server list for their availability zone, and when that is worthwhile."""
 
 from __future__ import annotations
 
@@ -15,33 +15,34 @@
 
 __all__ = ('ReaderElection',)
 
-#: The second one tells the same, so that the loss of one is no gap.
+#: Both readers publish the same list, so that the loss of one leaves no gap.
 READERS_COUNT = 2
-#: With fewer instances in a zone its readers would save next to nothing.
+#: In a smaller zone, readers would save next to nothing.
 MIN_ZONE_SIZE = 5
-#: Bytes of one whole read of the list by all instances from which on few read it. Below, all of
-#: them together are a small part of a second of the store's link, and each is on its own.
+#: Bytes of one full read of the list by all instances from which on only readers read it. Below
+#: this, the reads of all instances are a small part of a second of the link to the store, and every
+#: instance reads on its own.
 WORTHWHILE_BYTES = 16_000_000
-#: Part of it below which all read again.
+#: Part of this limit below which all instances read again.
 STOP_SHARE = 0.5
 
 
 class ReaderElection:
-    """Decided by each instance for itself, from what it knows of the others.
+    """Elect readers at each instance from the instances that it knows.
 
-    Two that know different instances may both take themselves for readers, or both for none. More
-    readers cost bytes; without one, an instance reads for itself.
+    Two instances that know different ones may both act as readers, or neither may. Additional
+    readers cost bytes; without a reader, an instance reads the list itself.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start with everybody reading."""
+        """Start with all instances reading."""
         self._context = context
         self._is_worthwhile = False
 
     def is_worthwhile(self, list_bytes: int, instances_count: int) -> bool:
-        """Tell whether few read for the others.
+        """Return whether a few instances should read for the others.
 
-        :param list_bytes: of the values of the whole list.
+        :param list_bytes: size of the values of the whole list.
         """
         all_bytes = list_bytes * instances_count
         limit = WORTHWHILE_BYTES * (STOP_SHARE if self._is_worthwhile else 1.0)
@@ -49,9 +50,9 @@
         return self._is_worthwhile
 
     def elect_readers(self, zone_members: Iterable[InstanceId]) -> list[InstanceId]:
-        """Choose the readers among the live instances of the own zone, the first one first.
+        """Choose the readers among the live instances of the local zone, by rank.
 
-        :returns: none where the zone is too small.
+        :returns: an empty list if the zone is too small.
         """
         members = list(zone_members)
         if len(members) < MIN_ZONE_SIZE:
--- a/citrondyke/decisions/server_list/server_list_change_log.py
+++ b/citrondyke/decisions/server_list/server_list_change_log.py
@@ -1,4 +1,4 @@
-"""In which order the rows of a list changed here, whatever the store's versions say."""
+"""Order in which the rows of a list changed locally, independent of store versions."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 __all__ = ('ServerListChangeLog',)
 
-#: Changes that are remembered beyond one of each row that is there.
+#: Changes of deleted rows that are kept, in addition to one change for each existing row.
 EXTRA_KEYS_LIMIT = 2_000
 
 
 class ServerListChangeLog:
-    """Numbers changes, so that a neighbour can be told what it lacks.
+    """Number changes, so that a peer can request those it lacks.
 
-    The store may show a change seconds late, under a version that lies behind; a neighbour that
-    asked for all behind a version of the store would never hear of it.
+    The store may show a change seconds late, under an older version; a peer that requested all
+    changes after a store version would never receive it.
     """
 
     def __init__(self) -> None:
         """Start at number 0."""
         self.number = 0
         self._numbers: OrderedDict[str, int] = OrderedDict()
-        #: Up to this number changes may have been forgotten.
+        #: Number up to which changes may have been dropped.
         self._forgotten_until = 0
 
     def record_change(self, key: str, rows_count: int) -> None:
-        """Take note of a change of a row.
+        """Record a change of a row.
 
-        :param rows_count: of the whole list.
+        :param rows_count: number of rows in the whole list.
         """
         self.number += 1
         self._numbers[key] = self.number
@@ -36,16 +36,16 @@
             _, self._forgotten_until = self._numbers.popitem(last=False)
 
     def changed_since(self, number: int) -> list[str] | None:
-        """List the keys that changed behind a number, oldest change first.
+        """List the keys that changed after a number, oldest change first.
 
-        :returns: ``None`` where the memory does not reach back so far.
+        :returns: ``None`` if the log does not reach back that far.
         """
         if number < self._forgotten_until or number > self.number:
             return None
-        found = []
+        keys = []
         for key in reversed(self._numbers):
             if self._numbers[key] <= number:
                 break
-            found.append(key)
-        found.reverse()
-        return found
+            keys.append(key)
+        keys.reverse()
+        return keys
--- a/citrondyke/decisions/server_list/server_list_cursor.py
+++ b/citrondyke/decisions/server_list/server_list_cursor.py
@@ -1,4 +1,4 @@
-"""How far an instance knows the list of servers."""
+"""How far an instance has read the server list."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 
 
 class ServerListCursor(msgspec.Struct, frozen=True, array_like=True):
-    """What a reader tells its zone; what a follower that asks has heard of that reader."""
+    """Cursor that a reader publishes to its zone, and that a follower sends with a request."""
 
-    #: Names the life of the reader whose numbers these are; empty where there is none.
+    #: Incarnation of the reader that the numbers belong to; empty for none.
     life: str
-    #: Of the newest change that the reader's journal holds.
+    #: Number of the newest change in the reader's change log.
     number: int
-    #: Of all keys and versions in the list.
+    #: Digest of all keys and versions in the list.
     digest: int = 0
-    #: Whether the reader has seen the whole list.
+    #: Whether the reader has read the complete list.
     is_whole: bool = False
-    #: Up to which the store has certainly shown all changes.
+    #: Version up to which the store has certainly shown all changes.
     store_version: int = 0
-    #: Time since the store last told the reader of the list.
+    #: Time since the reader last received the list from the store.
     age_ms: float = 0.0
-    #: Of the values of the list.
+    #: Size of the values of the list.
     size_bytes: int = 0
-    #: Up to which the store has certainly shown all changes of the configuration; 0 where the
-    #: reader cannot read the newest one.
+    #: Version up to which the store has certainly shown all configuration changes; 0 if the reader
+    #: cannot read the newest configuration.
     config_store_version: int = 0
-    #: Of the configuration.
+    #: Size of the configuration.
     config_bytes: int = 0
--- a/citrondyke/decisions/server_list/server_list_update.py
+++ b/citrondyke/decisions/server_list/server_list_update.py
@@ -1,4 +1,4 @@
-"""What a reader hands on of the list of servers."""
+"""Rows of the server list that a reader sends to a follower."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class ServerListUpdate(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Rows that changed between two numbers of the reader's journal, or all of them."""
+    """Rows that changed between two numbers of the reader's change log, or all rows."""
 
-    #: Of the reader whose numbers these are.
+    #: Incarnation of the reader that the numbers belong to.
     life: str
     since: int
     number: int
     rows: list[ObservedRow[ServerListEntry]]
-    #: Whether these are all rows that the reader has.
+    #: Whether these are all of the reader's rows.
     is_everything: bool = False
-    #: As of which version of the store they are the whole list; ``None`` for changes, and for a
-    #: list that was not read whole yet.
+    #: Store version as of which the rows are the complete list; ``None`` for changes, and for a
+    #: list that was not read completely yet.
     listing_version: int | None = None
-    #: The configuration, where the one who asked is behind.
+    #: The configuration, if the follower's is stale.
     table: RouteTable | None = None
--- a/citrondyke/decisions/servers/__init__.py
+++ b/citrondyke/decisions/servers/__init__.py
@@ -1,3 +1,3 @@
-"""What the fleet knows of backend servers: who fails, and how long work takes there."""
+"""Health and speed of backend servers as the whole fleet observes them."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/servers/baseline_latencies.py
+++ b/citrondyke/decisions/servers/baseline_latencies.py
@@ -1,4 +1,4 @@
-"""How long answers usually take, by route and service."""
+"""Typical latency of answers by route and service."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 __all__ = ('BaselineLatencies',)
 
-#: Share of a new measurement in the mean.
+#: Weight of a new measurement in the mean.
 SMOOTHING_FACTOR = 0.05
 
 
 class BaselineLatencies:
-    """Means over all servers of a service, to compare one server's answers with.
+    """Mean latencies over all servers of a service, as the baseline for one server.
 
     The requests of two routes of one service differ in length: without the route, a server that
-    happens to get the longer ones would pass for a slow one.
+    happens to get the longer ones would count as slow.
     """
 
     def __init__(self) -> None:
-        """Start without a measurement."""
+        """Start without measurements."""
         self._mean_ms: dict[tuple[RouteName, ServiceName], float] = {}
 
-    def record(self, route: RouteName, service: ServiceName, took_ms: float) -> float:
-        """Take in an answer's time; give the usual one."""
-        known_ms = self._mean_ms.get((route, service), took_ms)
-        mean_ms = known_ms + SMOOTHING_FACTOR * (took_ms - known_ms)
+    def record(self, route: RouteName, service: ServiceName, latency_ms: float) -> float:
+        """Record the latency of an answer and return the mean."""
+        previous_ms = self._mean_ms.get((route, service), latency_ms)
+        mean_ms = previous_ms + SMOOTHING_FACTOR * (latency_ms - previous_ms)
         self._mean_ms[route, service] = mean_ms
         return mean_ms
--- a/citrondyke/decisions/servers/candidate_sampling.py
+++ b/citrondyke/decisions/servers/candidate_sampling.py
@@ -1,4 +1,4 @@
-"""The few servers among which one request's place is chosen."""
+"""Draw the few candidates among which the server of one request is chosen."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 __all__ = ('DRAWN_CANDIDATES_COUNT', 'sample_candidates')
 
-#: Servers that are drawn. With fewer, slow ones are too often the only choice; with more, all
-#: instances choose the same one where counts are a tenth of a second old.
+#: Servers that are drawn. With fewer, often only slow ones are available; with more, all instances
+#: choose the same server if counts are a tenth of a second old.
 DRAWN_CANDIDATES_COUNT = 4
 
 
 def sample_candidates(
     states: list[ServerState], random: Random, now_ms: float, count: int = DRAWN_CANDIDATES_COUNT
 ) -> list[ServerState]:
-    """Draw servers, a quick one more often than a slow one.
+    """Draw servers at random, fast ones more often than slow ones.
 
-    Answers many instances that choose by the same counts, which are some tens of ms old: all would
-    send to the one that looked best, until they hear of it.
+    Handles many instances that choose by the same counts, which are some tens of ms old: all would
+    send to the server that looks best until its new counts arrive.
     """
     if len(states) <= count:
         return states
-    # The largest of random numbers to the power of 1 / weight are a draw by weight.
+    # Drawing by weight: the largest of random numbers raised to the power of 1 / weight win.
     drawn = {
         state.incarnation: random.random() ** state.expected_slowdown(now_ms) for state in states
     }
--- a/citrondyke/decisions/servers/expected_finish.py
+++ b/citrondyke/decisions/servers/expected_finish.py
@@ -1,4 +1,4 @@
-"""When a request would be through at a server, against an empty one of the middle."""
+"""Expected completion time of a request at a server, relative to an empty average server."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 __all__ = ('REQUEST_COST', 'expected_finish')
 
-#: What each request that is on a server adds to the time of the next one, in parts of it, while
-#: places are free: steps grow with what shares them, and counts that are too low show late.
+#: Part by which each request on a server prolongs the next one while capacity is free: steps take
+#: longer the more requests share them, and counts that are too low are corrected late.
 REQUEST_COST = 0.3
 
 
 def expected_finish(state: ServerState, now_ms: float) -> float:
-    """Give the time until a request's answer, in times of one at an empty server of the middle.
+    """Return the time until an answer, as a multiple of that at an empty average server.
 
-    Answers servers of 0.6 to 1.6 times the usual time on machines that are slow for a while: by
-    count the slow ones get as many requests as the quick ones.
+    Handles servers of 0.6 to 1.6 times the typical latency on machines that are slow for a while:
+    chosen by count, the slow ones would get as many requests as the fast ones.
     """
     slots = state.listed.slots_count
     total = state.total_count(now_ms)
     finish = state.expected_slowdown(now_ms) * (1.0 + REQUEST_COST * min(total, slots))
     if total < slots:
         return finish
-    # Batch items make room, so that only online requests are waited for; a free place is better
-    # than one that must be made.
+    # Batch items are preempted, so that a request waits for online requests only; free capacity is
+    # preferred to capacity that must be preempted.
     return finish + slots + state.online_count(now_ms)
--- a/citrondyke/decisions/servers/health_policy.py
+++ b/citrondyke/decisions/servers/health_policy.py
@@ -1,4 +1,4 @@
-"""Which servers an online request may go to, by how they stand with the fleet."""
+"""Which servers an online request may go to, by their health in the fleet."""
 
 from __future__ import annotations
 
@@ -19,25 +19,26 @@
 
 __all__ = ('HealthPolicy',)
 
-#: Between two judgements of a service: with all of 65 instances telling of all of 45 servers one
-#: takes some ms of processor time, and within it a failing server gets a request at the most.
+#: Interval between two evaluations of a service. With all of 65 instances publishing counts of all
+#: of 45 servers one takes some ms of processor time; within the interval a failing server gets at
+#: most one request.
 EVALUATE_EVERY_MS = 40.0
 
 
 class HealthPolicy:
-    """Judges servers, chooses those for what may run once only, and those to be tried."""
+    """Evaluate servers, and choose those for at-most-once requests and those to probe."""
 
-    def __init__(self, context: Context, neighbours: PeerTopology) -> None:
-        """Start with nobody told of changes."""
+    def __init__(self, context: Context, topology: PeerTopology) -> None:
+        """Start without listeners."""
         self._context = context
         self._due_ms: dict[ServiceName, float] = {}
-        self._evaluator = HealthEvaluator(context, neighbours)
-        self._probes = ProbeSchedule(context, neighbours)
+        self._evaluator = HealthEvaluator(context, topology)
+        self._probes = ProbeSchedule(context, topology)
         self.on_change: Callable[[HealthChange], None] = _no_listener
         self.on_probe: Callable[[ServerState], None] = _no_listener
 
     def evaluate(self, states: Sequence[ServerState]) -> None:
-        """Bring the standing of one service's servers up to date, some times a second."""
+        """Update the health of the servers of one service, if the interval has passed."""
         now_ms = self._context.now_ms()
         service = states[0].listed.service if states else None
         if service is None or now_ms < self._due_ms.get(service, 0.0):
@@ -49,9 +50,9 @@
             self.on_change(change)
 
     def server_to_probe(self, states: Iterable[ServerState]) -> ServerState | None:
-        """Give a server in doubt that is to be tried by this instance now.
+        """Return a degraded or ejected server that this instance should probe now.
 
-        One that is dear would otherwise stay in doubt for want of requests.
+        A server of high cost would otherwise get no requests and never recover.
         """
         for state in states:
             if state.health_record.health is not ServerHealth.HEALTHY and self._probes.try_claim(
@@ -63,13 +64,19 @@
 
     @staticmethod
     def servers_for_at_most_once(
-        usable: list[ServerState], expected_to_wait: Callable[[ServerState], bool], now_ms: float
+        eligible: list[ServerState], is_full: Callable[[ServerState], bool], now_ms: float
     ) -> list[ServerState]:
-        """Choose the servers for what may run once only: a failure there cannot be made good."""
-        sound = [state for state in usable if state.health_record.health is ServerHealth.HEALTHY]
-        proven = [state for state in sound if state.health_record.is_past_confirmation(now_ms)]
-        return proven if not all(map(expected_to_wait, proven)) else sound or usable
+        """Choose the servers for requests that may run at most once.
+
+        A failure there cannot be repaired by a retry, so healthy servers with a confirmed
+        incarnation come first, unless all of these are full.
+        """
+        healthy = [
+            state for state in eligible if state.health_record.health is ServerHealth.HEALTHY
+        ]
+        confirmed = [state for state in healthy if state.health_record.is_past_confirmation(now_ms)]
+        return confirmed if not all(map(is_full, confirmed)) else healthy or eligible
 
 
 def _no_listener(_: object) -> None:
-    """Stand where nobody is told."""
+    """Do nothing, while no listener is set."""
--- a/citrondyke/decisions/servers/latency_ratio.py
+++ b/citrondyke/decisions/servers/latency_ratio.py
@@ -1,30 +1,30 @@
-"""How quick a server is for its whole life, as its answers show."""
+"""Lasting speed of a server, derived from the latency of its answers."""
 
 from __future__ import annotations
 
 __all__ = ('LatencyRatio',)
 
-#: Share of one answer in the mean: times of answers spread by a half, and some ten of them tell
-#: a quick server from a slow one.
+#: Weight of one answer in the mean: latencies vary by a half, and some ten answers tell a fast
+#: server from a slow one.
 SMOOTHING_FACTOR = 0.1
-#: One answer counts within these bounds: one request in a hundred takes five times as long.
+#: Bounds of the ratio of one answer: one request in a hundred takes five times the mean.
 MAX_SLOWDOWN = 3.0
 MIN_SLOWDOWN = 0.3
 
 
 class LatencyRatio:
-    """Mean of an answer's time over the usual one; 1.0 is the service's middle."""
+    """Mean ratio of a server's latencies to the typical ones; 1.0 is the service's average."""
 
     def __init__(self) -> None:
-        """Start at the middle of the service."""
+        """Start at the average of the service."""
         self.factor = 1.0
 
-    def record(self, took_ms: float, usual_ms: float) -> None:
-        """Take in an answer.
+    def record(self, latency_ms: float, usual_ms: float) -> None:
+        """Record an answer.
 
-        :param usual_ms: time of an answer to such a request at a server of the middle now.
+        :param usual_ms: current latency of such a request at an average server.
         """
         if usual_ms <= 0.0:
             return
-        ratio = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, took_ms / usual_ms))
+        ratio = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, latency_ms / usual_ms))
         self.factor += SMOOTHING_FACTOR * (ratio - self.factor)
--- a/citrondyke/decisions/servers/probe_schedule.py
+++ b/citrondyke/decisions/servers/probe_schedule.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to try a server that is out."""
+"""Which instance probes a server that is not healthy."""
 
 from __future__ import annotations
 
@@ -14,43 +14,46 @@
 
 __all__ = ('ProbeSchedule',)
 
-#: Length of a turn: a server that has recovered is back after some of them, and one that has not
-#: fails no more than five requests a second, which are repeated elsewhere.
+#: Length of a rotation. A server that has recovered is used again after some rotations, and one
+#: that has not fails at most five requests a second, which are retried elsewhere.
 ROTATION_MS = 200.0
 
 
 class ProbeSchedule:
-    """Gives each server that is out one instance a turn, by rendezvous.
+    """Assign each unhealthy server one instance per rotation, by rendezvous hashing.
 
-    Nothing is agreed on, so that no holder can be lost; clocks that differ cost a second trial.
+    Instances agree on nothing, so that no holder can be lost; clocks that differ cost a second
+    probe.
     """
 
-    def __init__(self, context: Context, neighbours: PeerTopology) -> None:
-        """Start without a trial."""
+    def __init__(self, context: Context, topology: PeerTopology) -> None:
+        """Start without probes."""
         self._context = context
-        self._topology = neighbours
+        self._topology = topology
         self._claimed: dict[ServerIncarnation, int] = {}
 
     def try_claim(self, state: ServerState) -> bool:
-        """Tell whether this instance may send a request to a server now; it counts as sent."""
+        """Claim the probe of a server if it is due at this instance now; return whether it was."""
         now_ms = self._context.now_ms()
         if state.ejected_until_ms > now_ms:
             return False
         record = state.health_record
         since_failure_ms = now_ms - record.last_failure_ms
-        # Where only other zones are failed, their failures are no reason to wait.
+        # Failures in remote zones only are no reason to wait.
         if not record.fails_elsewhere_only and since_failure_ms < record.probe_delay_ms(now_ms):
             return False
-        turn = int(self._context.epoch_ms() // ROTATION_MS)
-        if self._claimed.get(state.incarnation) == turn or not self._is_own_rotation(state, turn):
+        rotation = int(self._context.epoch_ms() // ROTATION_MS)
+        if self._claimed.get(state.incarnation) == rotation or not self._is_own_rotation(
+            state, rotation
+        ):
             return False
-        self._claimed = {life: each for life, each in self._claimed.items() if each == turn}
-        self._claimed[state.incarnation] = turn
+        self._claimed = {life: each for life, each in self._claimed.items() if each == rotation}
+        self._claimed[state.incarnation] = rotation
         return True
 
-    def _is_own_rotation(self, state: ServerState, turn: int) -> bool:
+    def _is_own_rotation(self, state: ServerState, rotation: int) -> bool:
         own_id = self._context.instance_id
-        seed = f'{state.listed.stated_incarnation}.{turn}'
+        seed = f'{state.listed.stated_incarnation}.{rotation}'
         own_weight = rendezvous_weight(own_id, seed)
-        others = self._topology.all_peers()
-        return all(rendezvous_weight(other, seed) < own_weight for other in others)
+        peers = self._topology.all_peers()
+        return all(rendezvous_weight(other, seed) < own_weight for other in peers)
--- a/citrondyke/decisions/servers/reported_slowdown.py
+++ b/citrondyke/decisions/servers/reported_slowdown.py
@@ -1,42 +1,42 @@
-"""How long work takes on a server's machine, as the server states it."""
+"""Slowdown of a server's machine, as the server reports it."""
 
 from __future__ import annotations
 
 __all__ = ('ReportedSlowdown',)
 
-#: A server shares its machine; a figure of the moment loses half of its weight in this time.
+#: A server shares its machine; a current value loses half of its weight in this time.
 HALF_LIFE_MS = 150.0
-#: Figures beyond this many times the usual are no measurement.
+#: Values beyond this many times the typical service time are not plausible.
 IMPLAUSIBLE_FACTOR = 100.0
-#: Figures count within these bounds: a wrong one must neither draw everybody nor hide a server.
+#: Bounds of a value: a wrong one must neither attract all requests nor keep all away.
 MAX_SLOWDOWN = 4.0
 MIN_SLOWDOWN = 0.25
-#: Share of a new figure in the mean of a server's figures.
+#: Weight of a new value in the mean.
 SMOOTHING_FACTOR = 0.1
 
 
 class ReportedSlowdown:
-    """Figures of one life of one server, each with its age.
+    """Reported slowdown of one server incarnation, weighted by age.
 
-    Answers machines that other work makes slow for some hundred ms at a time: what a server
-    said a while ago tells of its usual state only.
+    Handles machines that other work slows down for some hundred ms at a time: an older value shows
+    the server's typical state only.
     """
 
     def __init__(self) -> None:
-        """Start without a figure."""
+        """Start without values."""
         self._last = 1.0
         self._last_ms = 0.0
         self._mean = 0.0
 
     @property
     def is_known(self) -> bool:
-        """Tell whether the server states its pace."""
+        """Return whether the server reports its slowdown."""
         return self._mean > 0.0
 
     def record(self, factor: float, now_ms: float) -> bool:
-        """Take in a figure; tell whether it can be one.
+        """Record a value; return whether it is plausible.
 
-        :param factor: how many times as long as usual work takes.
+        :param factor: service time relative to the typical one.
         """
         if not 0.0 < factor <= IMPLAUSIBLE_FACTOR:
             return False
@@ -47,7 +47,7 @@
         return True
 
     def factor(self, now_ms: float) -> float:
-        """Give what is to be expected now; 1.0 where nothing was stated."""
+        """Return the slowdown expected now; 1.0 if none was reported."""
         if not self.is_known:
             return 1.0
         weight = 0.5 ** ((now_ms - self._last_ms) / HALF_LIFE_MS)
--- a/citrondyke/decisions/servers/server_evidence.py
+++ b/citrondyke/decisions/servers/server_evidence.py
@@ -1,4 +1,4 @@
-"""What one instance tells the others of one server."""
+"""One instance's outcome counts of one server, as sent to peers."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class ServerEvidence(msgspec.Struct, frozen=True, kw_only=True):
-    """Sums of the sender since the server came into doubt; they replace its earlier ones."""
+    """Outcome counts since the server's first failure; they replace the sender's earlier ones."""
 
-    #: Digest of the server's life.
+    #: Digest of the server's incarnation.
     server: int
     failed: int = 0
     unanswered: int = 0
     succeeded: int = 0
-    #: Successes after the last failure that the sender knows of, whoever saw that.
+    #: Successes after the last failure that the sender knows of, observed by any instance.
     recovered: int = 0
-    #: Time since its last failure and its last success; ``None`` where it saw none.
+    #: Time since the sender observed its last failure and its last success; ``None`` for none.
     failure_age_ms: float | None = None
     success_age_ms: float | None = None
--- a/citrondyke/decisions/servers/server_health.py
+++ b/citrondyke/decisions/servers/server_health.py
@@ -1,4 +1,4 @@
-"""How a backend server stands with the fleet."""
+"""Health of a backend server in the fleet."""
 
 from __future__ import annotations
 
@@ -14,27 +14,27 @@
 
 
 class ServerHealth(Enum):
-    """Who may be sent to a server."""
+    """Which requests may be sent to a server."""
 
-    #: Everybody.
+    #: All requests.
     HEALTHY = 'sound'
-    #: What may be repeated; what may run once only where no sound server has a place.
+    #: Repeatable requests; at-most-once requests only if no healthy server has capacity.
     DEGRADED = 'doubted'
-    #: Single requests that may be repeated, one instance at a time.
+    #: Single repeatable requests, sent by one instance at a time.
     EJECTED = 'out'
 
 
 class HealthChange(msgspec.Struct, frozen=True, kw_only=True):
-    """A server's standing has changed, and by what."""
+    """A change of the health of a server, with the outcomes behind it."""
 
     server_id: ServerId
     before: ServerHealth
     after: ServerHealth
     failures: int
     successes: int
-    #: Time since the last failure; infinite where none is known.
+    #: Time since the last failure; infinite if none is known.
     failure_age_ms: float
-    #: Who saw failures.
+    #: Instances that observed failures.
     witnesses: list[InstanceId]
-    #: How often it went out lately.
+    #: Number of recent ejections.
     outs_count: int
