--- a/citrondyke/decisions/server_list/__init__.py
+++ b/citrondyke/decisions/server_list/__init__.py
@@ -1,1 +1,1 @@
-"""Which instances read the server list from the store, and how others receive it."""
+"""Who reads the list of servers from the store, and who hears of it from a neighbour."""
