--- a/citrondyke/decisions/accounts/advance_grant_records.py
+++ b/citrondyke/decisions/accounts/advance_grant_records.py
@@ -43,10 +43,7 @@
     """
 
     def __init__(self, slot: int, lease_epoch: int) -> None:
-        """Initialize the records with an unknown row.
-
-        :param lease_epoch: epoch of the lease.
-        """
+        """Initialize the records with an unknown row."""
         self._slot = slot
         self._lease_epoch = lease_epoch
         self._row: AdvanceGrantRow | None = None
--- a/citrondyke/decisions/accounts/quota_floors.py
+++ b/citrondyke/decisions/accounts/quota_floors.py
@@ -43,7 +43,6 @@
     ) -> None:
         """Initialize the floors at the start of a lease.
 
-        :param lease_epoch: epoch of the lease.
         :param filled_ms: time for which accounts are known to have refilled at the start.
         """
         self._lease_epoch = lease_epoch
--- a/tests/support/limit_world.py
+++ b/tests/support/limit_world.py
@@ -1,4 +1,4 @@
-"""Instances that keep limits, in virtual time: cut off, ended, paused, suspended, told late."""
+"""A fleet of rate limiters in virtual time, with faults of links, instances and the store."""
 
 from __future__ import annotations
 
@@ -39,12 +39,12 @@
 DELAY_MS = 1.0
 QUERY_TIMEOUT_MS = 40.0
 QUERY_ROUNDS = 2
-#: A change of the fleet or of the configuration is known everywhere within this.
+#: A change of the fleet or of the configuration reaches all instances within this time.
 PROPAGATION_MS = 2_000.0
 TICK_MS = 200.0
 STORE_MS = 4.0
 STORE_TIMEOUT_MS = 300.0
-#: A call that goes by way of a peer may be carried out much later.
+#: Extra delay of a store call that is relayed by a peer.
 STORE_LATE_MS = 3_000.0
 
 BUDGET = OvershootBudget(window_ms=WINDOW_MS, overshoot=0.1, slack=20.0)
@@ -61,7 +61,7 @@
 
 
 def allowed_in_window(account: Account) -> float:
-    """The bound of the users' rule on any span of five seconds."""
+    """Return the largest number of uses that is permitted in any window of five seconds."""
     uses = account.rate_per_s * WINDOW_MS / 1e3 + account.burst
     return uses * (1 + BUDGET.overshoot) + BUDGET.slack
 
@@ -82,7 +82,7 @@
 
 
 class Node(msgspec.Struct, eq=False):
-    """One life of one instance."""
+    """One incarnation of an instance."""
 
     id: InstanceId
     clock: _InstanceClock
@@ -95,7 +95,7 @@
 
 
 class _PendingRequest(msgspec.Struct, eq=False):
-    """One request at one instance."""
+    """A request in progress at an instance."""
 
     node: Node
     account: Account
@@ -104,12 +104,12 @@
     tried: set[InstanceId] = set()
     rounds: int = 1
     is_back: bool = False
-    #: Whether it comes back to a place that is kept for it.
+    #: Whether it returns to a reservation.
     is_kept: bool = False
 
 
 class LimitWorld:
-    """A fleet and what its accounts got."""
+    """A simulated fleet that records the uses granted to accounts."""
 
     def __init__(
         self, make: Make, instances_count: int, accounts: list[Account], seed: int = 1
@@ -127,20 +127,20 @@
         self.verdicts: Counter[tuple[TenantId, VerdictKind]] = Counter()
         self.waits_ms: list[float] = []
         self.sent_counts: Counter[InstanceId] = Counter()
-        #: What requests need of their limit, and what becomes of those that are told a time.
+        #: Requirements of requests, and outcomes of those that return to a reservation.
         self.left_ms = 0.0
         self.may_wait_ms = 0.0
         self.reserved_outcomes: Counter[str] = Counter()
         self._next_work = count(1)
-        #: Rows of marks by slot; they outlive all instances.
+        #: Stored advance grant rows by slot; they survive a crash of all instances.
         self.rows: dict[int, AdvanceGrantRow] = {}
         self.is_store_unresponsive = False
-        #: Part of the store's answers that get lost.
+        #: Share of the store's replies that are lost.
         self.lost_share = 0.0
         self.epoch_step_ms = 0.0
         self.loses_floors: set[InstanceId] = set()
         self.tick_ms = TICK_MS
-        #: What is called with the answer to a question, by asking instance and number.
+        #: Callbacks for the answers to queries, by querying instance and number.
         self._pending_queries: dict[
             tuple[InstanceId, int], Callable[[UseAnswered | None], None]
         ] = {}
@@ -150,7 +150,7 @@
             node.members = tuple(self.nodes)
 
     def run(self, for_ms: float) -> None:
-        """Let time pass."""
+        """Run the events of the next ``for_ms``."""
         until_ms = self.now_ms + for_ms
         while self._events and self._events[0][0] <= until_ms:
             self.now_ms, _, act = heapq.heappop(self._events)
@@ -158,17 +158,17 @@
         self.now_ms = until_ms
 
     def at(self, delay_ms: float, act: Callable[[], None]) -> None:
-        """Have something happen later."""
+        """Schedule an event."""
         heapq.heappush(self._events, (self.now_ms + delay_ms, next(self._order), act))
 
     def load(self, account: TenantId, per_s: float, for_ms: float) -> None:
-        """Have an account's callers come to all instances, at random."""
+        """Schedule requests of an account at random times and instances."""
         at_ms = 0.0
         while (at_ms := at_ms + self.random.expovariate(per_s) * 1e3) < for_ms:
             self.at(at_ms, lambda: self.call(account))
 
     def call(self, account: TenantId) -> None:
-        """Have a request come to some instance that runs."""
+        """Send a request to a random live instance."""
         running = [node for node in self.nodes.values() if not node.is_dead]
         if not running:
             return
@@ -189,7 +189,7 @@
             self._advance_request(back)
 
     def kill(self, name: InstanceId, back_ms: float | None) -> None:
-        """End an instance; it is back after a while, or for good not."""
+        """Crash an instance; it restarts after ``back_ms``, or never if that is ``None``."""
         self.nodes[name].is_dead = True
         if back_ms is not None:
             self.at(back_ms, lambda: self._start(name))
@@ -197,33 +197,33 @@
             self._publish_members(frozenset(self.nodes) - {name})
 
     def add(self, name: InstanceId) -> None:
-        """Add an instance; the others hear of it late."""
+        """Add an instance; the others learn of it with a delay."""
         self._start(name)
         self._publish_members(frozenset(self.nodes))
 
     def pause(self, name: InstanceId, for_ms: float, *, suspended: bool) -> None:
-        """Stop an instance for a while; suspended, its steady clock stands still too."""
+        """Pause an instance; if it is suspended, its monotonic clock stops too."""
         node = self.nodes[name]
         node.paused_until_ms = self.now_ms + for_ms
         if suspended:
             node.clock.suspended_ms += for_ms
 
     def change(self, account: Account) -> None:
-        """Change a limit; each instance hears of it within the lag, and no version goes back."""
+        """Change a limit; each instance applies it after a delay, and never an older version."""
         self.accounts[account.id] = account
         self.version += 1
         version = self.version
 
-        def take(node: Node) -> None:
+        def apply(node: Node) -> None:
             if version > node.version:
                 node.version = version
                 node.accounts[account.id] = account
 
         for node in self.nodes.values():
-            self.at(self.random.uniform(0, PROPAGATION_MS), partial(take, node))
+            self.at(self.random.uniform(0, PROPAGATION_MS), partial(apply, node))
 
     def largest_window(self, account: TenantId, from_ms: float = 0.0) -> int:
-        """The most uses in any span of the window."""
+        """Return the largest number of uses in any window."""
         uses = sorted(at for at in self.uses_ms.get(account, []) if at >= from_ms)
         return max(
             (index + 1 - bisect_left(uses, at - WINDOW_MS) for index, at in enumerate(uses)),
--- a/tests/test_accounts/test_accounts_machine.py
+++ b/tests/test_accounts/test_accounts_machine.py
@@ -1,4 +1,4 @@
-"""Any series of cuts, ends, pauses, additions and changes: no window passes its bound."""
+"""Stateful test: no sequence of faults and changes lets a window exceed its limit."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 LARGE = Account(id=TenantId('large'), rate_per_s=40.0, burst=40.0)
 SMALL = Account(id=TenantId('small'), rate_per_s=1.0, burst=1.0)
 FIRST_COUNT = 7
-places = st.integers(0, FIRST_COUNT - 1)
+indexes = st.integers(0, FIRST_COUNT - 1)
 
 
 class LimitMachine(RuleBasedStateMachine):
-    """Both accounts ask for many times their limits all the time."""
+    """Both accounts permanently send many times their limits."""
 
     @initialize(seed=st.integers(0, 2**16))
     def start(self, seed: int) -> None:
@@ -30,76 +30,76 @@
         self.names = list(self.world.nodes)
         self.allowed = {each.id: allowed_in_window(each) for each in (LARGE, SMALL)}
         self.since_ms = {each.id: 0.0 for each in (LARGE, SMALL)}
-        self.let_pass(1_000.0)
+        self.load(1_000.0)
 
     @rule(for_ms=st.sampled_from([50.0, 300.0, 1_000.0, 2_500.0, 6_000.0]))
-    def let_pass(self, for_ms: float) -> None:
-        """Let time pass under load."""
+    def load(self, for_ms: float) -> None:
+        """Run under load."""
         self.world.load(LARGE.id, 300.0, for_ms)
         self.world.load(SMALL.id, 30.0, for_ms)
         self.world.run(for_ms)
 
     @rule(for_ms=st.sampled_from([1_500.0, 6_000.0]), then_ms=st.sampled_from([800.0, 5_000.0]))
-    def rest(self, for_ms: float, then_ms: float) -> None:
-        """Let accounts fill up and ask for all of it at once."""
+    def refill(self, for_ms: float, then_ms: float) -> None:
+        """Let the quotas refill and use them up at once."""
         self.world.run(for_ms)
-        self.let_pass(then_ms)
+        self.load(then_ms)
 
-    @rule(parted=st.sets(places, min_size=1, max_size=FIRST_COUNT - 1))
-    def cut(self, parted: set[int]) -> None:
-        """Part some instances from the rest."""
-        inside = [self.names[place] for place in parted]
+    @rule(partitioned=st.sets(indexes, min_size=1, max_size=FIRST_COUNT - 1))
+    def cut(self, partitioned: set[int]) -> None:
+        """Partition some instances from the rest."""
+        inside = [self.names[index] for index in partitioned]
         outside = [name for name in self.world.nodes if name not in inside]
         self.world.cut_links = {frozenset((a, b)) for a in inside for b in outside}
 
-    @rule(place=places, other=places)
-    def cut_pair(self, place: int, other: int) -> None:
+    @rule(index=indexes, other=indexes)
+    def cut_pair(self, index: int, other: int) -> None:
         """Cut one link."""
-        if place != other:
-            self.world.cut_links.add(frozenset((self.names[place], self.names[other])))
+        if index != other:
+            self.world.cut_links.add(frozenset((self.names[index], self.names[other])))
 
     @rule()
     def heal(self) -> None:
-        """Mend all links."""
+        """Restore all links."""
         self.world.cut_links = set()
 
-    @rule(place=places, back_ms=st.sampled_from([100.0, 700.0, 3_000.0]))
-    def kill(self, place: int, back_ms: float) -> None:
-        """End one instance; it comes back."""
-        if not self.world.nodes[self.names[place]].is_dead:
-            self.world.kill(self.names[place], back_ms)
+    @rule(index=indexes, back_ms=st.sampled_from([100.0, 700.0, 3_000.0]))
+    def kill(self, index: int, back_ms: float) -> None:
+        """Crash an instance that restarts later."""
+        if not self.world.nodes[self.names[index]].is_dead:
+            self.world.kill(self.names[index], back_ms)
 
     @rule(back_ms=st.sampled_from([400.0, 900.0]))
     def kill_all(self, back_ms: float) -> None:
-        """End all; they come back."""
+        """Crash all instances, which restart later."""
         for name in self.names:
             if not self.world.nodes[name].is_dead:
                 self.world.kill(name, back_ms * self.world.random.uniform(0.5, 1))
 
-    @rule(place=places, for_ms=st.sampled_from([500.0, 2_000.0, 7_000.0]), suspended=st.booleans())
-    def pause(self, place: int, for_ms: float, suspended: bool) -> None:
-        """Stop one instance for a while."""
-        if not self.world.nodes[self.names[place]].is_dead:
-            self.world.pause(self.names[place], for_ms, suspended=suspended)
+    @rule(index=indexes, for_ms=st.sampled_from([500.0, 2_000.0, 7_000.0]), suspended=st.booleans())
+    def pause(self, index: int, for_ms: float, suspended: bool) -> None:
+        """Pause or suspend an instance."""
+        if not self.world.nodes[self.names[index]].is_dead:
+            self.world.pause(self.names[index], for_ms, suspended=suspended)
 
-    @rule(parted=st.sets(places, max_size=FIRST_COUNT))
-    def deafen(self, parted: set[int]) -> None:
-        """Have some instances hear nothing of floors."""
-        self.world.loses_floors = {self.names[place] for place in parted}
+    @rule(partitioned=st.sets(indexes, max_size=FIRST_COUNT))
+    def drop_floors(self, partitioned: set[int]) -> None:
+        """Let some instances lose all floor messages."""
+        self.world.loses_floors = {self.names[index] for index in partitioned}
 
-    @rule(is_silent=st.booleans())
-    def silence_store(self, is_silent: bool) -> None:
-        """Have the store answer nobody, or all again."""
-        self.world.is_store_unresponsive = is_silent
+    @rule(is_unresponsive=st.booleans())
+    def set_store_unresponsive(self, is_unresponsive: bool) -> None:
+        """Make the store unresponsive or responsive."""
+        self.world.is_store_unresponsive = is_unresponsive
 
     @rule()
     def step_clocks(self) -> None:
-        """Step the time of day everywhere."""
+        """Step the wall clock of all instances."""
         self.world.epoch_step_ms += self.world.random.uniform(-3e5, 3e5)
 
     @rule()
     def kill_steward(self) -> None:
-        """End the instance that counts the large account; it comes back."""
+        """Crash the steward of the large account, which restarts later."""
         for node in list(self.world.nodes.values()):
             is_steward = not node.is_dead and node.limits.window(LARGE.id) is not None  # type: ignore[attr-defined]
             if is_steward and sum(not each.is_dead for each in self.world.nodes.values()) > 3:
@@ -107,13 +107,16 @@
 
     @rule(factor=st.sampled_from([0.1, 0.5, 1.0]))
     def change(self, factor: float) -> None:
-        """Change the large account's limit; a lower one binds a window after all know it."""
+        """Change the large account's limit.
+
+        A lower limit is enforced one window after all instances know it.
+        """
         changed = msgspec.structs.replace(LARGE, rate_per_s=40 * factor, burst=40 * factor)
         before = self.world.accounts[LARGE.id]
         self.world.change(changed)
         self.check()
         if changed.rate_per_s < before.rate_per_s:
-            self.let_pass(PROPAGATION_MS + WINDOW_MS)
+            self.load(PROPAGATION_MS + WINDOW_MS)
             self.since_ms[LARGE.id] = self.world.now_ms
         self.allowed[LARGE.id] = allowed_in_window(changed)
 
@@ -125,7 +128,7 @@
 
     @invariant()
     def check(self) -> None:
-        """No span of the window has more uses than allowed."""
+        """Check that no window has more uses than allowed."""
         if not hasattr(self, 'world'):
             return
         for account, allowed in self.allowed.items():
@@ -137,17 +140,17 @@
 test_machine = LimitMachine.TestCase
 
 
-def test_newcomer_beside_a_restart_of_all_is_no_second_steward() -> None:
-    # All instances lose power while an account asks for many times its limit, and one is added
-    # before they are back. Who is back does not know the newcomer yet: by their keepers the first
-    # one gets two words of three, by the newcomer's the newcomer does.
+def test_instance_added_during_a_restart_of_all_is_no_second_steward() -> None:
+    # All instances crash under load, and one is added before they restart. The restarted ones don't
+    # know the new instance yet: in their replica set the first replica gets two of three votes, in
+    # the new instance's replica set the new instance does.
     machine = LimitMachine()
     machine.start(seed=5927)
-    machine.let_pass(6_000.0)
+    machine.load(6_000.0)
     machine.kill_all(900.0)
     machine.kill_all(900.0)
     machine.add()
     machine.kill(3, 100.0)
     machine.kill(5, 100.0)
-    machine.let_pass(6_000.0)
+    machine.load(6_000.0)
     machine.check()
--- a/tests/test_memory/__init__.py
+++ b/tests/test_memory/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the budget of held bytes."""
+"""Tests of the byte budget."""
--- a/tests/test_memory/test_memory_byte_budget.py
+++ b/tests/test_memory/test_memory_byte_budget.py
@@ -1,4 +1,4 @@
-"""Bytes held for callers and servers stay within one budget."""
+"""Bytes held for callers and servers stay within a common budget."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 def fill(budget: ByteBudget, kind: HeldKind) -> list[HeldBytes]:
-    """Hold bodies of one piece until there is no room."""
+    """Hold bodies of one piece until the budget is used up."""
     bodies = []
     while (held := budget.open(kind)).try_acquire(PIECE_BYTES):
         bodies.append(held)
     return bodies
 
 
-def test_answers_that_nobody_reads_leave_room_for_requests() -> None:
-    # Callers read slowly: answers fill their part, and requests are still taken.
+def test_unread_responses_leave_budget_for_requests() -> None:
+    # Slow readers: responses use up their share of the budget, and requests are still accepted.
     budget = ByteBudget(LIMIT_BYTES)
     fill(budget, HeldKind.ANSWER)
     assert budget.bytes_of(HeldKind.ANSWER) <= KIND_SHARE * LIMIT_BYTES
     assert budget.open(HeldKind.REQUEST).try_acquire(PIECE_BYTES)
 
 
-def test_the_oldest_comes_to_its_end() -> None:
-    # Many large answers grow at once. If each waited for the others with a part of its bytes,
-    # none would end and all callers would be lost.
+def test_oldest_body_always_completes() -> None:
+    # Guards against a deadlock of many large responses that grow at once: if each waited for the
+    # others with a part of its bytes, none would complete.
     budget = ByteBudget(LIMIT_BYTES)
     bodies = fill(budget, HeldKind.ANSWER)
     assert not bodies[-1].try_acquire(PIECE_BYTES)
@@ -40,7 +40,7 @@
 
 
 class BudgetMachine(RuleBasedStateMachine):
-    """Bodies that begin, grow and go in any order, beside a plain sum of them."""
+    """Bodies that start, grow and end in any order, compared with a plain sum."""
 
     def __init__(self) -> None:
         super().__init__()
