--- a/citrondyke/decisions/batch/start_rate_limiter.py
+++ b/citrondyke/decisions/batch/start_rate_limiter.py
@@ -48,7 +48,7 @@
     @property
     def gap_ms(self) -> float:
         """Return the time after which all local peers know of a start."""
-        return max(MIN_GAP_MS, self._topology.gap_ms + ONE_WAY_DELAY_MS)
+        return max(MIN_GAP_MS, self._topology.notice_interval_ms + ONE_WAY_DELAY_MS)
 
     def try_start(self, service: ServiceName, free_count: int, *, is_remote: bool = False) -> bool:
         """Take one start from the budget if it allows it.
@@ -82,7 +82,7 @@
         """
         topology = self._topology
         if not self.demand.is_peer_demand_known(service):
-            return free_count / (topology.instances_count if is_remote else topology.near_count)
+            return free_count / (topology.instances_count if is_remote else topology.mesh_size)
         if is_remote:
             return self.demand.own_share_of_capacity(service, free_count / topology.zones_count)
         return self.demand.own_share_of_capacity(service, free_count)
--- a/citrondyke/gateway/accounts/limit_exchange.py
+++ b/citrondyke/gateway/accounts/limit_exchange.py
@@ -35,7 +35,7 @@
     from citrondyke.decisions.accounts.limit_messages import Addressed, LimitMessage, UseNeed
     from citrondyke.decisions.accounts.steward_rate_limiter import StewardRateLimiter
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.current_config import CurrentConfig
+    from citrondyke.decisions.forwarding.replicated_config import ReplicatedConfig
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.gateway.peers.membership import Membership
     from citrondyke.gateway.tasks import Tasks
@@ -74,7 +74,7 @@
         self,
         context: Context,
         limits: StewardRateLimiter,
-        config: CurrentConfig,
+        config: ReplicatedConfig,
         membership: Membership,
         metrics: Metrics,
         peer_port: int,
@@ -225,7 +225,7 @@
 
     def _run_leases(self) -> None:
         while True:
-            has_limits = self._config.current.has_limits
+            has_limits = self._config.table.has_limits
             pause_ms = self._pause_ms() if has_limits else IDLE_POLL_MS
             gevent.sleep(self._context.jittered_ms(pause_ms, share=0.1) / 1e3)
             if has_limits:
@@ -261,7 +261,7 @@
         peer = self._membership.peers.get(receiver)
         if peer is None or self._socket is None:
             return False
-        version = self._config.current.version
+        version = self._config.table.version
         text = PeerMessage(self._context.instance_id, version, LimitText(message))
         try:
             self._socket.sendto(encode_message(text), (peer.ip, peer.peer_port + PORT_AFTER_PEERS))
--- a/citrondyke/gateway/callers/caller_frontend.py
+++ b/citrondyke/gateway/callers/caller_frontend.py
@@ -86,7 +86,7 @@
         connection = CallerConnection(
             self._context.clock,
             sock,
-            lambda: self._replicated.config.current.limits,
+            lambda: self._replicated.config.table.limits,
             self._budget,
         )
         self._open.add(connection)
@@ -149,14 +149,14 @@
             return
         if not self._replicated.is_complete:
             self._gate.wait(metadata.within_ms)
-            if not self._replicated.config.current.version:
+            if not self._replicated.config.table.version:
                 self._answer_not_started(connection, request, metadata.request_id)
                 return
         call = self._dialect.job_call(request)
-        table = self._replicated.config.current
+        table = self._replicated.config.table
         if call is not None:
             is_public = table.has_public_batch(request.host)
-            account = table.account_of(metadata.key_digest, is_public=is_public)
+            account = table.authenticate(metadata.key_digest, is_public=is_public)
             if isinstance(account, NoAccount):
                 self._answer_no_account(connection, request, metadata, account)
             else:
@@ -166,7 +166,7 @@
         if isinstance(route, NoRoute):
             self._answer_no_route(connection, request, metadata.request_id)
             return
-        account = table.account_of(metadata.key_digest, is_public=route.is_public)
+        account = table.authenticate(metadata.key_digest, is_public=route.is_public)
         if isinstance(account, NoAccount):
             self._answer_no_account(connection, request, metadata, account)
         elif route.kind is RouteKind.BATCH and request.method == b'POST':
@@ -220,7 +220,7 @@
             extra={
                 'request_id': request_id,
                 **detail,
-                'config_version': config.current.version,
+                'config_version': config.table.version,
                 'confirmed_age_ms': round(min(config.age_ms(self._context.now_ms()), 1e9)),
                 'status': status,
             },
--- a/citrondyke/gateway/callers/forwarder.py
+++ b/citrondyke/gateway/callers/forwarder.py
@@ -6,7 +6,7 @@
 
 from citrondyke.decisions.crashes.request_fingerprint import LazyRequestFingerprint
 from citrondyke.decisions.crashes.suspect_registry import SuspectStatus
-from citrondyke.decisions.forwarding.failover_timeouts import EVENT_MS, FailoverTimeouts
+from citrondyke.decisions.forwarding.failover_timeouts import EVENT_TIMEOUT_MS, FailoverTimeouts
 from citrondyke.decisions.forwarding.route import RouteKind
 from citrondyke.decisions.forwarding.send_history import SendHistory, SendOutcome
 from citrondyke.decisions.forwarding.server_state import ServerState
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.account import Account
     from citrondyke.decisions.core.context import Context
-    from citrondyke.decisions.forwarding.current_config import CurrentConfig
+    from citrondyke.decisions.forwarding.replicated_config import ReplicatedConfig
     from citrondyke.decisions.forwarding.route import Route
     from citrondyke.decisions.memory.byte_budget import ByteBudget, HeldBytes
     from citrondyke.gateway.callers.admission_controller import AdmissionController
@@ -54,7 +54,7 @@
         dialect: Dialect,
         answers: ErrorResponder,
         log: RequestLog,
-        config: CurrentConfig,
+        config: ReplicatedConfig,
         budget: ByteBudget,
     ) -> None:
         """Use the parts handed in."""
@@ -87,7 +87,7 @@
             facts=metadata,
             account=account,
             route=route,
-            config_version=self._config.current.version,
+            config_version=self._config.table.version,
             course=SendHistory(route),
             until_ms=request.arrived_ms + within_ms,
             last_event_id=metadata.last_event_id,
@@ -128,7 +128,7 @@
             if isinstance(result, DeferredFailure):
                 failure = result
             if suspect_status is SuspectStatus.PROBE_DUE and not history.may_have_run_at(
-                state.life
+                state.incarnation
             ):
                 self._guard.record_probe_refused(forwarded.fingerprint)
         return self._answers.answer_failed(
@@ -186,16 +186,16 @@
             detail = error.message
             self._record_interrupted(forwarded, state, error)
             if outcome is SendOutcome.UNKNOWN and not self._is_out_of_time(forwarded):
-                state.note_failure(self._context.now_ms())
+                state.record_failure(self._context.now_ms())
             return None
         except CallerGoneError:
             detail = 'caller disconnected'
             now_ms = self._context.now_ms()
-            if connection is not None and now_ms - connection.last_activity_ms > EVENT_MS:
+            if connection is not None and now_ms - connection.last_activity_ms > EVENT_TIMEOUT_MS:
                 # Callers disconnect from a stream that stalls. If that did not count as a failure,
                 # an unresponsive server would go on getting as many requests as the others.
                 detail = 'caller disconnected, server unresponsive'
-                state.note_failure(now_ms)
+                state.record_failure(now_ms)
             raise
         finally:
             if connection is not None:
@@ -203,9 +203,9 @@
             if is_good:
                 self._guard.record_survived(forwarded.work)
                 self._admission.record_service_time(forwarded, self._context.now_ms() - started_ms)
-                state.note_success()
+                state.record_success()
             else:
-                forwarded.course.note(state.life, outcome)
+                forwarded.course.record_send(state.incarnation, outcome)
                 self._log.send_failed(forwarded, state, outcome, detail, started_ms)
 
     def _record_interrupted(
@@ -292,16 +292,18 @@
         :raises BrokenReplyError: if no response arrives, or one to another request.
         """
         request_id = forwarded.facts.request_id
-        timeout_ms = self._timeouts.first_answer_ms(forwarded.route, state, expected_wait_ms)
+        timeout_ms = self._timeouts.first_answer_timeout_ms(
+            forwarded.route, state, expected_wait_ms
+        )
         failover_at_ms = self._context.now_ms() + timeout_ms
         if failover_at_ms < forwarded.until_ms:
             try:
                 return self._sends.read_reply(state, connection, request_id, failover_at_ms)
             except BrokenReplyError as error:
                 is_silent = error.break_kind is BreakKind.SILENT
-                if not is_silent or not forwarded.course.is_last_run:
+                if not is_silent or not forwarded.course.is_last_attempt:
                     raise
-                state.note_failure(self._context.now_ms())
+                state.record_failure(self._context.now_ms())
                 self._log.suspected(forwarded, state, timeout_ms)
         return self._sends.read_reply(state, connection, request_id, forwarded.until_ms)
 
@@ -312,8 +314,8 @@
         forwarded.server_first_ms = now_ms
         took_ms = now_ms - started_ms
         state.record_latency(took_ms)
-        self._timeouts.note(forwarded.route, took_ms)
-        usual_ms = self._baselines.note(forwarded.route.name, state.listed.service, took_ms)
+        self._timeouts.record_first_answer(forwarded.route, took_ms)
+        usual_ms = self._baselines.record(forwarded.route.name, state.listed.service, took_ms)
         state.record_work(took_ms, usual_ms, now_ms)
 
     def _left_ms(self, forwarded: ForwardedRequest) -> float:
