--- a/citrondyke/decisions/jobs/__init__.py
+++ b/citrondyke/decisions/jobs/__init__.py
@@ -1,3 +1,3 @@
-"""Batch jobs: acceptance, segments, items, outcomes."""
+"""Batch jobs from uploaded files: acceptance, segments, items and outcomes."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/jobs/acceptance.py
+++ b/citrondyke/decisions/jobs/acceptance.py
@@ -1,4 +1,4 @@
-"""Accepts files and jobs, and stops jobs."""
+"""Acceptance and cancellation of job files and jobs."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class JobAcceptance:
-    """Makes files and jobs durable before their callers hear of them."""
+    """Stores files and jobs durably before their callers get an answer."""
 
     def __init__(
         self,
@@ -69,9 +69,9 @@
         configuration: Callable[[], Configuration],
         on_outcome: Callable[[OutcomeRecord], None],
     ) -> None:
-        """Use what is handed in.
+        """Start with the given collaborators.
 
-        :param on_outcome: told when a job is accepted.
+        :param on_outcome: called when a job is accepted.
         """
         self._on_outcome = on_outcome
         self._context = context
@@ -80,7 +80,7 @@
     def record_file(
         self, tenant_id: TenantId, upload_id: str, filename: str, summary: JobFileSummary
     ) -> Workflow[tuple[str, FileRow] | JobRejection]:
-        """Make an uploaded file visible; the same content again is the same file."""
+        """Make an uploaded file visible; uploading the same content again yields the same file."""
         file_id = 'file-' + digest_hex(tenant_id.encode(), summary.digest.encode())
         key = file_row_key(tenant_id, file_id)
         row = FileRow(
@@ -119,7 +119,7 @@
     def find_job(self, tenant_id: TenantId | None, job_id: JobId) -> Workflow[JobResult]:
         """Read a job's row.
 
-        :param tenant_id: whose job it must be; ``None`` for an operator.
+        :param tenant_id: tenant that must own the job; ``None`` for an operator.
         """
         key = job_row_key(job_id)
         found = yield from read_rows(key)
@@ -133,7 +133,7 @@
         return AcceptedJob(job_id, row, found[key].version)
 
     def accept(self, request: JobRequest) -> Workflow[JobResult]:
-        """Accept a job, or find the one that the same wish made before."""
+        """Accept a job, or find the one that the same request created before."""
         file = yield from self.find_file(request.tenant_id, request.file_id)
         if isinstance(file, JobRejection):
             return file
@@ -157,10 +157,10 @@
         return found
 
     def cancel(self, tenant_id: TenantId | None, job_id: JobId) -> Workflow[JobResult]:
-        """Stop a job; one that is over or stopping stays as it is.
+        """Cancel a job; a finished or stopping job stays unchanged.
 
-        Claims and commits check the job row's version, so once this is written no further
-        outcome of work becomes visible, whoever still holds a segment.
+        Claims and commits check the version of the job row, so after this write no further outcome
+        of work becomes visible, even from instances that still hold a segment.
         """
         until_ms = self._context.now_ms() + COMMIT_TIMEOUT_MS
         while True:
@@ -176,7 +176,7 @@
     def stop(
         self, job: AcceptedJob, state: JobState, until_ms: float
     ) -> Workflow[AcceptedJob | Conflict | CommitFailure]:
-        """Write that a job accepts no more outcomes of work."""
+        """Write a state in which the job accepts no further outcomes of work."""
         key = job_row_key(job.job_id)
         open_key = open_row_key(job.row.target, job.row.deadline_epoch_ms, job.job_id)
         found = yield from read_rows(open_key)
@@ -241,7 +241,7 @@
 
 
 class _IndexRow(msgspec.Struct, frozen=True):
-    """Says that the job exists; all else is in its own row."""
+    """Marks that the job exists; its data is in the job row."""
 
 
 def _deadline_epoch_ms(wanted_class: ClassEntry, now_ms: float) -> float:
--- a/citrondyke/decisions/jobs/batch_item.py
+++ b/citrondyke/decisions/jobs/batch_item.py
@@ -1,4 +1,4 @@
-"""One item while an instance holds its segment."""
+"""One item of a segment that this instance holds."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class BatchItem(msgspec.Struct, eq=False):
-    """A line of a job, and how far it is."""
+    """A line of a job file and its progress."""
 
     position: int
     request_id: RequestId
@@ -22,12 +22,12 @@
     url: str
     body: bytes
     is_model: bool
-    #: Attempts that failed so far, by any holder.
+    #: Failed attempts so far, by all holders.
     attempts: int = 0
-    #: Frames of the answer so far; a cut stream goes on behind them.
+    #: SSE events of the answer so far; an aborted stream resumes after them.
     frames: list[bytes] = msgspec.field(default_factory=list)
-    #: Firing it cuts the attempt that is running.
+    #: Aborts the running attempt when fired.
     cancel: Signal[Any] = msgspec.field(default_factory=Signal)
     is_running: bool = False
-    #: Whether a backend server may have run it, in this holder's time.
+    #: Whether a backend server may have run it for this holder.
     may_have_run: bool = False
--- a/citrondyke/decisions/jobs/frames.py
+++ b/citrondyke/decisions/jobs/frames.py
@@ -1,4 +1,4 @@
-"""Puts the frames of a streamed answer together again."""
+"""Assembles the SSE events of a streamed answer into a plain answer."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 
 
 def assemble_answer(frames: Sequence[bytes]) -> bytes | None:
-    """Make the plain answer of a stream's frames; ``None`` where they do not end properly.
+    """Assemble the plain answer from a stream's events; ``None`` if the stream is incomplete.
 
-    :param frames: the data of each event, without the closing ``[DONE]``.
+    :param frames: the data of each SSE event, without the final ``[DONE]``.
     """
     if not frames:
         return None
--- a/citrondyke/decisions/jobs/held_segment.py
+++ b/citrondyke/decisions/jobs/held_segment.py
@@ -1,4 +1,4 @@
-"""A segment while an instance holds it."""
+"""A segment that this instance holds."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 
 __all__ = ('HeldSegment',)
 
-#: Items at work at once in a segment whose holder died, or that may not be repeated.
+#: Concurrent items of a segment whose holder died or whose items may not be repeated.
 CAUTIOUS_WINDOW = 16
-#: Items at work at once of those that ran when a second holder died.
+#: Concurrent items among those that were running when a holder died.
 SUSPECT_WINDOW = 1
-#: Deaths after which an item that was alone at work is held to be the cause.
+#: Deaths of holders after which an item that ran alone counts as their cause.
 DEATHS_BEFORE_FAILURE = 3
 
 
@@ -37,7 +37,7 @@
 
 
 class HeldSegment:
-    """The items of a segment, what was learned of them, and what is not committed yet."""
+    """The items of a segment, their progress and their uncommitted outcomes."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         *,
         is_repeatable: bool,
     ) -> None:
-        """Hold a segment as its row says."""
+        """Start from the segment's row."""
         self.job_id = job_id
         self.job = job
         self.job_version = job_version
@@ -63,48 +63,48 @@
         self.outcomes: dict[int, ItemOutcome] = {}
         #: Items whose attempts changed since the last commit.
         self.attempts: dict[int, int] = dict(row.attempts)
-        #: Set when the segment is not this instance's any more; nothing of it counts then.
+        #: Set when this instance no longer holds the segment; its outcomes are then discarded.
         self.is_lost = False
-        #: Set when it is to be handed back.
+        #: Set when the segment is to be released.
         self.is_releasing = False
-        #: Fires when there is something for its tender to do.
+        #: Fires when the workflow that supervises the segment has something to do.
         self.wake: Signal[None] = Signal()
         self._queued = ItemSet()
 
     @property
     def key(self) -> RowKey:
-        """Give the key of its row."""
+        """Return the key of its row."""
         return todo_row_key(self.job_id, self.segment)
 
     @property
     def remaining(self) -> ItemSet:
-        """Give the items without a visible outcome."""
+        """Return the items without a visible outcome."""
         return ItemSet.parse(self.row.remaining)
 
     @property
     def unfinished(self) -> ItemSet:
-        """Give the items without any outcome."""
+        """Return the items without any outcome."""
         return self.remaining - ItemSet.of(self.outcomes)
 
     @property
     def is_queued(self) -> bool:
-        """Tell whether its first items were handed out."""
+        """Return whether its first items were queued for dispatch."""
         return bool(self._queued) or not self.unfinished
 
     @property
     def running_count(self) -> int:
-        """Count the items that are at a backend server."""
+        """Return the number of items running on backend servers."""
         return sum(1 for item in self.items.values() if item.is_running)
 
     @property
     def records_starts(self) -> bool:
-        """Tell whether items are marked as started before they are dispatched."""
+        """Return whether items must be marked as started in the row before they are dispatched."""
         return not self.is_repeatable or self.row.deaths > 0
 
     def load(self, body: bytes, *, is_after_death: bool) -> None:
-        """Read the items out of the segment's input.
+        """Load the items from the segment's input.
 
-        :param is_after_death: whether the holder before this one died with it.
+        :param is_after_death: whether the previous holder died while holding the segment.
         """
         lines = body.split(b'\n')
         for position in self.remaining:
@@ -122,13 +122,13 @@
         self._close_lost_items(is_after_death=is_after_death)
 
     def request_id(self, position: int) -> RequestId:
-        """Name an item; the same for every attempt by any holder."""
+        """Return the request id of an item, the same for each attempt by any holder."""
         return RequestId(f'{self.job_id}-{self.segment}-{position}')
 
     def next_window(self) -> list[BatchItem]:
-        """Give the items that may be dispatched now and were not before.
+        """Return the next items to dispatch, and count them as queued.
 
-        In a careful segment they must be marked as started first.
+        If ``records_starts`` is set, the caller must mark them as started in the row first.
         """
         waiting = self.unfinished - self._queued
         if not self.records_starts:
@@ -148,14 +148,13 @@
         return [self.items[position] for position in chosen]
 
     def started_after_commit(self, positions: ItemSet) -> ItemSet:
-        """Give the items that a commit of some outcomes must leave marked as started.
+        """Return the items that a commit of some outcomes must leave marked as started.
 
-        What may not be repeated stays marked until its outcome is durable: one that ends while
-        the commit is under way is not part of it, and the next holder would send it again. What
-        may be repeated is marked only while it is at a server, since what ended did not kill its
-        holder.
+        A non-repeatable item stays marked until its outcome is durable: one that finishes during
+        the commit is not part of it, and without the mark the next holder would send it again. A
+        repeatable item is marked only while it runs, since a finished item did not kill its holder.
 
-        :param positions: whose outcomes the commit makes durable.
+        :param positions: items whose outcomes the commit makes durable.
         """
         if self.is_repeatable:
             return self._queued & self.unfinished
@@ -163,11 +162,11 @@
 
     @property
     def is_unowned(self) -> bool:
-        """Tell whether its row names no holder any more."""
+        """Return whether its row no longer names a holder."""
         return not self.row.owner
 
     def record_outcome(self, position: int, outcome: ItemOutcome) -> None:
-        """Take in an item's outcome; the first one stands."""
+        """Record the outcome of an item; only the first one counts."""
         if position not in self.remaining or position in self.outcomes:
             return
         self.outcomes[position] = outcome
@@ -175,12 +174,12 @@
             self.wake_up()
 
     def record_attempt(self, item: BatchItem) -> None:
-        """Take in that an attempt failed."""
+        """Record a failed attempt."""
         item.attempts += 1
         self.attempts[item.position] = item.attempts
 
     def record_committed(self, row: TodoRow, row_version: int, positions: Iterable[int]) -> None:
-        """Take in that outcomes became visible."""
+        """Record that a commit made outcomes visible."""
         self.row = row
         self.row_version = row_version
         for position in positions:
@@ -188,32 +187,32 @@
             self.items.pop(position, None)
 
     def mark_lost(self) -> None:
-        """Stop everything: the segment belongs to another instance, or its job is over."""
+        """Stop all work: the segment belongs to another instance, or its job was stopped."""
         self.is_lost = True
         self.cancel_all()
         self.wake_up()
 
     def cancel_all(self) -> None:
-        """Cut every attempt that is running."""
+        """Abort all running attempts."""
         for item in self.items.values():
             item.cancel.fire(None)
 
     def wake_up(self) -> None:
-        """Let the tender look again."""
+        """Wake the workflow that supervises the segment."""
         self.wake.fire(None)
 
     def next_wake(self) -> Signal[Any]:
-        """Give the signal to wait for."""
+        """Return the signal of the next wake-up."""
         if self.wake.is_fired:
             self.wake = Signal()
         return self.wake
 
     def _close_lost_items(self, *, is_after_death: bool) -> None:
-        """Decide the items that were started by a holder that died.
+        """Close the items that were running when a holder died and must not run again.
 
-        What may not be repeated may have run: its outcome is unknown, for good. An item that
-        was alone at work when yet another holder died is what kills them, and is set aside so
-        that the rest of the job goes on.
+        A non-repeatable item may have run, so its outcome is permanently unknown. A repeatable item
+        that ran alone when a further holder died is the cause of the deaths; it fails, so that the
+        rest of the job can continue.
         """
         lost = ItemSet.parse(self.row.started) & self.remaining
         if not lost:
--- a/citrondyke/decisions/jobs/item_runner.py
+++ b/citrondyke/decisions/jobs/item_runner.py
@@ -1,4 +1,4 @@
-"""Sends batch items to backend servers and decides what each attempt means."""
+"""Runs batch items on backend servers and evaluates the replies."""
 
 from __future__ import annotations
 
@@ -27,28 +27,27 @@
 
 __all__ = ('ItemRunner', 'must_run_isolated')
 
-#: Attempts of one item that may fail, over all its holders.
+#: Failed attempts of one item, over all holders, after which it fails.
 ATTEMPTS_LIMIT = 3
-#: How long one attempt of a batch item may take.
 ATTEMPT_TIMEOUT_MS = 600_000.0
-#: Statuses that say nothing of the request itself.
+#: Statuses that are not caused by the request itself.
 TRANSIENT_STATUSES = frozenset({408, 425, 429})
-#: A server that took nothing is left alone by this item for so long.
+#: Pause of an item after a server rejected it without running it.
 REJECTED_PAUSE_MS = 50.0
 
 
 class ItemRunner:
-    """The batch items of one instance that are at backend servers."""
+    """Batch items of this instance that run on backend servers."""
 
     def __init__(self, context: Context) -> None:
-        """Start with none."""
+        """Start without running items."""
         self._context = context
         self._items: dict[RequestId, BatchItem] = {}
-        #: Servers that run one item alone.
+        #: Servers that run one item in isolation.
         self._isolating: set[ServerId] = set()
 
     def preempt(self, request_ids: list[RequestId]) -> None:
-        """Cut items that stand in the way of online requests; they go on later."""
+        """Preempt items whose capacity online requests need; they resume later."""
         for request_id in request_ids:
             item = self._items.get(request_id)
             if item is not None:
@@ -57,11 +56,11 @@
     def reserve_isolation_server(
         self, pending: PendingItems, shares: list[tuple[ServerId, ServerShare]]
     ) -> ServerId | None:
-        """Keep one server for the items that must run alone, while there are any.
+        """Reserve one server for items that must run in isolation, while there are any.
 
-        An item that brings its server down takes what runs beside it along. After a few such
-        deaths its neighbours would have used up their attempts too and be told "exhausted",
-        though nothing is wrong with them; run alone, an item can only be cut by its own doing.
+        An item that crashes its server also aborts the items that run beside it. After a few
+        crashes these would have exhausted their attempts as well, although they are not the cause.
+        An item that runs in isolation can only be aborted by a crash that it caused itself.
         """
         running = [server_id for server_id, _ in shares if server_id in self._isolating]
         if running:
@@ -78,7 +77,7 @@
         share: ServerShare,
         pending: PendingItems,
     ) -> Workflow[None]:
-        """Count an item as running on a server; give the workflow that runs it."""
+        """Register an item as running on a server and return the workflow that runs it."""
         item.cancel = Signal()
         item.is_running = True
         if must_run_isolated(item):
@@ -139,7 +138,7 @@
     def _apply_reply(
         self, held: HeldSegment, item: BatchItem, reply: ServerReply, pending: PendingItems
     ) -> None:
-        """Decide what an attempt means for its item."""
+        """Apply the reply of an attempt: record an outcome or requeue the item."""
         if reply.was_not_run:
             _requeue(held, item, pending)
             return
@@ -170,7 +169,7 @@
         held.record_outcome(item.position, outcome)
 
     def _apply_answer(self, held: HeldSegment, item: BatchItem, reply: ServerReply) -> bool:
-        """Take a whole answer; tell whether it settles the item."""
+        """Apply a complete answer; return whether it determines the item's outcome."""
         if reply.status in TRANSIENT_STATUSES or reply.status >= 500:  # noqa: PLR2004
             if held.is_repeatable:
                 return False
@@ -184,7 +183,7 @@
         if item.is_model:
             whole = assemble_answer(item.frames)
             if whole is None:
-                # A stream that ended cleanly and is no whole answer: begin it anew.
+                # The stream ended cleanly without a complete answer, so it starts over.
                 item.frames.clear()
                 return False
             body = whole
@@ -201,7 +200,7 @@
 
 
 def must_run_isolated(item: BatchItem) -> bool:
-    """Tell whether an item has one attempt left."""
+    """Return whether an item has one attempt left and must run in isolation."""
     return item.attempts == ATTEMPTS_LIMIT - 1
 
 
--- a/citrondyke/decisions/jobs/item_set.py
+++ b/citrondyke/decisions/jobs/item_set.py
@@ -13,17 +13,17 @@
     __slots__ = ('_bits',)
 
     def __init__(self, bits: int = 0) -> None:
-        """Take a bitmap."""
+        """Create a set from a bitmap."""
         self._bits = bits
 
     @classmethod
     def first(cls, count: int) -> ItemSet:
-        """Give the positions 0 to ``count`` - 1."""
+        """Return the set of positions 0 to ``count`` - 1."""
         return cls((1 << count) - 1)
 
     @classmethod
     def of(cls, positions: Iterable[int]) -> ItemSet:
-        """Collect positions."""
+        """Return the set of some positions."""
         bits = 0
         for position in positions:
             bits |= 1 << position
@@ -31,15 +31,15 @@
 
     @classmethod
     def parse(cls, text: str) -> ItemSet:
-        """Read the text form."""
+        """Parse the text form; an empty text is the empty set."""
         return cls(int(text, 16) if text else 0)
 
     def text(self) -> str:
-        """Give the text form."""
+        """Return the text form."""
         return f'{self._bits:x}' if self._bits else ''
 
     def __iter__(self) -> Iterator[int]:
-        """Give the positions, lowest first."""
+        """Iterate over the positions in ascending order."""
         bits = self._bits
         while bits:
             lowest = bits & -bits
@@ -47,11 +47,11 @@
             bits ^= lowest
 
     def __len__(self) -> int:
-        """Count the positions."""
+        """Return the number of positions."""
         return self._bits.bit_count()
 
     def __contains__(self, position: int) -> bool:
-        """Tell whether a position is in it."""
+        """Return whether the set contains a position."""
         return bool(self._bits >> position & 1)
 
     def __eq__(self, other: object) -> bool:
@@ -63,13 +63,13 @@
         return hash(self._bits)
 
     def __or__(self, other: ItemSet) -> ItemSet:
-        """Unite."""
+        """Return the union."""
         return ItemSet(self._bits | other._bits)
 
     def __and__(self, other: ItemSet) -> ItemSet:
-        """Intersect."""
+        """Return the intersection."""
         return ItemSet(self._bits & other._bits)
 
     def __sub__(self, other: ItemSet) -> ItemSet:
-        """Take positions away."""
+        """Return the difference."""
         return ItemSet(self._bits & ~other._bits)
--- a/citrondyke/decisions/jobs/job_derivations.py
+++ b/citrondyke/decisions/jobs/job_derivations.py
@@ -1,4 +1,4 @@
-"""What follows from a job alone: its name, its record, its rows."""
+"""Values derived from a job alone: its id, digest, outcome record and todo rows."""
 
 from __future__ import annotations
 
@@ -21,10 +21,10 @@
 
 
 def job_id_of(request: JobRequest, file_digest: str) -> JobId:
-    """Name a job by tenant and key, or without a key by what is to be done.
+    """Return the id of a job, from its tenant and idempotency key, or its content without a key.
 
-    Every instance gives the same wish the same name, so a resend finds the first job wherever
-    and whenever it arrives, also at the same moment.
+    All instances derive the same id from the same request, so a resend finds the first job at any
+    instance and at any time, even if both arrive concurrently.
     """
     identity = request.idempotency_key or job_digest(request, file_digest)
     kind = 'key' if request.idempotency_key else 'content'
@@ -34,12 +34,12 @@
 
 
 def job_digest(request: JobRequest, file_digest: str) -> str:
-    """Digest what a job is to do."""
+    """Return the digest of a job's input, endpoint and class."""
     return digest_hex(file_digest.encode(), request.endpoint.encode(), request.class_name.encode())
 
 
 def job_record(kind: RecordKind, job_id: JobId, row: JobRow) -> OutcomeRecord:
-    """Write down that a job was accepted or is over."""
+    """Return the outcome record of an accepted or finished job."""
     is_ended = kind is RecordKind.JOB_ENDED
     ended_ms = row.finished_epoch_ms or row.created_epoch_ms
     is_kept = None
@@ -63,7 +63,7 @@
 
 
 def todo_rows(job_id: JobId, job: JobRow, first: int, count: int) -> list[tuple[RowKey, TodoRow]]:
-    """Make the rows of segments ``first`` and on, at most ``count``."""
+    """Return the rows of at most ``count`` segments, starting with segment ``first``."""
     rows: list[tuple[RowKey, TodoRow]] = []
     for segment in range(first, min(first + count, job.segments_count)):
         size = min(job.segment_items, job.items_count - segment * job.segment_items)
--- a/citrondyke/decisions/jobs/job_file_reader.py
+++ b/citrondyke/decisions/jobs/job_file_reader.py
@@ -1,4 +1,4 @@
-"""Cuts a job file into segments while it arrives, and checks each line."""
+"""Splits a job file into segments while it is uploaded, and validates each line."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class InvalidLine(msgspec.Struct, frozen=True):
-    """Stands in the place of segments: a line that cannot be accepted."""
+    """Result instead of segments: a line that cannot be accepted."""
 
-    #: Counted from 1.
+    #: Starts at 1.
     line_number: int
     why: str
 
     def __bool__(self) -> bool:
-        """Count as no segments."""
+        """Evaluate as false, like an empty list of segments."""
         return False
 
 
 class JobFileSummary(msgspec.Struct, frozen=True):
-    """What a whole file turned out to be."""
+    """Summary of a complete file."""
 
     size_bytes: int
     items_count: int
     segments_count: int
-    #: Items in each segment but the last.
+    #: Items in each segment except the last.
     segment_items: int
     digest: str
     target: TargetName
@@ -38,14 +38,17 @@
 
 
 class JobFileReader:
-    """Holds no more than one segment and one line in memory, whatever the file's size."""
+    """Incremental reader that holds at most one segment and one line in memory.
+
+    It also keeps a digest of 10 bytes for each ``custom_id``, to find duplicates.
+    """
 
     def __init__(self, segment_items: int, line_limit_bytes: int, items_limit: int) -> None:
-        """Start at the first byte.
+        """Start at the beginning of a file.
 
         :param segment_items: items in one segment.
-        :param line_limit_bytes: longest line that is accepted.
-        :param items_limit: most items that one file may hold.
+        :param line_limit_bytes: length of the longest accepted line.
+        :param items_limit: largest number of items in one file.
         """
         self._segment_items = segment_items
         self._line_limit_bytes = line_limit_bytes
@@ -62,7 +65,7 @@
         self._url = ''
 
     def feed(self, data: bytes) -> list[bytes] | InvalidLine:
-        """Take the next bytes; give the segments that are full, each as its lines."""
+        """Process the next bytes; return the segments that became full, as their lines."""
         self._digest.update(data)
         self._size_bytes += len(data)
         lines = (self._partial_line + data).split(b'\n')
@@ -79,14 +82,14 @@
         return segments
 
     def finish(self) -> tuple[list[bytes], JobFileSummary] | InvalidLine:
-        """Close the file; give the last segment and the summary."""
+        """Finish the file; return the last segment, if any, and the summary."""
         if self._partial_line.strip():
             error = self._add_line(self._partial_line)
             if error is not None:
                 return error
         segments = [self._close_segment()] if self._lines else []
         if self._target is None:
-            return InvalidLine(1, 'the file holds no requests')
+            return InvalidLine(1, 'the file contains no requests')
         summary = JobFileSummary(
             size_bytes=self._size_bytes,
             items_count=self._items_count,
@@ -124,10 +127,10 @@
         if self._target is None:
             self._target, self._url = target, line.url
         if target != self._target:
-            return f'is for {target}, the lines before for {self._target}'
+            return f'target {target} differs from {self._target} in the lines before'
         custom_id = hashlib.blake2b(line.custom_id.encode(), digest_size=10).digest()
         if custom_id in self._custom_ids:
-            return f'custom_id {line.custom_id!r} was used before'
+            return f'custom_id {line.custom_id!r} is not unique in the file'
         self._custom_ids.add(custom_id)
         return None
 
--- a/citrondyke/decisions/jobs/job_line.py
+++ b/citrondyke/decisions/jobs/job_line.py
@@ -1,4 +1,4 @@
-"""One line of a job file."""
+"""Parsing and validation of one line of a job file."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 
 
 class LineError(msgspec.Struct, frozen=True):
-    """Stands in the place of a target: why the line cannot be accepted."""
+    """Result instead of a target: why the line cannot be accepted."""
 
     why: str
 
     def __bool__(self) -> bool:
-        """Count as no target."""
+        """Evaluate as false, like a missing target."""
         return False
 
 
@@ -35,18 +35,18 @@
 
 
 def target_of_line(line: _RawLine) -> TargetName | LineError:
-    """Find which target a line is for."""
+    """Return the target of a line."""
     if not line.custom_id:
         return LineError('custom_id is empty')
     if line.method not in METHODS:
-        return LineError(f'method {line.method!r} is none of {", ".join(METHODS)}')
+        return LineError(f'method {line.method!r} is not one of {", ".join(METHODS)}')
     if line.url.startswith(SERVICE_URL_PREFIX):
         service = line.url[len(SERVICE_URL_PREFIX) :].partition('/')[0]
         if not service:
-            return LineError('url names no service')
+            return LineError('url does not name a service')
         return TargetName(f'service:{service}')
     if line.url not in MODEL_URLS:
-        return LineError(f'url {line.url!r} is none of {", ".join(MODEL_URLS)}, /services/...')
+        return LineError(f'url {line.url!r} is not one of {", ".join(MODEL_URLS)}, /services/...')
     try:
         body = msgspec.json.decode(line.body, type=_ModelBody)
     except msgspec.ValidationError:
@@ -55,7 +55,7 @@
 
 
 def parse_line(text: bytes) -> _RawLine | LineError:
-    """Read one line."""
+    """Parse one line."""
     try:
         return msgspec.json.decode(text, type=_RawLine)
     except msgspec.ValidationError as error:
--- a/citrondyke/decisions/jobs/job_request.py
+++ b/citrondyke/decisions/jobs/job_request.py
@@ -1,4 +1,4 @@
-"""What a caller asks of a job, and how that is answered."""
+"""Requests for jobs and their results."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class JobRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller asks for."""
+    """A caller's request for a new job."""
 
     tenant_id: TenantId
     file_id: str
@@ -26,7 +26,7 @@
 
 
 class JobRejectionReason(Enum):
-    """Why a job is not accepted or not found."""
+    """Why a job was not accepted or not found."""
 
     NO_FILE = 'no_file'
     NO_JOB = 'no_job'
@@ -35,22 +35,22 @@
     KEY_CONFLICT = 'key_conflict'
     #: Nothing was accepted.
     PLATFORM_DOWN = 'platform_down'
-    #: It may have been accepted; the same wish again gives the same job.
+    #: The job may have been accepted; repeating the request yields the same job.
     UNCERTAIN = 'in_doubt'
 
 
 class JobRejection(msgspec.Struct, frozen=True):
-    """Stands in the place of a job."""
+    """Result instead of a job."""
 
     reason: JobRejectionReason
 
     def __bool__(self) -> bool:
-        """Count as no job."""
+        """Evaluate as false, like a missing job."""
         return False
 
 
 class AcceptedJob(msgspec.Struct, frozen=True):
-    """A job as it stands."""
+    """A job's current row and its version."""
 
     job_id: JobId
     row: JobRow
--- a/citrondyke/decisions/jobs/outcome.py
+++ b/citrondyke/decisions/jobs/outcome.py
@@ -1,4 +1,4 @@
-"""The outcome of one item, in the published shape of a result line."""
+"""Outcomes of items, in the public format of a result line."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class FailureCode(Enum):
-    """Why an item has no answer; stable."""
+    """Why an item has no answer; the values are a stable public interface."""
 
-    #: The backend server says that the request itself cannot be answered.
+    #: The backend server rejected the request itself.
     REJECTED = 'request_rejected'
     ATTEMPTS_EXHAUSTED = 'attempts_exhausted'
-    #: Instances died with it, alone, again and again.
+    #: Several instances died while they ran this item alone.
     KILLED_HOLDER = 'item_killed_holder'
-    #: It may have run and may not be repeated.
+    #: The item may have run and may not be repeated.
     OUTCOME_UNKNOWN = 'outcome_unknown'
     CANCELLED = 'batch_cancelled'
     EXPIRED = 'batch_expired'
 
 
 class ItemOutcome(msgspec.Struct, frozen=True):
-    """What became of one item."""
+    """Outcome of one item as an encoded result line."""
 
     is_success: bool
     line: bytes
@@ -40,7 +40,7 @@
 class _Error(msgspec.Struct, frozen=True):
     code: str
     message: str
-    #: Whether a backend server may have run it.
+    #: Whether a backend server has run it: ``not_run``, ``unknown`` or ``ran``.
     run: str
 
 
@@ -52,7 +52,7 @@
 
 
 def success_outcome(request_id: str, custom_id: str, status: int, body: bytes) -> ItemOutcome:
-    """Record an answer."""
+    """Return the outcome of an answered item."""
     response = _Response(status, request_id, _as_json(body))
     return ItemOutcome(True, msgspec.json.encode(_Line(request_id, custom_id, response, None)))
 
@@ -66,10 +66,10 @@
     status: int = 0,
     body: bytes = b'',
 ) -> ItemOutcome:
-    """Record that there will be no answer.
+    """Return the outcome of an item without an answer.
 
     :param run: ``not_run``, ``unknown`` or ``ran``.
-    :param status: the backend server's answer, where there was one.
+    :param status: status of the backend server's answer; 0 if there was none.
     """
     return ItemOutcome(False, result_line(request_id, custom_id, code, run, status, body))
 
@@ -82,14 +82,14 @@
     status: int = 0,
     body: bytes = b'',
 ) -> bytes:
-    """Write the line of an item that failed."""
+    """Encode the result line of a failed item."""
     response = _Response(status, request_id, _as_json(body)) if status else None
-    error = _Error(code.value, f'the item ended as {code.value}', run)
+    error = _Error(code.value, f'the item failed: {code.value}', run)
     return msgspec.json.encode(_Line(request_id, custom_id, response, error))
 
 
 def _as_json(body: bytes) -> Any:
-    """Keep a JSON body as it is; anything else becomes a string."""
+    """Return a JSON body unchanged and any other body as a string."""
     try:
         msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError):
--- a/citrondyke/decisions/jobs/outcome_committer.py
+++ b/citrondyke/decisions/jobs/outcome_committer.py
@@ -1,4 +1,4 @@
-"""Makes outcomes of a held segment visible."""
+"""Commits the outcomes of a held segment, which makes them visible."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 
 
 class OutcomeCommitter:
-    """Objects first, then one transaction that the segment's and the job's rows must allow."""
+    """Writes outcome objects, then commits them in one conditional transaction."""
 
     def __init__(self, context: Context, on_lost: Callable[[HeldSegment], None]) -> None:
-        """Use what is handed in.
+        """Start with the given collaborators.
 
-        :param on_lost: told when a segment turns out to be another instance's.
+        :param on_lost: called when the segment turns out to belong to another instance.
         """
         self._context = context
         self._on_lost = on_lost
 
     def commit_part(self, held: HeldSegment) -> Workflow[bool]:
-        """Make outcomes visible: the objects first, then one transaction.
+        """Commit all recorded outcomes: objects first, then one transaction.
 
-        The transaction checks the segment's and the job's rows. If another instance took over
-        or the job was cancelled meanwhile, it fails, and the objects stay unseen.
+        The transaction checks the rows of the segment and the job. If another instance took over or
+        the job was cancelled meanwhile, it fails and the objects stay invisible.
         """
         positions = sorted(held.outcomes)
         part = yield from self._store_part(held, positions)
@@ -75,7 +75,7 @@
         return False
 
     def _resolve_uncertain(self, held: HeldSegment, write_id: str) -> Workflow[int | None]:
-        """After a long outage, learn whether the commit in doubt took effect."""
+        """Find out, after a long outage, whether a commit of uncertain outcome took effect."""
         found = yield from read_rows(held.key)
         if isinstance(found, PlatformFailure):
             return None
@@ -89,8 +89,8 @@
             return None
         good = [held.outcomes[each].line for each in positions if held.outcomes[each].is_success]
         bad = [held.outcomes[each].line for each in positions if not held.outcomes[each].is_success]
-        # The fence in the name keeps a holder that was overtaken from writing over the
-        # objects of the one that has the segment now.
+        # The fence in the key keeps a fenced holder from overwriting the objects of the current
+        # holder.
         stem = f'result/{held.job_id}/{held.segment:06d}/{held.row.fence}-{held.row.parts_count}'
         output_key = yield from self._store_lines(held, f'{stem}.out', good)
         error_key = yield from self._store_lines(held, f'{stem}.err', bad)
@@ -121,8 +121,8 @@
     def _row_after(self, held: HeldSegment, positions: list[int]) -> TodoRow:
         committed = ItemSet.of(positions)
         remaining = held.remaining - committed
-        # An outcome that came after the commit began goes into the next one; handed back before,
-        # its item would run again.
+        # An outcome recorded after the commit began goes into the next one; if the segment were
+        # released before that, the item would run again.
         is_whole = not (ItemSet.of(held.outcomes) - committed)
         is_released = held.is_releasing and not held.running_count and is_whole
         started = held.started_after_commit(committed) if held.records_starts else ItemSet()
--- a/citrondyke/decisions/jobs/pending_items.py
+++ b/citrondyke/decisions/jobs/pending_items.py
@@ -1,4 +1,4 @@
-"""The items that wait for a place on this instance's backend servers."""
+"""Items that wait for capacity on the backend servers of this instance."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 __all__ = ('PendingItems',)
 
-#: Deadlines closer together than this are equal; tenants take turns among them.
+#: Deadlines within the same interval of this length count as equal; tenants share them round-robin.
 DEADLINE_GRAIN_MS = 60_000.0
 
 
 class PendingItems:
-    """One target's items: earliest deadline first, tenants in turns among equals."""
+    """Queue of a target's items: earliest deadline first, round-robin by tenant among equals."""
 
     def __init__(self) -> None:
         """Start empty."""
-        #: Fires when a place may have become free or an item ready.
+        #: Fires when capacity may have become free or an item was added.
         self.wake: Signal[None] = Signal()
         self._heap: list[tuple[float, int, int, HeldSegment, BatchItem]] = []
         self._number = 0
@@ -34,16 +34,16 @@
         self._suspects: deque[tuple[HeldSegment, BatchItem]] = deque()
 
     def __len__(self) -> int:
-        """Count the items that wait."""
+        """Return the number of waiting items."""
         return len(self._heap) + len(self._suspects)
 
     @property
     def has_suspects(self) -> bool:
-        """Tell whether items wait that must run alone."""
+        """Return whether items wait that must run in isolation."""
         return bool(self._suspects)
 
     def push(self, held: HeldSegment, items: Iterable[BatchItem]) -> None:
-        """Add items."""
+        """Add the items of a segment."""
         tenant_id = held.job.tenant_id
         deadline = held.job.deadline_epoch_ms // DEADLINE_GRAIN_MS
         first_round = min(self._rounds.values(), default=0) if self._heap else 0
@@ -56,19 +56,19 @@
         self.wake.fire(None)
 
     def requeue(self, held: HeldSegment, item: BatchItem) -> None:
-        """Put a cut item back, ahead of those that were never begun."""
+        """Add an interrupted item again, ahead of items with the same deadline."""
         deadline = held.job.deadline_epoch_ms // DEADLINE_GRAIN_MS
         self._number += 1
         heapq.heappush(self._heap, (deadline, 0, self._number, held, item))
         self.wake.fire(None)
 
     def push_suspect(self, held: HeldSegment, item: BatchItem) -> None:
-        """Put an item back that has one attempt left; it is to run alone."""
+        """Add an item again that has one attempt left and must run in isolation."""
         self._suspects.append((held, item))
         self.wake.fire(None)
 
     def pop_suspect(self) -> tuple[HeldSegment, BatchItem] | None:
-        """Take the next item that is to run alone and is still wanted."""
+        """Remove and return the next item to run in isolation; skip items no longer needed."""
         while self._suspects:
             held, item = self._suspects.popleft()
             if _is_pending(held, item):
@@ -76,7 +76,7 @@
         return None
 
     def pop(self) -> tuple[HeldSegment, BatchItem] | None:
-        """Take the next item that is still wanted."""
+        """Remove and return the next item; skip items no longer needed."""
         while self._heap:
             _, _, _, held, item = heapq.heappop(self._heap)
             if not self._heap:
@@ -86,7 +86,7 @@
         return None
 
     def next_wake(self) -> Signal[None]:
-        """Give the signal to wait for."""
+        """Return the signal of the next wake-up."""
         if self.wake.is_fired:
             self.wake = Signal()
         return self.wake
--- a/citrondyke/decisions/jobs/rows.py
+++ b/citrondyke/decisions/jobs/rows.py
@@ -1,4 +1,4 @@
-"""The rows of files, jobs and segments, and the keys they stand under."""
+"""Stored rows of files, jobs and segments, and their keys."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class FileRow(msgspec.Struct, frozen=True, kw_only=True):
-    """An uploaded job file; its segments lie in the object store."""
+    """An uploaded job file; its segments are in the object store."""
 
     upload_id: str
     filename: str
@@ -41,7 +41,8 @@
     size_bytes: int
     items_count: int
     segments_count: int
-    #: Items in each segment but the last; the setting may change before a job is made of it.
+    #: Items in each segment except the last; kept here, because the setting may change before a job
+    #: is created from the file.
     segment_items: int
     digest: str
     #: The one target of all its items.
@@ -52,10 +53,10 @@
 
 
 class JobState(Enum):
-    """Where a job is."""
+    """State of a job."""
 
     RUNNING = 'running'
-    #: Accepts no more outcomes of work; what is left is being closed.
+    #: Accepts no further outcomes of work; the remaining items are being closed.
     CANCELLING = 'cancelling'
     EXPIRING = 'expiring'
     COMPLETED = 'completed'
@@ -64,14 +65,14 @@
 
     @property
     def is_final(self) -> bool:
-        """Tell whether nothing changes any more."""
+        """Return whether the state never changes again."""
         return self in (JobState.COMPLETED, JobState.CANCELLED, JobState.EXPIRED)
 
 
 class JobRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A job. Written at its acceptance, its cancellation and its end only.
+    """A job; written only at its acceptance, its stop and its end.
 
-    Claims and commits check its version, so that after a cancellation none takes effect.
+    Claims and commits check its version, so that none takes effect after a cancellation.
     """
 
     tenant_id: TenantId
@@ -82,15 +83,15 @@
     upload_id: str
     items_count: int
     segments_count: int
-    #: Items in each segment but the last, as its file was cut.
+    #: Items in each segment except the last, as in the file's row.
     segment_items: int
-    #: Of input, endpoint and class: the same key with other content is a conflict.
+    #: Digest of input, endpoint and class; reusing an idempotency key with another is a conflict.
     digest: str
     state: JobState
     created_epoch_ms: float
-    #: When its class's target wants it done.
+    #: Due time by the target of its class.
     deadline_epoch_ms: float
-    #: When what is left is given up.
+    #: When the remaining items are given up.
     expires_epoch_ms: float
     completion_window: str = '24h'
     metadata: dict[str, str] = msgspec.field(default_factory=dict)
@@ -101,58 +102,58 @@
 
 
 class OpenRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A job that is not over, in the order of deadlines for its target."""
+    """A job that is not finished; keys sort by deadline within a target."""
 
     tenant_id: TenantId
     segments_count: int
-    #: Segments whose todo rows were written so far.
+    #: Number of segments whose todo rows were written so far.
     materialized_count: int
     expires_epoch_ms: float
     is_stopping: bool = False
 
 
 class TodoRow(msgspec.Struct, frozen=True, kw_only=True):
-    """A segment with items that have no outcome yet."""
+    """A segment with items that have no visible outcome yet."""
 
     items_count: int
     #: Bitmap of the items without an outcome.
     remaining: str
-    #: Raised by each claim.
+    #: Incremented by each claim; fences earlier holders.
     fence: int = 0
-    #: The session that holds it; empty when free.
+    #: The session that holds the segment; empty if it is free.
     owner: SessionId | str = ''
     #: Bitmap of the items that may have been dispatched and have no outcome. Kept for segments
-    #: that may not be repeated, and for those whose holder died before.
+    #: whose items may not be repeated, and for those whose holder has died before.
     started: str = ''
-    #: Bitmap of the items that ran when a holder died.
+    #: Bitmap of the items that were running when a holder died.
     suspects: str = ''
-    #: Holders that died with it.
+    #: Number of holders that died while holding the segment.
     deaths: int = 0
-    #: Attempts of items that failed, by position.
+    #: Failed attempts by item position.
     attempts: dict[int, int] = msgspec.field(default_factory=dict)
     parts_count: int = 0
 
 
 class PartKind(Enum):
-    """Where the outcomes of a part are."""
+    """How the outcomes of a part are represented."""
 
-    #: In an object of its own.
+    #: Stored in objects.
     RESULTS = 'results'
-    #: Not run, as the job was cancelled.
+    #: The items were not run, because the job was cancelled.
     CANCELLED = 'cancelled'
-    #: Not run, as the job's window closed.
+    #: The items were not run, because the job expired.
     EXPIRED = 'expired'
 
 
 class PartRow(msgspec.Struct, frozen=True, kw_only=True):
-    """Outcomes that became visible together; never changed."""
+    """Outcomes that became visible together; immutable."""
 
     kind: PartKind
     #: Bitmap of its items.
     items: str
-    #: Outcomes of items that were answered; empty for none.
+    #: Object with the outcomes of answered items; empty if there are none.
     output_key: ObjectKey | str = ''
-    #: Outcomes of items that failed; empty for none.
+    #: Object with the outcomes of failed items; empty if there are none.
     error_key: ObjectKey | str = ''
     succeeded_count: int = 0
     failed_count: int = 0
@@ -160,66 +161,66 @@
 
 
 def file_row_key(tenant_id: TenantId, file_id: str) -> RowKey:
-    """Give the key of a file's row."""
+    """Return the key of a file's row."""
     return RowKey(f'file/{tenant_id}/{file_id}')
 
 
 def input_object_key(upload_id: str, segment: int) -> ObjectKey:
-    """Give the key of a segment's input lines."""
+    """Return the key of the object with a segment's input lines."""
     return ObjectKey(f'input/{upload_id}/{segment:06d}')
 
 
 def job_row_key(job_id: JobId) -> RowKey:
-    """Give the key of a job's row."""
+    """Return the key of a job's row."""
     return RowKey(f'job/{job_id}')
 
 
 def job_index_prefix(tenant_id: TenantId) -> str:
-    """Give the prefix of a tenant's jobs, newest first."""
+    """Return the key prefix of a tenant's jobs, newest first."""
     return f'jobs-of/{tenant_id}/'
 
 
 def job_index_key(tenant_id: TenantId, created_epoch_ms: float, job_id: JobId) -> RowKey:
-    """Give the key of a job in its tenant's list; it sorts the newest first."""
+    """Return the key of a job in its tenant's list; keys sort the newest job first."""
     newest_first = 10**15 - int(created_epoch_ms)
     return RowKey(f'{job_index_prefix(tenant_id)}{newest_first:015d}/{job_id}')
 
 
 def open_prefix(target: TargetName) -> str:
-    """Give the prefix of a target's open jobs."""
+    """Return the key prefix of a target's open jobs."""
     return f'open/{target.replace("%", "%25").replace("/", "%2F")}/'
 
 
 def open_row_key(target: TargetName, deadline_epoch_ms: float, job_id: JobId) -> RowKey:
-    """Give the key of an open job; it sorts by deadline."""
+    """Return the key of an open job; keys sort by deadline."""
     return RowKey(f'{open_prefix(target)}{int(deadline_epoch_ms):015d}/{job_id}')
 
 
 def todo_prefix(job_id: JobId) -> str:
-    """Give the prefix of a job's segments with work left."""
+    """Return the key prefix of a job's segments with work left."""
     return f'todo/{job_id}/'
 
 
 def todo_row_key(job_id: JobId, segment: int) -> RowKey:
-    """Give the key of a segment with work left."""
+    """Return the key of a segment with work left."""
     return RowKey(f'{todo_prefix(job_id)}{segment:06d}')
 
 
 def part_prefix(job_id: JobId) -> str:
-    """Give the prefix of a job's visible outcomes."""
+    """Return the key prefix of a job's visible outcomes."""
     return f'done/{job_id}/'
 
 
 def part_row_key(job_id: JobId, segment: int, part: int) -> RowKey:
-    """Give the key of one part of a segment's outcomes."""
+    """Return the key of one part of a segment's outcomes."""
     return RowKey(f'{part_prefix(job_id)}{segment:06d}/{part:04d}')
 
 
 def segment_of_key(key: RowKey) -> int:
-    """Read the segment's number out of a todo row's key."""
+    """Extract the segment number from the key of a todo row."""
     return int(key.rsplit('/', 1)[1])
 
 
 def segment_of_part(key: RowKey) -> int:
-    """Read the segment's number out of a part row's key."""
+    """Extract the segment number from the key of a part row."""
     return int(key.rsplit('/', 2)[1])
--- a/citrondyke/decisions/jobs/segment_claimer.py
+++ b/citrondyke/decisions/jobs/segment_claimer.py
@@ -1,4 +1,4 @@
-"""Finds and claims segments with work left."""
+"""Finds and claims segments with unfinished items."""
 
 from __future__ import annotations
 
@@ -45,15 +45,15 @@
 
 __all__ = ('SegmentClaimer',)
 
-#: Open jobs looked at in one round, earliest deadline first.
+#: Open jobs read in one poll, earliest deadline first.
 JOBS_PER_POLL = 16
-#: Segments of one job looked at in one round.
+#: Segments of one job read in one poll.
 SEGMENTS_PER_POLL = 16
 COMMIT_TIMEOUT_MS = 4000.0
 
 
 class SegmentClaimer:
-    """Claims one segment at a time for one instance."""
+    """Claims segments for this instance, one at a time."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         is_repeatable: Callable[[TargetName], bool],
         is_held: Callable[[RowKey], bool],
     ) -> None:
-        """Use the parts handed in."""
+        """Start with the given collaborators."""
         self._context = context
         self._session = session
         self._leases = leases
@@ -73,7 +73,7 @@
         self._is_held = is_held
 
     def claim(self, target: TargetName) -> Workflow[HeldSegment | None]:
-        """Claim the most urgent free segment; ``None`` where there is none."""
+        """Claim the free segment with the earliest deadline; ``None`` if there is none."""
         prefix = open_prefix(target)
         rows = yield from scan_rows(prefix, '', JOBS_PER_POLL)
         if isinstance(rows, PlatformFailure):
@@ -82,8 +82,8 @@
             try:
                 held = yield from self._inspect_job(row)
             except msgspec.DecodeError:
-                # A row that this version cannot read stands first for its deadline; without
-                # passing over it nothing behind it would ever be worked on.
+                # A row that this version cannot decode may have the earliest deadline; unless it
+                # is skipped, no job after it would ever run.
                 continue
             if held is not None:
                 return held
@@ -131,7 +131,7 @@
     def _candidates(
         self, job_id: JobId, opened: OpenRow
     ) -> Workflow[list[tuple[Row, TodoRow]] | None]:
-        """Look at segments from a random one on, so that instances seldom want the same."""
+        """Read segments from a random one on, so that instances seldom claim the same one."""
         prefix = todo_prefix(job_id)
         start = int(self._context.random.random() * opened.materialized_count)
         after = f'{prefix}{start:06d}' if start else ''
@@ -151,8 +151,8 @@
             return True
         owner = SessionId(todo.owner)
         if owner == self._session.session:
-            # A claim or commit of its own that was given up as failed and took effect after
-            # all: nobody else would ever take it, as this instance lives.
+            # An own claim or commit that was considered failed has taken effect after all. No
+            # other instance would ever claim the segment while this one is alive.
             return not self._is_held(key)
         row = found.get(session_row_key(split_session_id(owner)[0]))
         session = None if row is None else msgspec.json.decode(row.value, type=SessionRow)
@@ -161,7 +161,7 @@
     def _write_claim(
         self, job: AcceptedJob, row: Row, todo: TodoRow
     ) -> Workflow[HeldSegment | None]:
-        """Write the claim: it raises the fence, so that the holder before can commit no more."""
+        """Write the claim; it increments the fence, so the previous holder can no longer commit."""
         claimed = self._claimed_row(todo)
         wanted = transaction(
             self._context,
@@ -211,7 +211,7 @@
     def _materialize_or_finish(
         self, job_id: JobId, open_row: Row, opened: OpenRow
     ) -> Workflow[None]:
-        """Write the next todo rows of a long job, or close a job that has none left."""
+        """Write the next todo rows of a long job, or finish a job without segments left."""
         if opened.materialized_count >= opened.segments_count:
             yield from self._sweeper.finish(job_id)
             return
--- a/citrondyke/decisions/jobs/sweeper.py
+++ b/citrondyke/decisions/jobs/sweeper.py
@@ -1,4 +1,4 @@
-"""Closes jobs: finished, cancelled or expired."""
+"""Closes finished, cancelled and expired jobs."""
 
 from __future__ import annotations
 
@@ -52,20 +52,20 @@
 
 
 class JobCounts(msgspec.Struct, frozen=True):
-    """The visible outcomes of a job."""
+    """Counts of a job's visible outcomes."""
 
     succeeded_count: int
     failed_count: int
-    #: When the first and the last part became visible; ``None`` without any.
+    #: When the first and the last part became visible; ``None`` if there are none.
     first_epoch_ms: float | None = None
     last_epoch_ms: float | None = None
 
 
 class Sweeper:
-    """Gives every item of a job that stops its outcome, and closes jobs without work left.
+    """Writes the outcomes of unfinished items of stopped jobs, and closes jobs without work left.
 
-    Any instance may do any of it at any time; every step is one conditional transaction, so
-    that racing or dying half-way leaves nothing double and nothing undone.
+    Any instance may perform any step at any time. Each step is one conditional transaction, so
+    concurrent sweeps and crashes neither duplicate nor omit an outcome.
     """
 
     def __init__(
@@ -74,16 +74,16 @@
         acceptance: JobAcceptance,
         on_outcome: Callable[[OutcomeRecord], None],
     ) -> None:
-        """Use the parts handed in.
+        """Start with the given collaborators.
 
-        :param on_outcome: told when a job is over.
+        :param on_outcome: called when a job is finished.
         """
         self._on_outcome = on_outcome
         self._context = context
         self._acceptance = acceptance
 
     def sweep(self, job_id: JobId) -> Workflow[None]:
-        """Close what is left of a job that was cancelled or whose window closed."""
+        """Close the unfinished items of a cancelled or expired job, and the job."""
         job = yield from self._acceptance.find_job(None, job_id)
         if isinstance(job, JobRejection):
             return
@@ -101,7 +101,7 @@
         yield from self.finish(job_id)
 
     def finish(self, job_id: JobId) -> Workflow[None]:
-        """Close a job that has no segment left."""
+        """Close a job that has no unfinished segment."""
         job = yield from self._acceptance.find_job(None, job_id)
         if isinstance(job, JobRejection):
             return
@@ -135,7 +135,7 @@
             self._on_outcome(job_record(RecordKind.JOB_ENDED, job_id, row))
 
     def parts(self, job_id: JobId) -> Workflow[list[tuple[RowKey, PartRow]] | None]:
-        """Read all visible parts of a job, in order; ``None`` without an answer."""
+        """Read all visible parts of a job, in order; ``None`` if the store does not respond."""
         found: list[tuple[RowKey, PartRow]] = []
         after = ''
         while True:
@@ -148,7 +148,7 @@
             after = rows[-1].key
 
     def count(self, job_id: JobId) -> Workflow[JobCounts | None]:
-        """Count the visible outcomes of a job; ``None`` without an answer."""
+        """Count the visible outcomes of a job; ``None`` if the store does not respond."""
         parts = yield from self.parts(job_id)
         if parts is None:
             return None
@@ -161,7 +161,7 @@
         )
 
     def _sweep_segments(self, job: AcceptedJob) -> Workflow[bool]:
-        """Give the items of every segment left their outcome; tell whether all have one."""
+        """Write the outcomes of all unfinished items; return whether all have one."""
         if not (yield from self._materialize_rest(job)):
             return False
         while True:
@@ -192,7 +192,7 @@
         return (yield from commit(self._context, wanted, self._until_ms()))
 
     def _materialize_rest(self, job: AcceptedJob) -> Workflow[bool]:
-        """Write the todo rows that a long job does not have yet, so that all can be closed."""
+        """Write the missing todo rows of a long job, so that all its segments can be closed."""
         open_key = open_row_key(job.row.target, job.row.deadline_epoch_ms, job.job_id)
         while True:
             found = yield from read_rows(open_key)
--- a/citrondyke/decisions/jobs/worker.py
+++ b/citrondyke/decisions/jobs/worker.py
@@ -1,4 +1,4 @@
-"""Works on the segments that this instance holds."""
+"""Runs the items of the segments that this instance holds."""
 
 from __future__ import annotations
 
@@ -36,29 +36,29 @@
 
 __all__ = ('Worker', 'WorkerLimits')
 
-#: Time for the parts that are still to be committed at a planned stop.
+#: Time allowed for the remaining commits at a planned stop.
 COMMIT_TIMEOUT_MS = 30_000.0
-#: Pause between two looks at servers for which no item waits; what changes wakes them earlier.
+#: Poll interval of a target without waiting items; changes wake the workflow earlier.
 IDLE_POLL_MS = 2000.0
-#: Looks that find nothing get rarer by this factor at the most.
+#: Largest factor by which the poll interval for segments grows while none is found.
 MAX_PAUSE_GROWTH = 8
-#: Pause between two looks at the jobs whose segments are held.
+#: Poll interval for the states of jobs whose segments are held.
 JOB_POLL_MS = 1000.0
 
 
 class WorkerLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds of an instance's batch work."""
+    """Limits of an instance's batch work."""
 
-    #: Outcomes become visible at the latest so long after the first of them.
+    #: Longest time until outcomes are committed, from the first uncommitted one on.
     part_every_ms: float
-    #: Segments held at once for each target.
+    #: Concurrently held segments of each target.
     held_limit: int
-    #: Pause between two looks for work where there was none.
+    #: Poll interval of a target with waiting items.
     poll_every_ms: float
 
 
 class Worker:
-    """Claims, dispatches, commits; one instance's batch work for all its targets."""
+    """Claims segments, dispatches their items and commits outcomes, for all targets."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         steward: Steward,
         limits: WorkerLimits,
     ) -> None:
-        """Use the parts handed in."""
+        """Start with the given collaborators."""
         self._context = context
         self._claimer = claimer
         self._sweeper = sweeper
@@ -83,15 +83,15 @@
 
     @property
     def held_count(self) -> int:
-        """Count the segments held."""
+        """Return the number of held segments."""
         return len(self._held)
 
     def run_target(self, target: TargetName) -> Workflow[None]:
-        """Work for one target while this instance looks after servers of it."""
+        """Run items of one target while this instance is steward of servers of it."""
         pending = self._pending[target] = PendingItems()
         yield Spawn(self._claim_for(target, pending))
         while not self._is_leaving and self._steward.serves(target):
-            # Taken before the look: what happens after it fires this very signal.
+            # Taken before the check, so that any change after it fires this signal.
             changed = pending.next_wake()
             for workflow in self._start_items(target, pending):
                 yield Spawn(workflow)
@@ -107,7 +107,7 @@
                 self._release(held)
 
     def poll_jobs(self) -> Workflow[None]:
-        """Learn of cancelled jobs whose notice was lost, for good."""
+        """Poll the states of jobs forever, to find cancelled jobs whose notice was lost."""
         while True:
             yield from sleep_until(self._context.now_ms() + JOB_POLL_MS)
             keys = {job_row_key(held.job_id) for held in self._held.values()}
@@ -122,27 +122,27 @@
                     self._drop_segment(held)
 
     def stop_job(self, job_id: JobId) -> None:
-        """Cut everything of a job that was cancelled."""
+        """Abort all work on a cancelled job."""
         for held in list(self._held.values()):
             if held.job_id == job_id:
                 self._drop_segment(held)
 
     def holds(self, key: RowKey) -> bool:
-        """Tell whether a segment is held."""
+        """Return whether a segment is held."""
         return key in self._held
 
     def preempt(self, request_ids: list[RequestId]) -> None:
-        """Cut items that stand in the way of online requests; they go on later."""
+        """Preempt items whose capacity online requests need; they resume later."""
         self._runner.preempt(request_ids)
 
     def wake(self, target: TargetName) -> None:
-        """Look again whether an item can start."""
+        """Check again whether an item of a target can start."""
         pending = self._pending.get(target)
         if pending is not None:
             pending.wake.fire(None)
 
     def drain(self, until_ms: float) -> Workflow[None]:
-        """Hand every segment back: running items may finish, the rest goes back unrun."""
+        """Release all segments; running items may finish until ``until_ms``, none starts."""
         self._is_leaving = True
         for held in list(self._held.values()):
             self._release(held)
@@ -154,7 +154,7 @@
             yield from wait_for(self._emptied, until_ms + COMMIT_TIMEOUT_MS)
 
     def _claim_for(self, target: TargetName, pending: PendingItems) -> Workflow[None]:
-        """Keep enough items ready for the servers."""
+        """Claim segments so that enough items wait for the servers."""
         pause_growth = 1
         while self._pending.get(target) is pending:
             held = None
@@ -167,9 +167,10 @@
                 continue
             pause_growth = 1
             self._held[held.key] = held
-            # The target can go to another instance, or this one begin to leave, while the claim is
-            # on its way. Nothing would ever take the segment's items out of a pool that is closed,
-            # and nobody else may claim it as its holder lives: the job would stand still for good.
+            # While the claim is in progress, the target can move to another instance or this one
+            # can begin to drain. The queue of the target is then closed and its items would never
+            # start, and no other instance may claim the segment while its holder is alive: the job
+            # would never finish.
             held.is_releasing = self._is_leaving or self._pending.get(target) is not pending
             yield Spawn(self._supervise_segment(held, pending))
 
@@ -180,7 +181,7 @@
         return len(pending) < self._steward.room(target)
 
     def _start_items(self, target: TargetName, pending: PendingItems) -> list[Workflow[None]]:
-        """Put items on every server that has room."""
+        """Start items on all servers with free capacity."""
         started: list[Workflow[None]] = []
         shares = self._steward.shares_of(target)
         reserved = self._runner.reserve_isolation_server(pending, shares)
@@ -199,14 +200,15 @@
         return started
 
     def _supervise_segment(self, held: HeldSegment, pending: PendingItems) -> Workflow[None]:
-        """Look after a held segment until it is done, lost or handed back."""
+        """Supervise a held segment until it is finished, lost or released."""
         while not held.is_lost:
-            # Taken before the look: what happens after it fires this very signal.
+            # Taken before the check, so that any change after it fires this signal.
             changed = held.next_wake()
             if held.records_starts and not held.is_releasing:
                 window = held.next_window()
                 if window:
-                    # The mark goes first: a holder that dies now leaves word of what it ran.
+                    # The items are marked as started before they are dispatched, so that after a
+                    # crash of this holder the row shows which items it may have run.
                     if not (yield from self._committer.commit_part(held)):
                         break
                     _queue_items(held, window, pending)
@@ -242,9 +244,9 @@
 
 
 def _queue_items(held: HeldSegment, window: list[BatchItem], pending: PendingItems) -> None:
-    shareable = [item for item in window if not must_run_isolated(item)]
-    if shareable:
-        pending.push(held, shareable)
+    unisolated = [item for item in window if not must_run_isolated(item)]
+    if unisolated:
+        pending.push(held, unisolated)
     for item in window:
         if must_run_isolated(item):
             pending.push_suspect(held, item)
--- a/tests/test_jobs/test_jobs_cancel.py
+++ b/tests/test_jobs/test_jobs_cancel.py
@@ -1,4 +1,4 @@
-"""A cancelled job stops, and a resent one is the same job."""
+"""Cancellation of jobs, and idempotent resends of them."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 @pytest.mark.fleet(instances=3, engines=2)
 def test_cancel_stops_streams_everywhere(fleet: Fleet) -> None:
-    # The caller cancels at one instance while others have streams of the job running at the
-    # engines. All are cut; what was visible stays as it was, and every other item is told
-    # "cancelled". Nothing is left running and no outcome comes after the end.
+    # The caller cancels at one instance while others run streams of the job on the engines. All
+    # streams are aborted, visible outcomes stay unchanged, and all other items end as cancelled.
+    # Nothing is left running, and no outcome appears after the end.
     for engine in ('engine-0', 'engine-1'):
         fleet.server_faults(engine, slow_ms=40)
     caller = fleet.caller('instance-1')
@@ -46,8 +46,8 @@
 
 @pytest.mark.fleet(instances=3, engines=1)
 def test_resends_at_once_on_all_instances_are_one_job(fleet: Fleet) -> None:
-    # The same file and wish go to three instances at the same moment, several times each. All
-    # are answered with one and the same job, and each item is run for it once.
+    # The same file and request are sent to three instances at the same moment, several times each.
+    # All answers name the same job, and each of its items has one outcome.
     callers = [fleet.caller(f'instance-{n}') for n in range(3)]
     lines = chat_lines(80)
     with ThreadPoolExecutor(12) as pool:
--- a/tests/test_jobs/test_jobs_outcome_committer.py
+++ b/tests/test_jobs/test_jobs_outcome_committer.py
@@ -1,4 +1,4 @@
-"""What a holder of a segment leaves behind when it dies between two commits."""
+"""Stored state of a segment whose holder dies between two commits."""
 
 from __future__ import annotations
 
@@ -76,9 +76,9 @@
 
 
 def test_item_finished_during_a_commit_stays_marked_as_started() -> None:
-    # Orders of a job are at their service. While the outcome of the first is on its way to the
-    # object store, the second ends as well; then the holder dies. What the commit wrote must
-    # still say that the second was sent: the next holder would place that order once more.
+    # Orders of a job are running on their service. While the outcome of the first is being written
+    # to the object store, the second finishes as well; then the holder dies. The commit must still
+    # mark the second as started, or the next holder would place that order again.
     held = new_segment()
     outcome(held, 0)
     steps = OutcomeCommitter(manual_context(), lambda _: None).commit_part(held)
@@ -91,8 +91,8 @@
 
 
 def test_segment_with_an_uncommitted_outcome_is_not_released() -> None:
-    # A holder that stops gives its segment back when its last order ends during a commit. That
-    # order's outcome is not in the commit; handed back now, it would be placed once more.
+    # A holder that stops releases its segment when its last order finishes during a commit. The
+    # outcome of that order is not in the commit; released now, the order would be placed again.
     held = new_segment()
     for position in (0, 2, 3):
         outcome(held, position)
@@ -108,7 +108,7 @@
     with pytest.raises(StopIteration) as end:
         steps.send(Committed(2))
     assert end.value.value is True
-    # The next commit has all outcomes, and gives the segment back.
+    # The next commit has all outcomes and releases the segment.
     assert not held.is_unowned
     again = OutcomeCommitter(manual_context(), lambda _: None).commit_part(held)
     op = until_transaction(again, next(again))
@@ -118,8 +118,8 @@
 
 
 def test_finished_repeatable_item_is_not_marked_as_started() -> None:
-    # The same with items that may be repeated, whose holder died once before. The item that has
-    # ended did not kill the holder, and must not be taken for the one that does.
+    # The items may be repeated, and a holder died once before. An item that finished did not kill
+    # the holder and must not be suspected of it.
     held = new_segment(is_repeatable=True)
     outcome(held, 0)
     steps = OutcomeCommitter(manual_context(), lambda _: None).commit_part(held)
--- a/tests/test_jobs/test_jobs_outcomes.py
+++ b/tests/test_jobs/test_jobs_outcomes.py
@@ -1,4 +1,4 @@
-"""Every accepted item has exactly one visible outcome, whatever dies when."""
+"""Every accepted item has exactly one visible outcome despite crashes and outages."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def check_all_answered(fleet: Fleet, caller_name: str, job_id: str, count: int) -> None:
-    """Wait for a job's end and check each item's one whole answer."""
+    """Wait for the end of a job and check that each item has one complete answer."""
     caller = fleet.caller(caller_name)
     job = fleet.wait_final(caller, job_id)
     outcomes = fleet.outcomes(caller, job)
@@ -28,9 +28,9 @@
 
 @pytest.mark.fleet(instances=3, engines=2)
 def test_killed_holders_lose_and_duplicate_nothing(fleet: Fleet) -> None:
-    # The caller sees every item answered once. Both engines are slow enough that instances hold
-    # segments when they are killed, one after the other; a third takes over what they held once
-    # their leases have stood still, and their half-written parts stay unseen.
+    # Two instances are killed one after the other while they hold segments; the engines are slow
+    # enough for that. A third takes over the segments once the leases have expired, and
+    # half-written parts stay invisible. The caller sees every item answered once.
     for engine in ('engine-0', 'engine-1'):
         fleet.server_faults(engine, slow_ms=20)
     job_id = fleet.submit(fleet.caller(), chat_lines(600), CHAT)
@@ -46,9 +46,9 @@
 
 @pytest.mark.fleet(instances=2, engines=2)
 def test_frozen_holder_commits_nothing_after_its_lease(fleet: Fleet) -> None:
-    # An instance freezes with segments in its hands and its lease runs out; the other takes over
-    # and finishes. The first wakes up with answers in its memory and tries to commit them: its
-    # fence is old, so nothing of it is seen and no outcome changes.
+    # An instance freezes while it holds segments, and its lease expires; the other instance takes
+    # over and finishes the job. The first one resumes with answers in memory and tries to commit
+    # them: its fence is old, so nothing of them becomes visible and no outcome changes.
     for engine in ('engine-0', 'engine-1'):
         fleet.server_faults(engine, slow_ms=20)
     job_id = fleet.submit(fleet.caller(), chat_lines(400), CHAT)
@@ -74,8 +74,8 @@
 
 @pytest.mark.fleet(instances=2, engines=2)
 def test_lost_replies_duplicate_nothing(fleet: Fleet) -> None:
-    # Every reply of the table service is lost for a while, though the writes take effect: at the
-    # job's acceptance, then at claims and commits. Writers find their own write ids.
+    # All replies of the table service are lost for some time while the writes take effect: at the
+    # job's acceptance, then at claims and commits. Writers recognize their own write ids.
     caller = fleet.caller()
     file_id = caller.upload(chat_lines(300)).json['id']
     fleet.fault('table', 'lost_reply', calls_left=3)
@@ -95,9 +95,9 @@
 @pytest.mark.parametrize('mode', ['down', 'hang'])
 @pytest.mark.fleet(instances=2, engines=2)
 def test_repeated_table_outages_lose_nothing(fleet: Fleet, mode: str) -> None:
-    # The table service goes down in the middle of a job for longer than a lease, comes back for
-    # a moment, and goes down again. No counter moved meanwhile, but nobody takes that for the
-    # death of the holders; the job ends with every item answered once.
+    # The table service is down in the middle of a job for longer than a lease, recovers briefly and
+    # is down again. No lease was renewed meanwhile, but no instance considers the holders dead; the
+    # job ends with every item answered once.
     for engine in ('engine-0', 'engine-1'):
         fleet.server_faults(engine, slow_ms=10)
     job_id = fleet.submit(fleet.caller(), chat_lines(500), CHAT)
@@ -113,8 +113,8 @@
 
 @pytest.mark.fleet(instances=2, engines=1)
 def test_acknowledged_job_survives_its_instance(fleet: Fleet) -> None:
-    # The instance that accepted a job is killed right after its answer. The job was durable
-    # before the answer, so the other instance finds and finishes it.
+    # The instance that accepted a job is killed right after its answer. The job was durable before
+    # the answer, so the other instance finds and finishes it.
     job_id = fleet.submit(fleet.caller(), chat_lines(120), CHAT)
     fleet.program('instance-0').kill()
     check_all_answered(fleet, 'instance-1', job_id, 120)
@@ -122,8 +122,8 @@
 
 @pytest.mark.fleet(instances=2, engines=1)
 def test_object_store_outage_delays_outcomes_and_loses_none(fleet: Fleet) -> None:
-    # The object store refuses while segments finish: outcomes wait in memory until it is back,
-    # and an upload meanwhile is refused with a time to come back.
+    # The object store rejects calls while segments finish: outcomes wait in memory until it
+    # recovers, and an upload meanwhile is rejected with a retry time.
     job_id = fleet.submit(fleet.caller(), chat_lines(200), CHAT)
     fleet.fault('objects', 'down')
     refused = fleet.caller().upload(chat_lines(60, name='late'))
--- a/tests/test_jobs/test_jobs_poison.py
+++ b/tests/test_jobs/test_jobs_poison.py
@@ -1,4 +1,4 @@
-"""Items that can never be done are set aside, and the rest of their job is done."""
+"""Items that can never complete fail, and the rest of their job completes."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 @pytest.mark.fleet(instances=2, engines=2)
 def test_items_that_crash_servers_exhaust_their_attempts(fleet: Fleet) -> None:
-    # Two items make any engine drop everything it runs. Each ends after its attempts, typed; the
-    # items that ran beside them are cut again and again, and all of them are answered.
+    # Two items crash any engine that runs them. Each fails with its own code after its attempts;
+    # the items that ran beside them are interrupted repeatedly, and all of them are answered.
     lines = chat_lines(150)
     lines += chat_line('killer-0', 'stop [[crash]] 0') + chat_line('killer-1', 'stop [[crash]] 1')
     caller = fleet.caller()
@@ -28,8 +28,8 @@
 
 @pytest.mark.fleet(instances=2, engines=2)
 def test_engine_that_exits_on_an_item_comes_back(fleet: Fleet) -> None:
-    # An item ends the engine's process for good; the platform starts it again. The item uses up
-    # its attempts on both engines, and everything else is answered in the end.
+    # An item terminates the engine's process, which the platform starts again. The item exhausts
+    # its attempts on both engines, and all other items are answered in the end.
     for engine in ('engine-0', 'engine-1'):
         fleet.server_faults(engine, crash_exits=True)
     caller = fleet.caller()
@@ -40,7 +40,7 @@
         for engine in ('engine-0', 'engine-1'):
             if not fleet.program(engine).is_running:
                 fleet.start_engine(engine)
-                # The item can reach the engine, and end it, before this call is answered.
+                # The item can reach the engine and terminate it before this call is answered.
                 fleet.server(engine).try_call('PUT', '/control/faults', {'crash_exits': True})
         return bool(caller.get(f'/v1/batches/{job_id}').json['citrondyke']['is_final'])
 
@@ -53,8 +53,8 @@
 
 @pytest.mark.fleet(instances=1, engines=0)
 def test_service_rejection_is_reported_with_its_answer(fleet: Fleet) -> None:
-    # The service answers some orders of a job with 503. It may have run them, so they are not
-    # sent again, and their outcome carries the service's answer.
+    # The service answers some orders of a job with 503. It may have run them, so they are not sent
+    # again, and their outcomes contain the service's answer.
     fleet.server_faults('orders-server', refuse_left=4)
     caller = fleet.caller()
     job_id = fleet.submit(caller, service_lines(60), '/services/orders/place')
