--- a/tests/test_forwarding/test_forwarding_degraded_server.py
+++ b/tests/test_forwarding/test_forwarding_degraded_server.py
@@ -1,4 +1,4 @@
-"""A server that fails part of its requests while its health is good."""
+"""A server that fails part of its requests while its health check is good."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from tests.support.peers import listed_server
 
 SERVICE = ServiceName('s')
-GREY = ServerId('s-0')
+DEGRADED = ServerId('s-0')
 REQUESTS = 400
 GAP_MS = 25.0
-#: Requests on a server at the same time, of eight places.
+#: Concurrent requests on a server with a capacity of eight.
 RUNNING = 2
 
 
-class Floor:
-    """Five servers under even load; requests last as long as four gaps."""
+class LoadedServers:
+    """Five servers under even load; a request lasts as long as four gaps."""
 
     def __init__(self, seed: int) -> None:
         self.clock = ManualClock()
         self.book = ServerRegistry(manual_context(self.clock, seed=seed))
         self.book.replace(listed_server(f's-{number}', SERVICE, 8) for number in range(5))
         self.running: list[ServerState] = []
-        self.grey_count = 0
+        self.degraded_count = 0
         self.failed_count = 0
         self._random = random.Random(seed)
 
@@ -38,8 +38,8 @@
             self.running.pop(0).own.online -= 1
         state = self.book.choose_server(SERVICE, (), '', is_once=True)
         assert state is not None
-        if state.listed.id == GREY:
-            self.grey_count += 1
+        if state.listed.id == DEGRADED:
+            self.degraded_count += 1
             if fails and self._random.random() < 0.5:
                 self.failed_count += 1
                 state.record_failure(self.clock.ms)
@@ -52,29 +52,29 @@
 
 @pytest.mark.parametrize('seed', range(5))
 def test_server_that_fails_every_second_request_gets_few(seed: int) -> None:
-    # One engine of five answers every second request with 500; callers may not repeat them. It
-    # seldom fails two in a row for long, so that it is not ejected, and its health is good.
-    floor = Floor(seed)
+    # One engine of five answers every second request with 500, and callers may not repeat them. It
+    # seldom fails two requests in a row, so that it is not ejected, and its health check is good.
+    load = LoadedServers(seed)
     for _ in range(REQUESTS):
-        floor.request(fails=True)
-    assert floor.failed_count <= 10
+        load.request(fails=True)
+    assert load.failed_count <= 10
 
 
 @pytest.mark.parametrize('seed', range(5))
 def test_server_that_has_recovered_gets_its_share_again(seed: int) -> None:
-    floor = Floor(seed)
+    load = LoadedServers(seed)
     for _ in range(REQUESTS):
-        floor.request(fails=True)
-    floor.clock.ms += 10_000.0
-    floor.grey_count = 0
+        load.request(fails=True)
+    load.clock.ms += 10_000.0
+    load.degraded_count = 0
     for _ in range(REQUESTS):
-        floor.request(fails=False)
-    assert floor.grey_count >= 50
+        load.request(fails=False)
+    assert load.degraded_count >= 50
 
 
-def test_failures_of_all_servers_change_nothing() -> None:
-    floor = Floor(1)
-    for state in floor.book.states():
-        state.record_failure(floor.clock.ms)
-    chosen = {floor.book.choose_server(SERVICE, (), '') for _ in range(100)}
+def test_failures_of_all_servers_leave_all_in_use() -> None:
+    load = LoadedServers(1)
+    for state in load.book.states():
+        state.record_failure(load.clock.ms)
+    chosen = {load.book.choose_server(SERVICE, (), '') for _ in range(100)}
     assert len(chosen) == 5
--- a/tests/test_forwarding/test_forwarding_replicated_rows.py
+++ b/tests/test_forwarding/test_forwarding_replicated_rows.py
@@ -1,4 +1,4 @@
-"""The list of servers, though reads lag and entries lapse in an outage."""
+"""Rows of the server list under stale reads and after outages."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
     return ObservedRow(key, version, value)
 
 
-def test_older_read_does_not_bring_a_removed_server_back() -> None:
-    # A server is removed; then a read that is seconds old still shows it. Requests sent there
-    # would reach whoever has its address now.
+def test_stale_read_does_not_restore_a_removed_server() -> None:
+    # A server is removed; then a read that is seconds old still shows it. Requests sent there would
+    # reach whatever has its address now.
     rows: ReplicatedRows[str] = ReplicatedRows(GRACE_MS)
     rows.apply_listing([row('a', 5), row('b', 6)], 6, 0.0)
     rows.apply_feed([row('a', 7, None)], 10.0)
@@ -21,14 +21,14 @@
     assert [each.key for each in rows.rows()] == ['b']
 
 
-def test_older_read_does_not_undo_that_a_server_leaves() -> None:
+def test_stale_read_does_not_undo_that_a_server_leaves() -> None:
     rows: ReplicatedRows[str] = ReplicatedRows(GRACE_MS)
     rows.apply_feed([row('a', 7, 'leaving')], 0.0)
     rows.apply_listing([row('a', 5, 'up')], 6, 10.0)
     assert rows.values() == ['leaving']
 
 
-def test_older_read_without_a_new_server_does_not_drop_it() -> None:
+def test_stale_read_without_a_new_server_does_not_drop_it() -> None:
     rows: ReplicatedRows[str] = ReplicatedRows(GRACE_MS)
     rows.apply_listing([row('a', 5)], 9, 0.0)
     rows.apply_feed([row('b', 12)], 10.0)
@@ -36,9 +36,9 @@
     assert sorted(rows.values()) == ['up', 'up']
 
 
-def test_servers_that_lapsed_in_an_outage_get_time_to_come_back() -> None:
-    # The store is down for longer than servers' entries live. When it returns the list is empty
-    # although all servers work; dropping them would turn every caller away for 2 s.
+def test_servers_that_expired_in_an_outage_get_time_to_return() -> None:
+    # The store is down for longer than the servers' entries live. When it returns, the list is
+    # empty although all servers work; dropping them would reject every caller for 2 s.
     rows: ReplicatedRows[str] = ReplicatedRows(GRACE_MS)
     rows.apply_listing([row('a', 5), row('b', 6)], 6, 0.0)
     rows.record_outage(5_000.0)
@@ -50,7 +50,7 @@
     assert [each.key for each in rows.rows()] == ['a']
 
 
-def test_missing_server_goes_at_once_while_the_store_answers() -> None:
+def test_missing_server_is_dropped_at_once_while_the_store_answers() -> None:
     rows: ReplicatedRows[str] = ReplicatedRows(GRACE_MS)
     rows.apply_listing([row('a', 5), row('b', 6)], 6, 0.0)
     rows.apply_listing([row('b', 6)], 7, 10.0)
--- a/tests/test_forwarding/test_forwarding_send_history.py
+++ b/tests/test_forwarding/test_forwarding_send_history.py
@@ -1,4 +1,4 @@
-"""What may be sent again, and what a caller is told."""
+"""Which requests may be sent again, and what callers are told."""
 
 from __future__ import annotations
 
@@ -29,52 +29,54 @@
 def test_request_that_may_have_run_once_is_not_sent_again(outcome: SendOutcome) -> None:
     # A server books an order and its answer is lost. The caller is told that it may have run;
     # sending it to another server would book it twice.
-    course = SendHistory(route(RouteKind.ONCE))
-    course.record_send(A, outcome)
-    assert not course.may_send
-    assert course.verdict is Verdict.MAY_HAVE_RUN
+    history = SendHistory(route(RouteKind.ONCE))
+    history.record_send(A, outcome)
+    assert not history.may_send
+    assert history.verdict is Verdict.MAY_HAVE_RUN
 
 
 @pytest.mark.parametrize('outcome', [SendOutcome.NOT_SENT, SendOutcome.REFUSED])
 def test_request_that_certainly_has_not_run_goes_to_another_server(outcome: SendOutcome) -> None:
-    course = SendHistory(route(RouteKind.ONCE))
-    course.record_send(A, outcome)
-    assert course.may_send
-    assert course.verdict is Verdict.NOT_RUN
-    assert course.excluded == {A}
+    history = SendHistory(route(RouteKind.ONCE))
+    history.record_send(A, outcome)
+    assert history.may_send
+    assert history.verdict is Verdict.NOT_RUN
+    assert history.excluded == {A}
 
 
-def test_refusal_after_a_run_does_not_make_it_not_run() -> None:
-    # One server ran the request and broke off, the next turned it away. "Not run" would be false.
-    course = SendHistory(route(RouteKind.IDEMPOTENT, attempts=3))
-    course.record_send(A, SendOutcome.UNKNOWN)
-    course.record_send(B, SendOutcome.REFUSED)
-    assert course.verdict is Verdict.MAY_HAVE_RUN
-    assert course.may_send
+def test_rejection_after_a_possible_run_is_not_reported_as_not_run() -> None:
+    # One server started the request and broke the connection, the next rejected it. "Not run" would
+    # be false.
+    history = SendHistory(route(RouteKind.IDEMPOTENT, attempts=3))
+    history.record_send(A, SendOutcome.UNKNOWN)
+    history.record_send(B, SendOutcome.REFUSED)
+    assert history.verdict is Verdict.MAY_HAVE_RUN
+    assert history.may_send
 
 
 def test_attempts_are_bounded_by_the_route() -> None:
-    course = SendHistory(route(RouteKind.IDEMPOTENT, attempts=2))
-    course.record_send(A, SendOutcome.UNKNOWN)
-    assert course.may_send
-    course.record_send(B, SendOutcome.FAILED)
-    assert not course.may_send
+    history = SendHistory(route(RouteKind.IDEMPOTENT, attempts=2))
+    history.record_send(A, SendOutcome.UNKNOWN)
+    assert history.may_send
+    history.record_send(B, SendOutcome.FAILED)
+    assert not history.may_send
 
 
 def test_stream_that_cannot_be_resumed_runs_once() -> None:
-    course = SendHistory(route(RouteKind.STREAM))
-    course.record_send(A, SendOutcome.UNKNOWN)
-    assert not course.may_send
+    history = SendHistory(route(RouteKind.STREAM))
+    history.record_send(A, SendOutcome.UNKNOWN)
+    assert not history.may_send
     resumable = SendHistory(route(RouteKind.STREAM, is_resumable=True))
     resumable.record_send(A, SendOutcome.UNKNOWN)
     assert resumable.may_send
 
 
-def test_refusals_are_bounded() -> None:
-    # All servers are full and say so. The caller is told at once rather than after a round of all.
-    course = SendHistory(route(RouteKind.IDEMPOTENT))
+def test_rejections_are_bounded() -> None:
+    # All servers are full and reject the request. The caller is told so before all of them were
+    # tried.
+    history = SendHistory(route(RouteKind.IDEMPOTENT))
     for name in 'abcd':
-        assert course.may_send
-        course.record_send(ServerIncarnation(name), SendOutcome.REFUSED)
-    assert not course.may_send
-    assert course.verdict is Verdict.NOT_RUN
+        assert history.may_send
+        history.record_send(ServerIncarnation(name), SendOutcome.REFUSED)
+    assert not history.may_send
+    assert history.verdict is Verdict.NOT_RUN
--- a/tests/test_forwarding/test_forwarding_startup_hold.py
+++ b/tests/test_forwarding/test_forwarding_startup_hold.py
@@ -1,4 +1,4 @@
-"""Requests that come before the configuration is known wait for it, within bounds."""
+"""Requests that arrive before the configuration is known are held, within limits."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 from tests.support.manual_clock import ManualClock, manual_context
 
 
-def test_all_callers_of_a_lost_fleet_come_to_one_instance() -> None:
-    # 1,000 callers at once: as many as may wait do so within a third of their time, the others are
-    # told at once, each with another time.
+def test_all_callers_of_a_lost_fleet_reach_one_instance() -> None:
+    # 1,000 callers at once: as many as the limit allows are held for a third of their time, the
+    # others are rejected at once, each with a different retry time.
     context = manual_context()
     hold = StartupHold(context)
     until = [hold.begin(900.0) for _ in range(1_000)]
@@ -22,7 +22,7 @@
     assert hold.begin(None) == context.now_ms() + 1_000.0
 
 
-def test_a_start_that_takes_long_is_expected_to_go_on() -> None:
+def test_retry_time_grows_with_the_duration_of_the_start() -> None:
     clock = ManualClock()
     hold = StartupHold(manual_context(clock))
     clock.ms += 1_000.0
--- a/tests/test_servers/__init__.py
+++ b/tests/test_servers/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of what the fleet knows of backend servers."""
+"""Tests of the health and speed of backend servers as the fleet observes them."""
 
 from __future__ import annotations
--- a/tests/test_servers/simulated_fleet.py
+++ b/tests/test_servers/simulated_fleet.py
@@ -1,4 +1,4 @@
-"""Instances that send requests to servers and tell each other how they ended."""
+"""Simulated instances that send requests to servers and exchange outcome counts."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import listed_server
 
-__all__ = ('Asked', 'Fleet', 'Lost', 'View')
+__all__ = ('Asked', 'Fleet', 'Lost', 'SimulatedInstance')
 
 SERVICE = ServiceName('s')
 ZONES = ('zone-a', 'zone-b', 'zone-c')
-#: What a peer's datagram takes, with what it waits to be read.
-TELL_MS = 20.0
+#: Delay of a peer's datagram, including the time until it is read.
+DATAGRAM_DELAY_MS = 20.0
 WORK_MS = 60.0
 STEP_MS = 2.0
 
@@ -38,13 +38,13 @@
 
 
 class Lost(msgspec.Struct):
-    """Requests by what became of them."""
+    """Lost requests by kind."""
 
     once: int = 0
     repeatable: int = 0
 
 
-class View:
+class SimulatedInstance:
     """One instance."""
 
     def __init__(self, clock: ManualClock, name: str, zone: str, seed: int) -> None:
@@ -52,7 +52,7 @@
         self.book = ServerRegistry(self.context)
         self.notices = EvidenceNotices(self.context, self.book)
 
-    def standings(self) -> Counter[ServerHealth]:
+    def health_counts(self) -> Counter[ServerHealth]:
         return Counter(state.health_record.health for state in self.book.states())
 
     def state(self, server: ServerId) -> ServerState:
@@ -82,48 +82,49 @@
         self.asked: Counter[ServerId] = Counter()
         self.by_zone: Counter[tuple[str, ServerId]] = Counter()
         self.datagrams = 0
-        self._telling: set[View] = set()
+        self._publishing: set[SimulatedInstance] = set()
         self._running: deque[tuple[float, ServerState]] = deque()
-        self._on_way: deque[tuple[float, View, list[ServerEvidence]]] = deque()
-        self.views = [
-            View(self.clock, f'i-{n}', ZONES[n % 3], seed * 1_000 + n) for n in range(instances)
+        self._in_flight: deque[tuple[float, SimulatedInstance, list[ServerEvidence]]] = deque()
+        self.instances = [
+            SimulatedInstance(self.clock, f'i-{n}', ZONES[n % 3], seed * 1_000 + n)
+            for n in range(instances)
         ]
-        zones = {view.context.instance_id: view.context.zone for view in self.views}
-        for view in self.views:
-            own = view.context.instance_id
-            view.book.replace(
+        zones = {instance.context.instance_id: instance.context.zone for instance in self.instances}
+        for instance in self.instances:
+            own = instance.context.instance_id
+            instance.book.replace(
                 listed_server(f's-{n}', SERVICE, zone=ZONES[n % 3]) for n in range(servers)
             )
             others = {each: AvailabilityZone(zone) for each, zone in zones.items() if each != own}
-            view.book.topology.replace(others)
+            instance.book.topology.replace(others)
 
     def run(self, for_ms: float) -> Lost:
-        """Send requests for some time; give what was lost in it."""
+        """Send requests for some time; return what was lost in it."""
         self.lost = Lost()
         until_ms = self.clock.ms + for_ms
         while self.clock.ms < until_ms:
             self.clock.ms += STEP_MS
-            self._tell()
+            self._exchange_notices()
             if self.random.random() < self.per_s * STEP_MS / 1e3:
                 self._request()
         return self.lost
 
-    def seen(self, server: ServerId) -> Counter[ServerHealth]:
-        """Count the instances by how they see a server."""
-        return Counter(view.state(server).health_record.health for view in self.views)
+    def health_of(self, server: ServerId) -> Counter[ServerHealth]:
+        """Count the instances by the health that they assign to a server."""
+        return Counter(instance.state(server).health_record.health for instance in self.instances)
 
     def _request(self) -> None:
-        view = self.random.choice(self.views)
-        self._telling.add(view)
-        # A quarter of the requests may run once only.
+        instance = self.random.choice(self.instances)
+        self._publishing.add(instance)
+        # A quarter of the requests may run at most once.
         is_once = self.random.random() < 0.25
-        avoid: set[ServerIncarnation] = set()
+        excluded: set[ServerIncarnation] = set()
         for _ in range(1 if is_once else 2):
-            state = view.book.choose_server(SERVICE, avoid, '', is_once=is_once)
+            state = instance.book.choose_server(SERVICE, excluded, '', is_once=is_once)
             if state is None:
                 break
-            avoid.add(state.incarnation)
-            outcome = self._send(view, state)
+            excluded.add(state.incarnation)
+            outcome = self._send(instance, state)
             if outcome is Outcome.SUCCEEDED:
                 return
         if is_once:
@@ -131,8 +132,8 @@
         else:
             self.lost.repeatable += 1
 
-    def _send(self, view: View, state: ServerState) -> Outcome:
-        context = view.context
+    def _send(self, instance: SimulatedInstance, state: ServerState) -> Outcome:
+        context = instance.context
         self.asked[state.listed.id] += 1
         self.by_zone[context.zone, state.listed.id] += 1
         outcome = self.answer(
@@ -147,19 +148,21 @@
             state.record_failure(self.clock.ms, outcome)
         return outcome
 
-    def _tell(self) -> None:
+    def _exchange_notices(self) -> None:
         now_ms = self.clock.ms
         while self._running and self._running[0][0] <= now_ms:
             self._running.popleft()[1].own.online -= 1
-        while self._on_way and self._on_way[0][0] <= now_ms:
-            _, sender, rows = self._on_way.popleft()
-            for view in self.views:
-                if view is not sender and self.random.random() >= self.loss:
-                    view.notices.record_peer_evidence(sender.context.instance_id, rows)
-        for view in list(self._telling):
-            pause_ms = view.notices.next_pause_ms()
+        while self._in_flight and self._in_flight[0][0] <= now_ms:
+            _, sender, rows = self._in_flight.popleft()
+            for instance in self.instances:
+                if instance is not sender and self.random.random() >= self.loss:
+                    instance.notices.record_peer_evidence(sender.context.instance_id, rows)
+        for instance in list(self._publishing):
+            pause_ms = instance.notices.next_pause_ms()
             if pause_ms is None:
-                self._telling.remove(view)
+                self._publishing.remove(instance)
             elif pause_ms == 0.0:
-                self._on_way.append((now_ms + TELL_MS, view, view.notices.take_due()))
-                self.datagrams += len(self.views) - 1
+                self._in_flight.append(
+                    (now_ms + DATAGRAM_DELAY_MS, instance, instance.notices.take_due())
+                )
+                self.datagrams += len(self.instances) - 1
--- a/tests/test_servers/test_servers_choice.py
+++ b/tests/test_servers/test_servers_choice.py
@@ -1,4 +1,4 @@
-"""Servers of different speed on machines that slow down, chosen by instances with old counts."""
+"""Choice among servers of different speed on machines that slow down, with stale counts."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 INSTANCES = 10
 SERVERS = 12
 SLOTS = 8
-#: Time until the first event at a server of the middle with nothing else on it, and of the whole.
-FIRST_MS, STAY_MS = 40.0, 160.0
-#: Age of a peer's counts.
-TELL_MS = 25.0
+#: Time until the first event and until the end at an empty average server.
+FIRST_MS, SERVICE_TIME_MS = 40.0, 160.0
+#: Delay of a peer's counts.
+COUNT_DELAY_MS = 25.0
 SEEDS = range(3)
 
 
 class Result(msgspec.Struct):
-    """What the requests of some seconds got."""
+    """Latencies and servers of the requests of some seconds."""
 
     first_ms: list[float] = []
     by_server: Counter[int] = msgspec.field(default_factory=Counter)
@@ -44,7 +44,7 @@
 
     @property
     def slowest_ms(self) -> float:
-        """The time of the 99th of 100 requests."""
+        """The latency of the 99th of 100 requests."""
         return sorted(self.first_ms)[int(0.99 * len(self.first_ms))]
 
     @property
@@ -52,14 +52,14 @@
         return max(self.by_server.values()) / (sum(self.by_server.values()) / SERVERS)
 
 
-class Floor:
-    """Instances that tell each other their counts late, and servers with what is on them."""
+class Simulation:
+    """Instances that exchange counts with a delay, and servers with their running requests."""
 
-    def __init__(self, seed: int, speeds: list[float], *, states_pace: bool) -> None:
+    def __init__(self, seed: int, speeds: list[float], *, reports_slowdown: bool) -> None:
         self.clock = ManualClock()
         self.random = Random(seed)
         self.speeds = speeds
-        self.states_pace = states_pace
+        self.reports_slowdown = reports_slowdown
         self.running = [0] * SERVERS
         self.books = []
         self._events: list[tuple[float, int, tuple[int, int, int]]] = []
@@ -69,8 +69,8 @@
             book.replace(listed_server(f's-{m}', SERVICE, SLOTS) for m in range(SERVERS))
             self.books.append(book)
 
-    def pace(self, server: int) -> float:
-        """A seventh of the time, 600 ms long each, work takes 2.5 times as long."""
+    def slowdown(self, server: int) -> float:
+        """For a seventh of the time, 600 ms at a time, work takes 2.5 times as long."""
         return 2.5 if Random(server * 7_919 + int(self.clock.ms / 600)).random() < 0.15 else 1.0
 
     def run(self, for_ms: float, per_s: float) -> Result:
@@ -81,7 +81,7 @@
             while self._events and self._events[0][0] <= next_ms:
                 at_ms, _, event = heappop(self._events)
                 self.clock.ms = max(self.clock.ms, at_ms)
-                self._happen(*event)
+                self._handle(*event)
             if next_ms > until_ms:
                 return result
             self.clock.ms = next_ms
@@ -92,32 +92,32 @@
         state = self.books[at].choose_server(SERVICE, (), '')
         assert state is not None
         server = int(state.listed.id[2:])
-        slowness = self.speeds[server] * self.pace(server) * (1 + 0.08 * self.running[server])
+        slowness = self.speeds[server] * self.slowdown(server) * (1 + 0.08 * self.running[server])
         ahead = max(0, self.running[server] - SLOTS + 1)
-        wait_ms = ahead * STAY_MS * slowness / SLOTS
+        wait_ms = ahead * SERVICE_TIME_MS * slowness / SLOTS
         spread = self.random.uniform(0.7, 1.3)
         first_ms = wait_ms + FIRST_MS * slowness * spread
         self.running[server] += 1
-        if self.states_pace:
-            state.reported_slowdown.record(self.pace(server), self.clock.ms)
+        if self.reports_slowdown:
+            state.reported_slowdown.record(self.slowdown(server), self.clock.ms)
         state.record_work(first_ms, FIRST_MS * 1.2, self.clock.ms)
         state.record_latency(first_ms)
         result.first_ms.append(first_ms)
         result.by_server[server] += 1
         self._count(at, state, 1)
-        self._later(wait_ms + STAY_MS * slowness * spread, (at, server, -1))
+        self._schedule(wait_ms + SERVICE_TIME_MS * slowness * spread, (at, server, -1))
 
     def _count(self, at: int, state: ServerState, change: int) -> None:
         state.own.online += change
-        self._later(TELL_MS, (at, int(state.listed.id[2:]), state.own.online))
+        self._schedule(COUNT_DELAY_MS, (at, int(state.listed.id[2:]), state.own.online))
 
-    def _later(self, in_ms: float, event: tuple[int, int, int]) -> None:
+    def _schedule(self, in_ms: float, event: tuple[int, int, int]) -> None:
         self._number += 1
         heappush(self._events, (self.clock.ms + in_ms, self._number, event))
 
-    def _happen(self, at: int, server: int, told: int) -> None:
+    def _handle(self, at: int, server: int, online: int) -> None:
         name = ServerId(f's-{server}')
-        if told < 0:
+        if online < 0:
             self.running[server] -= 1
             state = self.books[at].state(name)
             assert state is not None
@@ -126,29 +126,29 @@
         for number, book in enumerate(self.books):
             state = book.state(name)
             if number != at and state is not None:
-                state.record_peer_counts(InstanceId(f'i-{at}'), told, 0, self.clock.ms)
+                state.record_peer_counts(InstanceId(f'i-{at}'), online, 0, self.clock.ms)
 
 
-UNEVEN = [0.6, 1.0, 1.6] * (SERVERS // 3)
+UNEVEN_SPEEDS = [0.6, 1.0, 1.6] * (SERVERS // 3)
 
 
-def played(
+def simulated(
     monkeypatch: pytest.MonkeyPatch,
     seed: int,
-    way: str,
-    speeds: list[float] = UNEVEN,
+    strategy: str,
+    speeds: list[float] = UNEVEN_SPEEDS,
     per_s: float = 240.0,
 ) -> Result:
-    """Play one way of choosing: by counts, the best of all, or among few."""
-    if way == 'best':
+    """Simulate one strategy: by counts, the best of all, or the best of a few candidates."""
+    if strategy == 'best':
         monkeypatch.setattr(
             server_registry,
             'sample_candidates',
             lambda states, random, now_ms: sample_candidates(states, random, now_ms, SERVERS),
         )
-    floor = Floor(seed, speeds, states_pace=way != 'counts')
-    floor.run(6_000.0, per_s)
-    result = floor.run(8_000.0, per_s)
+    simulation = Simulation(seed, speeds, reports_slowdown=strategy != 'counts')
+    simulation.run(6_000.0, per_s)
+    result = simulation.run(8_000.0, per_s)
     monkeypatch.undo()
     return result
 
@@ -158,32 +158,32 @@
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
     # Speeds 0.6 to 1.6, machines that are slow for a seventh of the time, counts 25 ms old.
-    counts = played(monkeypatch, seed, 'counts')
-    few = played(monkeypatch, seed, 'few')
+    counts = simulated(monkeypatch, seed, 'counts')
+    few = simulated(monkeypatch, seed, 'few')
     assert few.mean_ms < counts.mean_ms
     assert few.slowest_ms < counts.slowest_ms
 
 
 @pytest.mark.parametrize('seed', SEEDS)
-def test_few_candidates_keep_instances_with_old_counts_from_one_server(
+def test_candidates_keep_instances_with_stale_counts_from_choosing_one_server(
     monkeypatch: pytest.MonkeyPatch, seed: int
 ) -> None:
-    # Counts that are 100 ms old, in which 24 requests are placed: the best server of all gets
-    # them all, and they wait for each other.
-    monkeypatch.setattr(f'{__name__}.TELL_MS', 100.0)
-    best = played(monkeypatch, seed, 'best')
-    monkeypatch.setattr(f'{__name__}.TELL_MS', 100.0)
-    few = played(monkeypatch, seed, 'few')
+    # Counts are 100 ms old, in which time 24 requests are routed: the server that looks best to all
+    # instances gets all of them, and they wait for each other.
+    monkeypatch.setattr(f'{__name__}.COUNT_DELAY_MS', 100.0)
+    best = simulated(monkeypatch, seed, 'best')
+    monkeypatch.setattr(f'{__name__}.COUNT_DELAY_MS', 100.0)
+    few = simulated(monkeypatch, seed, 'few')
     assert few.slowest_ms < 0.8 * best.slowest_ms
 
 
 @pytest.mark.parametrize('seed', SEEDS)
 def test_equal_servers_get_equal_shares(monkeypatch: pytest.MonkeyPatch, seed: int) -> None:
-    few = played(monkeypatch, seed, 'few', [1.0] * SERVERS)
+    few = simulated(monkeypatch, seed, 'few', [1.0] * SERVERS)
     assert few.unevenness < 1.3
 
 
-def test_few_candidates_are_drawn_by_speed() -> None:
+def test_candidates_are_drawn_by_speed() -> None:
     book = ServerRegistry(manual_context())
     book.replace(listed_server(f's-{n}', SERVICE) for n in range(9))
     for state in book.states():
@@ -197,7 +197,7 @@
     assert drawn[ServerId('s-0')] < 0.6 * drawn[ServerId('s-1')]
 
 
-def test_place_elsewhere_is_found_though_it_was_not_drawn() -> None:
+def test_free_server_is_found_although_it_was_not_drawn() -> None:
     book = ServerRegistry(manual_context())
     book.replace(listed_server(f's-{n}', SERVICE) for n in range(30))
     for state in book.states():
@@ -210,8 +210,8 @@
 
 
 def test_server_that_has_not_answered_here_yet_gets_requests_too() -> None:
-    # In a large fleet an instance meets each server once in some seconds; those that it has not
-    # met must not look worse for what is on them than those it has.
+    # In a large fleet an instance meets each server only once in some seconds; servers that it has
+    # not met must not look worse for their load than those it has met.
     book = ServerRegistry(manual_context())
     book.replace(listed_server(f's-{n}', SERVICE) for n in range(8))
     for state in book.states():
--- a/tests/test_servers/test_servers_failing.py
+++ b/tests/test_servers/test_servers_failing.py
@@ -1,4 +1,4 @@
-"""Servers that fail in different ways, as a whole fleet gets to know of them."""
+"""Servers that fail in different ways, and how a whole fleet detects it."""
 
 from __future__ import annotations
 
@@ -15,32 +15,33 @@
 SEEDS = pytest.mark.parametrize('seed', range(3))
 BAD = ServerId('s-0')
 FAILING = {ServerId(f's-{n}') for n in range(6)}
-OUT = ServerHealth.EJECTED
+EJECTED = ServerHealth.EJECTED
 
 
 def good(_: Asked) -> Outcome:
     return Outcome.SUCCEEDED
 
 
-def fails(asked: Asked) -> Outcome:
+def fail_some(asked: Asked) -> Outcome:
     return Outcome.FAILED if asked.server in FAILING else Outcome.SUCCEEDED
 
 
 @SEEDS
 def test_six_servers_that_fail_at_once_cost_few_requests(seed: int) -> None:
-    # 6 of 45 engines answer 500 at once to everything while their health is good, 65 instances,
-    # a quarter of 250 requests a second may run once only. Found out by each alone, 121 were lost.
+    # 6 of 45 engines answer every request with 500 at once while their health check is good, at 65
+    # instances; a quarter of 250 requests a second may run at most once. 121 requests were lost if
+    # each instance had to detect it alone.
     fleet = Fleet(good, seed=seed)
     fleet.run(3_000.0)
-    fleet.answer = fails
+    fleet.answer = fail_some
     lost = fleet.run(7_000.0)
     assert lost.once <= 12
     assert lost.repeatable <= 3
-    assert all(fleet.seen(server)[ServerHealth.HEALTHY] == 0 for server in FAILING)
+    assert all(fleet.health_of(server)[ServerHealth.HEALTHY] == 0 for server in FAILING)
 
 
 @SEEDS
-def test_all_know_within_some_hundred_ms_of_the_third_failure(seed: int) -> None:
+def test_all_instances_eject_within_some_hundred_ms_of_the_third_failure(seed: int) -> None:
     fleet = Fleet(good, seed=seed)
     fleet.run(3_000.0)
     failures_ms: list[float] = []
@@ -55,14 +56,14 @@
     while len(failures_ms) < 3:
         fleet.run(10.0)
     fleet.run(400.0)
-    assert fleet.seen(BAD)[OUT] == 65
+    assert fleet.health_of(BAD)[EJECTED] == 65
 
 
 @SEEDS
-def test_server_that_recovers_is_back_for_all_in_seconds(seed: int) -> None:
+def test_recovered_server_is_used_by_all_within_seconds(seed: int) -> None:
     fleet = Fleet(good, seed=seed)
     fleet.run(2_000.0)
-    fleet.answer = fails
+    fleet.answer = fail_some
     fleet.run(5_000.0)
     fleet.answer = good
     fleet.run(7_000.0)
@@ -73,8 +74,8 @@
 
 
 @SEEDS
-def test_server_that_fails_every_third_is_left_to_what_may_be_repeated(seed: int) -> None:
-    # Grey: it seldom fails twice in a row, so that nobody sees it out by failures in a row.
+def test_server_that_fails_every_third_request_gets_repeatable_requests_only(seed: int) -> None:
+    # The server seldom fails twice in a row, so that consecutive failures do not eject it.
     chance = Random(seed)
     fleet = Fleet(good, seed=seed, instances=30, servers=20, per_s=120.0)
     fleet.run(2_000.0)
@@ -87,8 +88,9 @@
 
 
 @SEEDS
-def test_flapping_server_is_out_for_longer_each_time(seed: int) -> None:
-    # It fails for 1 s and serves for 1 s by turns; with equal pauses each turn costs as much.
+def test_flapping_server_is_ejected_for_longer_each_time(seed: int) -> None:
+    # It fails for 1 s and serves for 1 s in turn; with equal probe delays each period costs the
+    # same.
     fleet = Fleet(good, seed=seed, instances=30, servers=20, per_s=120.0)
     fleet.run(2_000.0)
     fleet.answer = lambda asked: (
@@ -100,14 +102,14 @@
 
 
 @SEEDS
-def test_dark_server_gets_hardly_any_request(seed: int) -> None:
+def test_unresponsive_server_gets_hardly_any_request(seed: int) -> None:
     fleet = Fleet(good, seed=seed, instances=30, servers=20, per_s=120.0)
     fleet.run(2_000.0)
     fleet.answer = lambda asked: Outcome.UNANSWERED if asked.server == BAD else Outcome.SUCCEEDED
     fleet.asked.clear()
     lost = fleet.run(6_000.0)
     assert lost.once <= 3
-    assert fleet.seen(BAD)[ServerHealth.HEALTHY] == 0
+    assert fleet.health_of(BAD)[ServerHealth.HEALTHY] == 0
     assert fleet.asked[BAD] <= 20
 
 
@@ -124,31 +126,32 @@
     assert lost.once <= 1
     assert fleet.by_zone['zone-b', BAD] <= 12
     assert fleet.by_zone['zone-a', BAD] >= 120
-    assert fleet.views[0].state(BAD).health_record.health is ServerHealth.HEALTHY
+    assert fleet.instances[0].state(BAD).health_record.health is ServerHealth.HEALTHY
 
 
 @SEEDS
-def test_instance_that_is_cut_off_is_not_believed(seed: int) -> None:
-    # One instance gets no answer from any server and blames them all.
+def test_reports_of_a_partitioned_instance_are_ignored(seed: int) -> None:
+    # One instance gets no answer from any server and reports all of them.
     fleet = Fleet(good, seed=seed, instances=30, servers=20, per_s=150.0)
     fleet.run(2_000.0)
     fleet.answer = lambda asked: (
         Outcome.UNANSWERED if asked.instance == 'i-0' else Outcome.SUCCEEDED
     )
     fleet.run(6_000.0)
-    for view in fleet.views[1:]:
-        assert view.standings()[OUT] == 0
-        assert view.standings()[ServerHealth.DEGRADED] <= 20 // 4
+    for instance in fleet.instances[1:]:
+        assert instance.health_counts()[EJECTED] == 0
+        assert instance.health_counts()[ServerHealth.DEGRADED] <= 20 // 4
 
 
 @SEEDS
-def test_one_witness_alone_takes_out_a_third_at_most(seed: int) -> None:
-    # Whatever one instance sends is answered with 500: its callers may be at fault, or it.
+def test_single_observer_ejects_a_third_at_most(seed: int) -> None:
+    # All requests of one instance are answered with 500: its callers or the instance may be the
+    # cause.
     fleet = Fleet(good, seed=seed, instances=9, servers=9)
     fleet.run(2_000.0)
     fleet.answer = lambda asked: Outcome.FAILED if asked.instance == 'i-0' else Outcome.SUCCEEDED
     fleet.run(6_000.0)
-    assert all(view.standings()[OUT] <= 3 for view in fleet.views)
+    assert all(instance.health_counts()[EJECTED] <= 3 for instance in fleet.instances)
 
 
 @SEEDS
@@ -168,42 +171,43 @@
 
 
 @SEEDS
-def test_only_server_is_never_out(seed: int) -> None:
+def test_only_server_is_never_ejected(seed: int) -> None:
     fleet = Fleet(lambda _: Outcome.FAILED, seed=seed, instances=3, servers=1)
     fleet.run(3_000.0)
-    assert fleet.seen(BAD)[OUT] == 0
+    assert fleet.health_of(BAD)[EJECTED] == 0
 
 
 @pytest.mark.parametrize('is_failing', [True, False])
-def test_health_is_not_asked_and_cannot_lie(is_failing: bool) -> None:
-    # Health may say 503 of a good server and 200 of a failing one; only requests count.
+def test_health_check_does_not_count(is_failing: bool) -> None:
+    # A health check may report 503 for a good server and 200 for a failing one; only requests
+    # count.
     fleet = Fleet(good, instances=9, servers=20, per_s=200.0)
     fleet.run(1_000.0)
-    fleet.answer = fails if is_failing else good
+    fleet.answer = fail_some if is_failing else good
     fleet.run(3_000.0)
-    assert fleet.seen(BAD)[ServerHealth.HEALTHY] == (0 if is_failing else 9)
+    assert fleet.health_of(BAD)[ServerHealth.HEALTHY] == (0 if is_failing else 9)
 
 
-def test_tellings_are_bounded_though_all_servers_fail() -> None:
+def test_datagrams_are_bounded_although_all_servers_fail() -> None:
     fleet = Fleet(lambda _: Outcome.FAILED, instances=40, servers=20, per_s=450.0)
     fleet.run(1_500.0)
     assert fleet.datagrams / 1.5 / 40 <= 210.0
 
 
-def test_new_life_is_not_for_what_may_run_once_before_somebody_saw_it_succeed() -> None:
+def test_new_incarnation_gets_no_at_most_once_request_before_a_success() -> None:
     fleet = Fleet(good, instances=3, servers=6)
     fleet.run(2_000.0)
-    view = fleet.views[0]
+    instance = fleet.instances[0]
     new = ServerId('s-new')
-    view.book.replace(listed_server(name, SERVICE) for name in ('s-0', 's-1', 's-2', new))
-    for state in view.book.states():
+    instance.book.replace(listed_server(name, SERVICE) for name in ('s-0', 's-1', 's-2', new))
+    for state in instance.book.states():
         state.own.online = 0
 
     def chosen() -> set[ServerId]:
-        states = [view.book.choose_server(SERVICE, (), '', is_once=True) for _ in range(60)]
+        states = [instance.book.choose_server(SERVICE, (), '', is_once=True) for _ in range(60)]
         return {state.listed.id for state in states if state is not None}
 
     assert new not in chosen()
-    # Where nothing may be repeated nobody proves it: somebody has to be first.
+    # Without repeatable requests no instance confirms it, so that after a wait it is used anyway.
     fleet.clock.ms += 1_500.0
     assert new in chosen()
--- a/tests/test_servers/test_servers_slowdown.py
+++ b/tests/test_servers/test_servers_slowdown.py
@@ -1,4 +1,4 @@
-"""How long work takes on a server: what it states, and what its answers show."""
+"""Service time on a server: what it reports, and what its answers show."""
 
 from __future__ import annotations
 
@@ -22,15 +22,16 @@
 @pytest.mark.parametrize(
     ('value', 'pace'), [(b'3,0,8,250', 2.5), (b'3,0,8, 90', 0.9), (b'3,0,8', None), (b'', None)]
 )
-def test_fourth_figure_is_read(value: bytes, pace: float | None) -> None:
+def test_fourth_value_of_the_load_header_is_read(value: bytes, pace: float | None) -> None:
     assert pace_of(value) == pace
 
 
 @pytest.mark.parametrize(
     'figure', [b'', b'fast', b'-5', b'0', b'1000000000', b'nan', b'inf', b'\xff', b'9' * 6_000]
 )
-def test_odd_figure_is_ignored_and_the_counts_are_not(figure: bytes) -> None:
-    # A server states nonsense of its machine; taken at its word it would draw or lose everybody.
+def test_implausible_slowdown_is_ignored_but_not_the_counts(figure: bytes) -> None:
+    # A server reports nonsense about its machine; if it counted, the server would attract all
+    # requests or none.
     value = b'3,1,8,' + figure
     metadata = PlatformDialect().reply_metadata(ReplyHead(200, [(b'instance-load', value)]))
     assert metadata.load == (3, 1)
@@ -40,7 +41,7 @@
     assert pace.factor(0.0) == 1.0
 
 
-def test_absurd_count_does_not_hide_a_server_from_all() -> None:
+def test_implausible_count_does_not_keep_all_requests_away() -> None:
     metadata = PlatformDialect().reply_metadata(
         ReplyHead(200, [(b'instance-load', b'1' * 6_000 + b',0')])
     )
@@ -50,7 +51,7 @@
     assert state.total_count(0.0) <= 16 * 8
 
 
-def test_figure_loses_its_weight_with_age() -> None:
+def test_reported_slowdown_loses_weight_with_age() -> None:
     pace = ReportedSlowdown()
     for number in range(50):
         pace.record(1.0, number)
@@ -60,22 +61,22 @@
     assert pace.factor(2_000.0) < 1.2
 
 
-def test_figure_that_never_changes_counts_as_it_is() -> None:
+def test_constant_slowdown_counts_as_reported() -> None:
     pace = ReportedSlowdown()
     for number in range(50):
         pace.record(1.3, number)
     assert pace.factor(10_000.0) == pytest.approx(1.3)
 
 
-def test_stated_figure_is_bounded() -> None:
+def test_reported_slowdown_is_bounded() -> None:
     pace = ReportedSlowdown()
     assert pace.record(99.0, 0.0)
     assert pace.factor(0.0) == 4.0
     assert not pace.record(math.nan, 0.0)
 
 
-def test_speed_is_learned_whatever_the_machine_does_meanwhile() -> None:
-    # A server takes 1.6 times the usual 20 ms, and its machine is slow for half of the time.
+def test_latency_ratio_is_independent_of_the_reported_slowdown() -> None:
+    # A server takes 1.6 times the typical 20 ms, and its machine is slow for half of the time.
     state = ServerState(listed_server('s-0', 's'), ServerIncarnation('s-0'))
     for number in range(60):
         now_ms = number * 500.0
@@ -85,7 +86,7 @@
     assert state.latency_ratio.factor == pytest.approx(1.6, rel=0.05)
 
 
-def test_one_long_answer_is_no_slow_server() -> None:
+def test_one_long_answer_does_not_mark_a_server_as_slow() -> None:
     speed = LatencyRatio()
     for _ in range(20):
         speed.record(20.0, 20.0)
@@ -93,7 +94,7 @@
     assert speed.factor <= 1.2
 
 
-def test_server_without_figures_is_as_slow_as_any() -> None:
+def test_server_that_reports_no_slowdown_counts_as_average() -> None:
     state = ServerState(listed_server('s-0', 's'), ServerIncarnation('s-0'))
     for _ in range(20):
         state.record_work(80.0, 20.0, 0.0)
