--- a/citrondyke/gateway/__init__.py
+++ b/citrondyke/gateway/__init__.py
@@ -1,3 +1,3 @@
-"""The gateway: whole requests forwarded byte for byte, and batch jobs, over gevent sockets."""
+"""Gateway over gevent sockets: forwards whole requests unchanged, and runs batch jobs."""
 
 from __future__ import annotations
--- a/citrondyke/gateway/callers/admission_controller.py
+++ b/citrondyke/gateway/callers/admission_controller.py
@@ -135,10 +135,10 @@
         admitted: Rejected,
     ) -> RequestResult | None:
         """Reject a request that has certainly not run; ``None`` if it may have run."""
-        if forwarded.course.sends_count == 0:
+        if forwarded.history.sends_count == 0:
             self._log.rejected(forwarded, state, admitted)
             end = RequestResult.TURNED_AWAY
-        elif forwarded.course.verdict is Verdict.NOT_RUN:
+        elif forwarded.history.verdict is Verdict.NOT_RUN:
             end = RequestResult.NOT_RUN
         else:
             return None
@@ -166,7 +166,7 @@
         if forwarded.has_begun:
             return True
         is_public = forwarded.route.is_public
-        digest = forwarded.facts.key_digest
+        digest = forwarded.metadata.key_digest
         return bool(self._config.table.authenticate(digest, is_public=is_public))
 
     def _choose(
@@ -175,10 +175,10 @@
         service = forwarded.route.pick_service(self._context.random)
         if suspect_status is not SuspectStatus.FREE:
             digest = forwarded.fingerprint.digest
-            return self._book.choose_for_suspect(service, forwarded.course.excluded, digest)
+            return self._book.choose_for_suspect(service, forwarded.history.excluded, digest)
         return self._book.choose_server(
             service,
-            forwarded.course.excluded,
-            forwarded.facts.prefix,
+            forwarded.history.excluded,
+            forwarded.metadata.prefix,
             is_once=not forwarded.route.may_run_again,
         )
--- a/citrondyke/gateway/callers/error_responder.py
+++ b/citrondyke/gateway/callers/error_responder.py
@@ -61,8 +61,10 @@
             caller.stop_watching_disconnect()
             caller.send_whole(failure.status, failure.headers, failure.body)
             return RequestResult.SERVER_FAILURE
-        if forwarded.course.verdict is Verdict.NOT_RUN:
-            end = RequestResult.NOT_RUN if forwarded.course.sends_count else RequestResult.NO_SERVER
+        if forwarded.history.verdict is Verdict.NOT_RUN:
+            end = (
+                RequestResult.NOT_RUN if forwarded.history.sends_count else RequestResult.NO_SERVER
+            )
             return self.reject(caller, forwarded, end, NO_SERVER_RETRY_MS)
         end = RequestResult.TIMED_OUT if is_out_of_time else RequestResult.BROKEN
         return self._answer_without_retry(caller, forwarded, end, 504 if is_out_of_time else 502)
@@ -79,7 +81,7 @@
         if forwarded.has_begun:
             caller.abort()
             return RequestResult.CUT_MIDWAY
-        if is_probe_running and forwarded.course.verdict is Verdict.NOT_RUN:
+        if is_probe_running and forwarded.history.verdict is Verdict.NOT_RUN:
             return self.reject(caller, forwarded, RequestResult.PROBE_RUNNING, PROBE_RETRY_MS)
         return self._answer_without_retry(caller, forwarded, RequestResult.STOPPED, 502)
 
@@ -91,7 +93,7 @@
         retry_in_ms: float,
     ) -> RequestResult:
         """Respond 503: the request has not run and will not run, with a retry time."""
-        headers = self._dialect.own_response_headers(forwarded.facts.request_id, retry_in_ms)
+        headers = self._dialect.own_response_headers(forwarded.metadata.request_id, retry_in_ms)
         caller.stop_watching_disconnect()
         caller.send_whole(503, headers, b'')
         return end
@@ -100,7 +102,7 @@
         self, caller: CallerConnection, forwarded: ForwardedRequest, retry_in_ms: float
     ) -> RequestResult:
         """Respond 429: the account is over its limit, with a retry time."""
-        headers = self._dialect.own_response_headers(forwarded.facts.request_id, retry_in_ms)
+        headers = self._dialect.own_response_headers(forwarded.metadata.request_id, retry_in_ms)
         caller.stop_watching_disconnect()
         caller.send_whole(429, headers, b'')
         return RequestResult.OVER_LIMIT
@@ -118,7 +120,7 @@
         end: RequestResult,
         status: int,
     ) -> RequestResult:
-        headers = self._dialect.own_response_headers(forwarded.facts.request_id, None)
+        headers = self._dialect.own_response_headers(forwarded.metadata.request_id, None)
         caller.stop_watching_disconnect()
         caller.send_whole(status, headers, b'')
         return end
--- a/citrondyke/gateway/callers/event_relay.py
+++ b/citrondyke/gateway/callers/event_relay.py
@@ -74,6 +74,6 @@
         caller.start_stream(reply.head.status, self._dialect.response_headers(reply.head))
 
     def _until_ms(self, forwarded: ForwardedRequest) -> float:
-        if not forwarded.route.is_resumable or forwarded.course.is_last_attempt:
+        if not forwarded.route.is_resumable or forwarded.history.is_last_attempt:
             return forwarded.until_ms
         return min(forwarded.until_ms, self._context.now_ms() + EVENT_TIMEOUT_MS)
--- a/citrondyke/gateway/callers/forwarded_request.py
+++ b/citrondyke/gateway/callers/forwarded_request.py
@@ -50,12 +50,12 @@
 
     request: CallerRequest
     #: Fingerprint of the request; it is the same for all attempts of a caller.
-    work: LazyRequestFingerprint
-    facts: RequestMetadata
+    lazy_fingerprint: LazyRequestFingerprint
+    metadata: RequestMetadata
     account: Account
     route: Route
     config_version: ConfigVersion
-    course: SendHistory
+    history: SendHistory
     #: Deadline, set by the caller or by the route's timeout.
     until_ms: float
     #: Whether it is counted against its account's limit.
@@ -72,4 +72,4 @@
     @property
     def fingerprint(self) -> RequestFingerprint:
         """Fingerprint of the request's content; computing it hashes the body."""
-        return self.work.fingerprint
+        return self.lazy_fingerprint.fingerprint
--- a/citrondyke/gateway/callers/forwarder.py
+++ b/citrondyke/gateway/callers/forwarder.py
@@ -83,12 +83,14 @@
         within_ms = min(route.timeout_ms, metadata.within_ms or route.timeout_ms)
         forwarded = ForwardedRequest(
             request=request,
-            work=LazyRequestFingerprint(request.method, request.host, request.target, request.body),
-            facts=metadata,
+            lazy_fingerprint=LazyRequestFingerprint(
+                request.method, request.host, request.target, request.body
+            ),
+            metadata=metadata,
             account=account,
             route=route,
             config_version=self._config.table.version,
-            course=SendHistory(route),
+            history=SendHistory(route),
             until_ms=request.arrived_ms + within_ms,
             last_event_id=metadata.last_event_id,
         )
@@ -103,12 +105,12 @@
         self._log.ended(forwarded, end)
 
     def _serve(self, caller: CallerConnection, forwarded: ForwardedRequest) -> RequestResult:
-        history = forwarded.course
+        history = forwarded.history
         failure: DeferredFailure | None = None
         while history.may_send and self._left_ms(forwarded) > 0:
             if history.sends_count and not self._admission.is_key_valid(forwarded):
                 return self._answers.reject_revoked_key(caller, forwarded)
-            suspect_status = self._guard.status_of(forwarded.work)
+            suspect_status = self._guard.status_of(forwarded.lazy_fingerprint)
             if suspect_status in (SuspectStatus.STOPPED, SuspectStatus.PROBE_RUNNING):
                 if failure is not None:
                     break
@@ -119,7 +121,9 @@
             if admitted is None:
                 break
             if suspect_status is SuspectStatus.PROBE_DUE and not self._claim_probe(forwarded):
-                return self._stop(caller, forwarded, self._guard.status_of(forwarded.work))
+                return self._stop(
+                    caller, forwarded, self._guard.status_of(forwarded.lazy_fingerprint)
+                )
             state = admitted.state
             self._log.sent(forwarded, state, admitted.expected_wait_ms)
             result = self._send(caller, forwarded, state, admitted.expected_wait_ms)
@@ -136,7 +140,7 @@
         )
 
     def _claim_probe(self, forwarded: ForwardedRequest) -> bool:
-        return self._guard.claim_probe(forwarded.fingerprint, forwarded.facts.request_id)
+        return self._guard.claim_probe(forwarded.fingerprint, forwarded.metadata.request_id)
 
     def _stop(
         self, caller: CallerConnection, forwarded: ForwardedRequest, suspect_status: SuspectStatus
@@ -171,7 +175,7 @@
                 outcome = SendOutcome.UNKNOWN
                 self._write_request(connection, forwarded, state)
                 reply = self._first_answer(forwarded, state, connection, expected_wait_ms)
-                if reply.facts.was_not_run:
+                if reply.metadata.was_not_run:
                     outcome = SendOutcome.REFUSED
                     detail = str(reply.head.status)
                     return None
@@ -201,11 +205,11 @@
             if connection is not None:
                 self._sends.release(state, connection)
             if is_good:
-                self._guard.record_survived(forwarded.work)
+                self._guard.record_survived(forwarded.lazy_fingerprint)
                 self._admission.record_service_time(forwarded, self._context.now_ms() - started_ms)
                 state.record_success()
             else:
-                forwarded.course.record_send(state.incarnation, outcome)
+                forwarded.history.record_send(state.incarnation, outcome)
                 self._log.send_failed(forwarded, state, outcome, detail, started_ms)
 
     def _record_interrupted(
@@ -291,7 +295,7 @@
 
         :raises BrokenReplyError: if no response arrives, or one to another request.
         """
-        request_id = forwarded.facts.request_id
+        request_id = forwarded.metadata.request_id
         timeout_ms = self._timeouts.first_answer_timeout_ms(
             forwarded.route, state, expected_wait_ms
         )
@@ -301,7 +305,7 @@
                 return self._sends.read_reply(state, connection, request_id, failover_at_ms)
             except BrokenReplyError as error:
                 is_silent = error.break_kind is BreakKind.SILENT
-                if not is_silent or not forwarded.course.is_last_attempt:
+                if not is_silent or not forwarded.history.is_last_attempt:
                     raise
                 state.record_failure(self._context.now_ms())
                 self._log.suspected(forwarded, state, timeout_ms)
--- a/citrondyke/gateway/callers/request_log.py
+++ b/citrondyke/gateway/callers/request_log.py
@@ -54,7 +54,7 @@
         log.info(
             'request.over_limit',
             extra={
-                'request_id': forwarded.facts.request_id,
+                'request_id': forwarded.metadata.request_id,
                 'account': forwarded.account.id,
                 'verdict': verdict.kind.value,
                 'by': verdict.by,
@@ -87,7 +87,7 @@
                 'expected_wait_ms': round(expected_wait_ms, 1),
                 'server_standing': state.health_record.health.value,
                 'slowness': round(state.expected_slowdown(now_ms), 2),
-                'sends_before': forwarded.course.sends_count,
+                'sends_before': forwarded.history.sends_count,
                 'last_event_id': forwarded.last_event_id,
             },
         )
@@ -110,7 +110,7 @@
         log.info(
             'send.failed',
             extra={
-                'request_id': forwarded.facts.request_id,
+                'request_id': forwarded.metadata.request_id,
                 'server_id': state.listed.id,
                 'address': f'{state.listed.ip}:{state.listed.port}',
                 'outcome': outcome.value,
@@ -131,7 +131,7 @@
         log.info(
             'server.suspected',
             extra={
-                'request_id': forwarded.facts.request_id,
+                'request_id': forwarded.metadata.request_id,
                 'server_id': state.listed.id,
                 'waited_ms': round(waited_ms, 1),
                 'failures_in_row': state.failures_count,
@@ -145,11 +145,11 @@
         log.info(
             'request.stopped',
             extra={
-                'request_id': forwarded.facts.request_id,
+                'request_id': forwarded.metadata.request_id,
                 'content': forwarded.fingerprint.digest,
                 'standing': suspect_status.value,
                 'servers_ended': round(exits_count, 2),
-                'sends_before': forwarded.course.sends_count,
+                'sends_before': forwarded.history.sends_count,
             },
         )
 
@@ -166,7 +166,7 @@
             extra={
                 **_common_fields(forwarded),
                 'end': end.value,
-                'sends': forwarded.course.sends_count + (end is RequestResult.DONE),
+                'sends': forwarded.history.sends_count + (end is RequestResult.DONE),
                 'first_ms': round(first_ms, 1),
                 'took_ms': round(took_ms, 1),
                 'events': forwarded.events_count,
@@ -177,7 +177,7 @@
 def _common_fields(forwarded: ForwardedRequest) -> dict[str, object]:
     """Return the fields that identify a request and the configuration that applied to it."""
     return {
-        'request_id': forwarded.facts.request_id,
+        'request_id': forwarded.metadata.request_id,
         'route': forwarded.route.name,
         'account': forwarded.account.id,
         'config_version': forwarded.config_version,
--- a/citrondyke/gateway/dialect.py
+++ b/citrondyke/gateway/dialect.py
@@ -1,4 +1,4 @@
-"""What callers and backend servers say beside HTTP itself; a replaceable part."""
+"""Interface to the header and body formats of callers and backend servers; replaceable."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 
 
 class RequestMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller says of its request."""
+    """What a caller states about its request."""
 
-    #: Empty when the caller names none.
+    #: Empty if the caller states none.
     request_id: RequestId
-    #: Time that the caller will wait, from its send; ``None`` where it states none.
+    #: Time from the send for which the caller waits; ``None`` if it states none.
     within_ms: float | None = None
-    #: The last event of a stream that the caller has.
+    #: Id of the last event of a stream that the caller has received.
     last_event_id: int | None = None
-    #: Names the shared part of the prompt; empty where there is none.
+    #: Identifies the shared prefix of the prompt; empty if there is none.
     prefix: str = ''
-    #: Digest of the key that it brings; empty where it brings none.
+    #: Digest of the caller's API key; empty if it sends none.
     key_digest: str = ''
 
 
 class ReplyMetadata(msgspec.Struct, frozen=True, kw_only=True):
-    """What a server says of its answer."""
+    """What a server states about its response."""
 
-    #: Empty when it names no request.
+    #: Id of the request that it belongs to; empty if none is stated.
     request_id: str
     is_signed: bool
     was_not_run: bool
-    #: Another server has the address that was asked.
+    #: Whether the address belongs to another server than the expected one.
     is_misplaced: bool
-    #: Running and waiting requests, where the server tells.
+    #: Running and waiting requests; ``None`` if the server does not report them.
     load: tuple[int, int] | None = None
-    #: How many times as long as usual work takes on its machine now; ``None`` where it does not
-    #: say, NaN where what it says is no number.
+    #: Slowdown factor of the server's machine, relative to its usual speed; ``None`` if it is not
+    #: reported, NaN if the value is not a number.
     pace: float | None = None
 
 
@@ -67,12 +67,12 @@
     job_id: JobId
     after: int = 0
     item_id: str = ''
-    #: How long the caller lets the answer wait for a result.
+    #: How long the response may wait for a result.
     wait_ms: float = 0.0
 
 
 class JobPage(msgspec.Struct, frozen=True):
-    """Results of a job from a position on."""
+    """Results of a job after a position."""
 
     total: int
     after: int
@@ -80,11 +80,11 @@
 
 
 class Dialect(ABC):
-    """Reads and writes the headers and bodies that callers, servers and this instance share."""
+    """Parses and writes the headers and bodies exchanged with callers and servers."""
 
     @abstractmethod
     def request_metadata(self, request: CallerRequest) -> RequestMetadata:
-        """Read what a caller says."""
+        """Read the metadata of a caller's request."""
 
     @abstractmethod
     def server_headers(
@@ -95,40 +95,43 @@
         last_event_id: int | None,
         account_id: TenantId,
     ) -> Headers:
-        """Make the headers of a request to a server from a caller's, whose key stays here.
+        """Make the headers of a request to a server from the caller's, without its API key.
 
-        :param left_ms: what the server may take; ``None`` for no bound.
-        :param last_event_id: the stream goes on behind it; ``None`` from its start.
-        :param account_id: whose request it is; empty for anybody's.
+        :param left_ms: time that the server may take; ``None`` for no limit.
+        :param last_event_id: event after which the stream resumes; ``None`` to start it.
+        :param account_id: account of the request; empty if it has none.
         """
 
     @abstractmethod
     def reply_metadata(self, head: ReplyHead) -> ReplyMetadata:
-        """Read what a server says."""
+        """Read the metadata of a server's response."""
 
     @abstractmethod
     def response_headers(self, head: ReplyHead) -> Headers:
-        """Make the headers of an answer to a caller from a server's."""
+        """Make the headers of a response to a caller from a server's response."""
 
     @abstractmethod
     def own_response_headers(self, request_id: RequestId, retry_in_ms: float | None) -> Headers:
-        """Make the headers of this instance's own answer."""
+        """Make the headers of a response that this instance generates.
+
+        :param retry_in_ms: retry time for the caller; ``None`` for none.
+        """
 
     @abstractmethod
     def job_call(self, request: CallerRequest) -> JobCall | None:
-        """Read a call about a batch job; ``None`` when the request is another."""
+        """Read a call about a batch job; ``None`` if the request is not one."""
 
     @abstractmethod
     def job_items(self, body: bytes) -> list[JobItem]:
         """Read the items of a submitted job.
 
-        :raises InvalidFieldError: when the body is none.
+        :raises InvalidFieldError: if the body is not a valid job.
         """
 
     @abstractmethod
     def job_page(self, page: JobPage) -> bytes:
-        """Write results of a job."""
+        """Encode results of a job."""
 
     @abstractmethod
     def item_headers(self, item: JobItem, host: str) -> Headers:
-        """Make the headers that a batch item's request starts from."""
+        """Make the initial headers of a batch item's request."""
--- a/citrondyke/gateway/event_log.py
+++ b/citrondyke/gateway/event_log.py
@@ -1,4 +1,4 @@
-"""JSON lines on standard output, bounded for each kind of event, never blocking."""
+"""Log handler that writes JSON lines to standard output, rate limited and without blocking."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 
 __all__ = ('EventLogHandler',)
 
-#: Lines of one kind in one second. A burst of one kind must not push out the lines that explain
-#: it; at 250 bytes a line this is 50 KB/s for each kind.
+#: Limit on lines per second for each kind of event. A burst of one kind must not displace the lines
+#: that explain it; at 250 bytes per line this is 50 KB/s for each kind.
 LINES_PER_KIND_S = 200
-#: Lines that wait for a reader; beyond it the oldest stay and new ones are counted.
+#: Limit on queued lines; beyond it new lines are dropped and counted.
 QUEUE_LINES = 2_000
-#: The most that one write takes without blocking once the pipe says that it has room.
+#: Largest write that does not block once the pipe is reported as writable.
 WRITE_BYTES = 4_096
 FLUSH_EVERY_S = 0.05
-#: Time without a line after which it is looked whether a second's left-out lines are to be told.
+#: Interval of the check for dropped lines to report while no line is logged.
 POLL_S = 1.0
 
 
 class EventLogHandler(logbook.Handler):
-    """Keeps lines in a bounded queue and writes them when the reader has room."""
+    """Queues lines up to a limit and writes them as the reader consumes them."""
 
     def __init__(self, clock: Clock, constant: dict[str, str], fd: int = 1) -> None:
-        """Write to a descriptor.
+        """Write to a file descriptor.
 
-        :param constant: fields that every line carries.
+        :param constant: fields that are added to every line.
         """
         super().__init__(logbook.INFO)
         self._clock = clock
@@ -56,7 +56,7 @@
         gevent.spawn(self._run)
 
     def emit(self, record: LogRecord) -> None:
-        """Queue one record; its message names the kind of event."""
+        """Queue a record; its message is the kind of event."""
         self._begin_second()
         kind = record.message
         count = self._counts.get(kind, 0) + 1
@@ -78,7 +78,7 @@
         self._has_lines.set()
 
     def flush(self) -> None:
-        """Write what there is room for."""
+        """Write as many lines as the reader accepts without blocking."""
         self._begin_second()
         while self._unwritten or self._queue:
             if not self._poll.poll(0):
@@ -88,7 +88,7 @@
             try:
                 written = os.write(self._fd, self._unwritten[:WRITE_BYTES])
             except OSError:
-                # The reader is gone: there is nobody left to tell.
+                # The reader has closed the pipe, so the lines cannot be delivered.
                 self._queue.clear()
                 self._unwritten = b''
                 return
--- a/citrondyke/gateway/gauges.py
+++ b/citrondyke/gateway/gauges.py
@@ -1,4 +1,4 @@
-"""What is read of an instance when its metrics are asked for."""
+"""Gauges that are read from an instance when its metrics are requested."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class GaugeSource(Protocol):
-    """The parts of an instance that are read."""
+    """Parts of an instance that the gauges read."""
 
     clock: SystemClock
     metrics: Metrics
@@ -42,7 +42,7 @@
 
 
 def add_gauges(instance: GaugeSource) -> None:
-    """Show what the instance believes and has in hand."""
+    """Add gauges of the instance's replicated state, requests, jobs and memory."""
     config = instance.replicated.config
     for name, read in (
         ('config_version', lambda: float(config.table.version)),
--- a/citrondyke/gateway/graceful_shutdown.py
+++ b/citrondyke/gateway/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The course of a planned stop."""
+"""Graceful shutdown of an instance."""
 
 from __future__ import annotations
 
@@ -19,20 +19,22 @@
 
 log = logbook.Logger(__name__)
 
-#: After SIGTERM the balancer looks once a second and needs two misses; it may look just before.
+#: The load balancer checks once a second and stops sending after two failed checks; the last
+#: successful one may have been just before SIGTERM.
 BALANCER_MS = 2_700.0
-#: Of the time until the process is killed, left for its last steps.
+#: Part of the time until the process is killed that is reserved for its last steps.
 STOP_MARGIN_MS = 600.0
 POLL_S = 0.02
-#: Time in which jobs are given back at a stop; what is left is taken over by the others later.
+#: Time in which ownership of jobs is transferred at a stop; other instances take over the remaining
+#: jobs later.
 TRANSFER_MS = 4_000.0
 
 
 class GracefulShutdown:
-    """Ends the service without cutting a request off.
+    """Stops the service without aborting requests.
 
-    The health check says no first; what the balancer still sends is served, each answer closes
-    its connection, and connections on which nothing was asked end last.
+    First the health check fails. Requests that the load balancer still sends are served, and each
+    response closes its connection. Idle connections are closed last.
     """
 
     def __init__(
@@ -44,8 +46,8 @@
     ) -> None:
         """Use the parts handed in.
 
-        :param listener: takes the callers' connections.
-        :param hand_over: gives jobs back until a time.
+        :param listener: accepts the callers' connections.
+        :param hand_over: transfers the ownership of jobs until a deadline.
         """
         self._clock = clock
         self._front = front
@@ -53,9 +55,9 @@
         self._transfer_ownership = hand_over
 
     def run(self, within_ms: float) -> None:
-        """Carry it out.
+        """Run the shutdown.
 
-        :param within_ms: time from now on after which the process is killed.
+        :param within_ms: time from now until the process is killed.
         """
         started_ms = self._clock.now_ms()
         end_ms = started_ms + within_ms - STOP_MARGIN_MS
--- a/citrondyke/gateway/http_client.py
+++ b/citrondyke/gateway/http_client.py
@@ -1,4 +1,4 @@
-"""Calls of one HTTP service over kept connections, with a timeout for each."""
+"""Client of an HTTP service with pooled connections and a timeout for each call."""
 
 from __future__ import annotations
 
@@ -17,38 +17,37 @@
 
 __all__ = ('HttpAnswer', 'HttpClient', 'HttpFailure', 'HttpFailureReason')
 
-#: Idle connections kept to the service.
 IDLE_LIMIT = 8
 ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
 CONNECT_MS = 400.0
 
 
 class HttpAnswer(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A whole response."""
 
     status: int
     body: bytes
 
 
 class HttpFailureReason(msgspec.Struct, frozen=True):
-    """How a call failed."""
+    """Reason why a call failed."""
 
     kind: BreakKind
     detail: str
 
 
 class HttpFailure(msgspec.Struct, frozen=True):
-    """Stands in the place of an answer."""
+    """Result of a call without a response; it is false in a condition."""
 
     reason: HttpFailureReason
 
     def __bool__(self) -> bool:
-        """Count as no answer."""
+        """Return ``False``, since there is no response."""
         return False
 
 
 class HttpClient:
-    """A client of one address."""
+    """Client of one address."""
 
     def __init__(self, clock: Clock, ip: str, port: int, source_ip: str = '') -> None:
         """Connect on the first call.
@@ -63,7 +62,7 @@
         self._pool: ConnectionPool[str] = ConnectionPool(clock, IDLE_LIMIT)
 
     def move(self, ip: str, port: int) -> None:
-        """Use another address from now on."""
+        """Use another address for the following calls."""
         if (ip, port) == (self._ip, self._port):
             return
         self._pool.drop(self._name)
@@ -75,8 +74,8 @@
     ) -> HttpAnswer | HttpFailure:
         """Make one call.
 
-        A connection on which an answer was lost delivers nothing more, so one that failed in any
-        way is closed and its place taken by a new one.
+        A connection that failed in any way is closed and replaced by a new one, since nothing more
+        arrives on a connection on which a response was lost.
         """
         until_ms = self._clock.now_ms() + timeout_ms
         name = self._name
@@ -96,8 +95,8 @@
                 connection.close()
             return HttpFailure(HttpFailureReason(error.break_kind, error.message))
         except BaseException:
-            # The caller's greenlet was ended in the middle of a call: what is still to come on
-            # this connection belongs to nobody.
+            # The calling greenlet was killed during the call: bytes that still arrive on this
+            # connection belong to no call.
             if connection is not None:
                 connection.close()
             raise
--- a/citrondyke/gateway/jobs/item_sender.py
+++ b/citrondyke/gateway/jobs/item_sender.py
@@ -88,7 +88,7 @@
         until_ms = self._context.now_ms() + INITIAL_EVENT_MS
         reply = self._sends.read_reply(state, connection, RequestId(item.id), until_ms)
         status = reply.head.status
-        if reply.facts.was_not_run:
+        if reply.metadata.was_not_run:
             raise BrokenReplyError(BreakKind.NO_CONNECTION, f'turned away with {status}')
         if status >= 300:  # noqa: PLR2004
             connection.read_body(until_ms, FAILURE_BODY_BYTES)
--- a/citrondyke/gateway/metrics.py
+++ b/citrondyke/gateway/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms as text."""
+"""Counters, gauges and latency histograms in Prometheus text format."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 #: Upper bounds of the histograms' buckets: around the routes' targets of 200 to 500 ms.
 BUCKETS_MS = (5, 10, 20, 50, 100, 200, 300, 400, 500, 750, 1_000, 2_000, 5_000)
-#: Routes with series of their own; later ones are counted together.
+#: Limit on routes with series of their own; further ones are counted as ``other``.
 ROUTES_LIMIT = 200
-#: Accounts with series of their own.
+#: Limit on accounts with series of their own.
 ACCOUNTS_LIMIT = 100
 OTHER = 'other'
 
@@ -36,7 +36,7 @@
 
 
 class Metrics:
-    """What an instance counts; the number of series is bounded."""
+    """Metrics of an instance; the number of series is bounded."""
 
     def __init__(self) -> None:
         """Start at nothing."""
@@ -49,11 +49,11 @@
         self._gauges: list[tuple[str, Callable[[], float]]] = []
 
     def add_gauge(self, name: str, read: Callable[[], float]) -> None:
-        """Show a value that is read when asked for."""
+        """Add a gauge whose value is read when the metrics are requested."""
         self._gauges.append((name, read))
 
     def record_request(self, route: str, end: str, first_ms: float, took_ms: float) -> None:
-        """Count a request that ended."""
+        """Record the result and the latencies of a request."""
         name = (
             route
             if route in self._first_answer or len(self._first_answer) < ROUTES_LIMIT
@@ -64,15 +64,15 @@
         self._histogram(self._total, name).add(took_ms)
 
     def record_account_verdict(self, account: str, verdict: str) -> None:
-        """Count a request of an account by what was said of its limit."""
+        """Count a rate limit verdict on a request of an account."""
         self._accounts.setdefault(self._account_name(account), Counter())[verdict] += 1
 
     def account_verdicts(self, account: str) -> dict[str, int]:
-        """Give how often what was said of an account's limit here."""
+        """Return the number of this instance's rate limit verdicts on an account, by verdict."""
         return dict(self._accounts.get(account, {}))
 
     def record_account_first_answer(self, account: str, first_ms: float) -> None:
-        """Count how long an account's request waited for the first of its answer."""
+        """Record how long an account's request waited for the start of its response."""
         self._histogram(self._account_first, self._account_name(account)).add(first_ms)
 
     def _account_name(self, account: str) -> str:
@@ -81,7 +81,7 @@
         return account if known or count < ACCOUNTS_LIMIT else OTHER
 
     def text(self) -> str:
-        """Give everything in the text format."""
+        """Return all metrics in the text format."""
         lines = []
         for (route, end), count in sorted(self._results.items()):
             lines.append(f'citrondyke_requests_total{{route="{route}",end="{end}"}} {count}')
--- a/citrondyke/gateway/operator_state.py
+++ b/citrondyke/gateway/operator_state.py
@@ -1,4 +1,4 @@
-"""What an instance tells its operator of accounts and of suspected requests."""
+"""State page for operators: accounts and poison suspects of an instance."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class OperatorState:
-    """Puts the state together when it is asked for."""
+    """Builds the state page when it is requested."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         self._metrics = metrics
 
     def page(self) -> bytes:
-        """Give the state as JSON."""
+        """Return the state as JSON."""
         table = self._config.table
         state = InstanceState(
             instance=self._instance_id,
--- a/citrondyke/gateway/platform_adapters.py
+++ b/citrondyke/gateway/platform_adapters.py
@@ -1,4 +1,4 @@
-"""What surrounds an instance, as one bundle that an adapter makes."""
+"""Adapters between an instance and the platform that it runs on."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class PlatformAdapters(msgspec.Struct, frozen=True):
-    """The store, the rows that others write there, and what callers and servers speak."""
+    """Access to the store, decoders of its rows, and the dialect of callers and servers."""
 
     table: PartitionedTable
     objects: ObjectStore
@@ -28,7 +28,7 @@
     servers_table: str
     decoder: RowDecoder
     dialect: Dialect
-    #: Follows a change of the store's address.
+    #: Switches to a changed address of the store.
     move_store: Callable[[Address], None]
-    #: Counts what is read from the store.
+    #: Counts the bytes that are read from the store.
     traffic: StoreTraffic
--- a/citrondyke/gateway/servers/server_sends.py
+++ b/citrondyke/gateway/servers/server_sends.py
@@ -39,7 +39,7 @@
 
     connection: ServerConnection
     head: ReplyHead
-    facts: ReplyMetadata
+    metadata: ReplyMetadata
 
 
 class ServerSends:
--- a/citrondyke/gateway/settings.py
+++ b/citrondyke/gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a gateway instance, in the product's own words."""
+"""Settings of a gateway instance, independent of the platform's configuration format."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The platform's store and its bounds."""
+    """Address and limits of the platform's store."""
 
     address: Address
-    #: Of one call; a transaction takes 5 ms, and the store can be 60 times as slow.
+    #: Timeout of one call; a transaction takes 5 ms, and the store can be 60 times as slow.
     call_timeout_ms: float = 1_200.0
-    #: Largest value of a row.
+    #: Limit on the size of a row's value.
     row_bytes: int = 65_536
-    #: Reads a second that it takes from all instances together.
+    #: Read rate that the store accepts from all instances together.
     reads_per_s: float = 2_000.0
 
 
 class GatewaySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Who and where an instance is, and the bounds that it keeps."""
+    """Identity, addresses and limits of an instance."""
 
     instance_id: InstanceId
     zone: AvailabilityZone
@@ -39,20 +39,20 @@
     health: Address
     #: UDP and TCP port for other instances, the same on all of them.
     peer_port: int
-    #: 0 for no metrics.
+    #: 0 disables metrics.
     metrics_port: int
-    #: Some instances that may be up, for when the store is out of reach.
+    #: Instances to contact if the store is unreachable at the start.
     seed_ips: tuple[str, ...]
     store: StoreSettings
     memory_bytes: int
     connections_limit: int
-    #: From SIGTERM until the process is killed.
+    #: Time from SIGTERM until the process is killed.
     stop_within_ms: float
-    #: After an outage of the store, until a missing server counts as gone.
+    #: Time after an outage of the store until a missing server is removed.
     lapsed_grace_ms: float
-    #: How long a job stays readable after it was submitted.
+    #: Time for which a job is kept after it was submitted.
     job_kept_ms: float
-    #: Part by which accepted tokens may pass a route's bound.
+    #: Share by which accepted tokens may exceed a route's backlog limit.
     tokens_overshoot: float = 0.1
-    #: What may pass an account's limit on requests.
+    #: Permitted excess over an account's rate limit.
     limit_tolerance: OvershootBudget = OvershootBudget()
--- a/citrondyke/gateway/settings_watcher.py
+++ b/citrondyke/gateway/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Notices changed settings, with a signal or without one."""
+"""Reloads changed settings, on a signal or by polling."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 log = logbook.Logger(__name__)
 
-#: The file may change without a signal; reading its few KB costs about 1 ms.
+#: The file may change without a signal; reading its few KB takes about 1 ms.
 POLL_EVERY_S = 2.0
 
 
 class SettingsWatcher:
-    """Hands on settings that differ from the last ones; a file in error changes nothing."""
+    """Applies settings that differ from the current ones; an invalid file is ignored."""
 
     def __init__(
         self,
@@ -31,17 +31,20 @@
         current: GatewaySettings,
         on_change: Callable[[GatewaySettings], None],
     ) -> None:
-        """Watch what ``load`` gives."""
+        """Watch the settings that ``load`` returns.
+
+        :param on_change: called with changed settings.
+        """
         self._load = load
         self._current = current
         self._on_change = on_change
 
     def start(self) -> None:
-        """Begin to look by itself."""
+        """Start polling."""
         gevent.spawn(self._run)
 
     def reload_if_changed(self) -> None:
-        """Read the settings and hand them on if they changed."""
+        """Read the settings and apply them if they changed."""
         try:
             loaded = self._load()
         except SettingsInvalidError as error:
--- a/citrondyke/gateway/sockets.py
+++ b/citrondyke/gateway/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of the gateway, set up so that a silent peer is noticed."""
+"""Socket setup of the gateway, so that an unresponsive remote end is detected."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 __all__ = ('connect', 'reset', 'tune')
 
-#: Unacknowledged bytes end a connection after so long. A partition swallows packets without a
-#: reset; without this a sender's buffer would hold a dead connection for minutes.
+#: A connection is closed when sent bytes stay unacknowledged for this long. A partition drops
+#: packets without a reset; without this limit a dead connection would stay open for minutes.
 USER_TIMEOUT_MS = 2_500
-#: Idle connections are probed from so long on, and so often.
+#: Keepalive probes of idle connections: time before the first one, interval and limit.
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_EVERY_S = 1
 KEEPALIVE_COUNT = 2
 
 
 def tune(sock: socket.socket) -> None:
-    """Send small writes at once and notice a peer that is gone."""
+    """Disable Nagle's algorithm and enable detection of a dead remote end."""
     sock.setsockopt(std_socket.IPPROTO_TCP, std_socket.TCP_NODELAY, 1)
     sock.setsockopt(std_socket.IPPROTO_TCP, std_socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     sock.setsockopt(std_socket.SOL_SOCKET, std_socket.SO_KEEPALIVE, 1)
@@ -52,8 +52,8 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Close a connection by a reset, so that an answer that ends early cannot look complete."""
-    # Where the other end closed already there is nothing left to make clear.
+    """Close a connection with a reset, so that a truncated response cannot look complete."""
+    # If the other end has closed already, no reset is needed.
     with contextlib.suppress(OSError):
         sock.setsockopt(std_socket.SOL_SOCKET, std_socket.SO_LINGER, struct.pack('ii', 1, 0))
     sock.close()
--- a/citrondyke/gateway/store_traffic.py
+++ b/citrondyke/gateway/store_traffic.py
@@ -1,4 +1,4 @@
-"""Counts the bytes that an instance reads from the store, by table and kind of call."""
+"""Counts bytes read from the store and calls to it, by table and kind of call."""
 
 from __future__ import annotations
 
@@ -15,12 +15,11 @@
 
 log = logbook.Logger(__name__)
 
-#: Time between two lines of the log.
 LOG_EVERY_S = 10.0
 
 
 class StoreTraffic:
-    """Shown as metrics, and in the log every 10 s; bytes of the store cost money."""
+    """Reports the store's traffic as metrics and in the log every 10 s, since it is billed."""
 
     def __init__(self) -> None:
         """Start at nothing."""
@@ -29,9 +28,10 @@
         self._refused: Counter[str] = Counter()
 
     def record(self, kind: str, table: str, size_bytes: int, *, is_answered: bool) -> None:
-        """Count an answer, or a call without a good one.
+        """Count a call and the size of its response.
 
-        :param kind: of the call: read, feed, parts or write.
+        :param kind: kind of the call: read, feed, parts or write.
+        :param is_answered: whether the call succeeded.
         """
         name = f'{kind}_{table}'
         self._calls[name] += 1
@@ -40,7 +40,7 @@
             self._refused[name] += 1
 
     def run(self, metrics: Metrics) -> None:
-        """Log and show what was read, for good."""
+        """Log and export the counts periodically, forever."""
         while True:
             gevent.sleep(LOG_EVERY_S)
             if not self._calls:
--- a/citrondyke/gateway/tasks.py
+++ b/citrondyke/gateway/tasks.py
@@ -1,4 +1,4 @@
-"""The greenlets of one instance."""
+"""Greenlets of an instance."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
 log = logbook.Logger(__name__)
 
-#: Pause before a task that failed begins again.
+#: Pause before a failed task is restarted.
 RESTART_S = 0.3
 
 
 class Tasks:
-    """Spawns greenlets that end with their instance."""
+    """Spawns greenlets that are killed with their instance."""
 
     def __init__(self) -> None:
         """Start with none."""
         self._group = Group()
 
     def spawn(self, work: Callable[..., object], *arguments: Any) -> gevent.Greenlet:
-        """Run something once."""
+        """Run a task once."""
         return self._group.spawn(work, *arguments)
 
     def keep(self, work: Callable[[], None]) -> None:
-        """Run something for good; after an unforeseen failure it begins again.
+        """Run a task and restart it after an unexpected exception.
 
-        A follower that ended by an error in one row would leave its instance with an old list of
-        servers for good, and nothing would show it but failing requests.
+        If an error in one row ended a follower, its instance would use a stale server list forever,
+        and only failing requests would show it.
         """
         self._group.spawn(self._keep, work)
 
     def end(self) -> None:
-        """End all of them."""
+        """Kill all greenlets."""
         self._group.kill(block=True, timeout=1.0)
 
     @staticmethod
