--- a/citrondyke/gateway/instance.py
+++ b/citrondyke/gateway/instance.py
@@ -1,4 +1,4 @@
-"""One gateway instance as a process: its parts put together, started and stopped."""
+"""Assembly, start and stop of a gateway instance."""
 
 from __future__ import annotations
 
@@ -64,12 +64,12 @@
 
 log = logbook.Logger(__name__)
 
-#: Servers that lapsed in an outage are dropped within this of their time; 2 s are allowed.
+#: Servers whose rows expired during an outage are removed within this time; 2 s are allowed.
 UPDATE_EVERY_S = 0.25
 
 
 class GatewayInstance:
-    """Runs until it is told to stop."""
+    """Gateway instance; it runs until a stop is requested."""
 
     def __init__(
         self,
@@ -79,11 +79,12 @@
         sockets: EarlySockets | None = None,
         steps: StartSteps | None = None,
     ) -> None:
-        """Put the parts together; nothing is accepted before ``start``.
+        """Create the parts; connections are accepted from ``start`` on.
 
-        :param began_ms: start of its process by the fence clock, where it has one to itself.
-        :param sockets: those that listen already; taken over with what waits in them.
-        :param steps: of the process's start.
+        :param began_ms: start of its process by the fence clock, if the instance has a process of
+            its own.
+        :param sockets: sockets that listen already; taken over with their pending connections.
+        :param steps: recorder of the process's startup steps.
         """
         self._sockets = EarlySockets(()) if sockets is None else sockets
         self._steps = steps
@@ -251,7 +252,7 @@
         self._stopping = Event()
 
     def start(self) -> None:
-        """Listen and begin to follow the store."""
+        """Listen and start following the store."""
         settings = self._settings
         self._listen(settings.callers.ip, settings.callers.port, self.front.on_connection)
         self._listen(settings.health.ip, settings.health.port, self._pages.on_connection)
@@ -298,11 +299,11 @@
 
     @property
     def address(self) -> Address:
-        """Give the address for callers."""
+        """Address for callers."""
         return self._settings.callers
 
     def stop_abruptly(self) -> None:
-        """End without a word, as a killed process does."""
+        """Stop without notice to peers and callers, as a killed process does."""
         self._tasks.end()
         self.peers.stop()
         self.limits.stop()
@@ -311,11 +312,11 @@
         self.front.abort_all()
 
     def request_stop(self) -> None:
-        """Begin a planned stop."""
+        """Request a graceful shutdown."""
         self._stopping.set()
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take in changed settings; addresses to listen on stay as they were at the start."""
+        """Apply changed settings; a change of the addresses to listen on needs a restart."""
         before = msgspec.structs.asdict(self._settings)
         changed = [
             name
@@ -328,7 +329,7 @@
         log.info('instance.reloaded', extra={'changed': changed})
 
     def run_until_stopped(self) -> None:
-        """Serve until a planned stop is asked for, and carry it out."""
+        """Serve until a graceful shutdown is requested, and run it."""
         self._stopping.wait()
         stop = GracefulShutdown(self.clock, self.front, self._servers[0], self._transfer_ownership)
         stop.run(self._settings.stop_within_ms)
@@ -339,7 +340,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the balancer may send callers."""
+        """Whether the load balancer may send requests."""
         return self.replicated.is_complete and not self._stopping.is_set()
 
     def _listen(self, ip: str, port: int, handle: Callable[[socket.socket, object], None]) -> None:
@@ -380,12 +381,12 @@
         self.guard.record_removed(state)
 
     def _on_incarnation_ended(self, state: ServerState) -> None:
-        # First, so that what is broken off with it is known to belong to a life that is over.
+        # The guard comes first, so that it attributes the aborted requests to the ended incarnation.
         self.guard.record_incarnation_ended(state)
         self._sends.abort_incarnation(state)
 
     def _on_load_change(self, state: ServerState) -> None:
-        """Tell peers, and make room on a server that fills up."""
+        """Publish the load, and preempt batch items on a server with online requests."""
         self._loads.note_change()
         self._evidence.record_outcome(state)
         if state.own.batch and state.own.online:
--- a/tests/test_gateway/__init__.py
+++ b/tests/test_gateway/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of requests that run at most once."""
+"""Tests of the gateway."""
 
 from __future__ import annotations
--- a/tests/test_gateway/test_gateway_event_log.py
+++ b/tests/test_gateway/test_gateway_event_log.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded and never hold a request up."""
+"""Tests that log lines are rate limited and never delay a request."""
 
 from __future__ import annotations
 
@@ -38,8 +38,8 @@
     return [json.loads(line) for line in data.splitlines()]
 
 
-def test_each_kind_has_a_bound_and_the_rest_is_counted(pipe: tuple[int, int]) -> None:
-    # A burst of one kind of event must not push out the one line that explains it.
+def test_lines_of_each_kind_are_limited_and_dropped_ones_counted(pipe: tuple[int, int]) -> None:
+    # A burst of one kind of event must not displace the one line that explains it.
     clock = ManualClock()
     handler = EventLogHandler(clock, {'instance': 'edge-1'}, pipe[1])
     with handler.applicationbound():
@@ -55,9 +55,9 @@
     assert lines[-1]['counts'] == {'burst': 30}
 
 
-def test_reader_that_does_not_read_blocks_nothing(pipe: tuple[int, int]) -> None:
-    # Whoever collects the logs stands still and the pipe is full. Writing would block the whole
-    # process, and every caller with it; lines wait in a bounded queue instead.
+def test_stalled_reader_does_not_block_the_process(pipe: tuple[int, int]) -> None:
+    # The log collector stalls and the pipe is full. A blocking write would stop the whole process
+    # and delay every caller; lines wait in a bounded queue instead.
     clock = ManualClock()
     handler = EventLogHandler(clock, {}, pipe[1])
     with handler.applicationbound():
@@ -78,7 +78,7 @@
     assert len(numbers) < QUEUE_LINES * 2
 
 
-def test_requests_go_on_while_nobody_reads_the_log(
+def test_requests_are_served_while_the_log_is_not_read(
     fleet: GatewayFleet, pipe: tuple[int, int]
 ) -> None:
     os.set_blocking(pipe[1], False)
@@ -93,7 +93,7 @@
             handler.flush()
 
 
-def test_reader_that_is_gone_ends_nothing() -> None:
+def test_closed_log_pipe_is_not_an_error() -> None:
     read, write = os.pipe()
     os.close(read)
     handler = EventLogHandler(ManualClock(), {}, write)
--- a/tests/test_gateway/test_gateway_metrics.py
+++ b/tests/test_gateway/test_gateway_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms as text, a bounded number of them."""
+"""Tests of the metrics text and of the limit on its series."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.support.gateway import GatewayFleet
 
 
-def test_text_has_counts_by_route_and_end() -> None:
+def test_text_has_counts_by_route_and_result() -> None:
     metrics = Metrics()
     metrics.record_request('r', 'done', 12.0, 700.0)
     metrics.record_request('r', 'turned_away', 0.3, 0.3)
@@ -19,9 +19,9 @@
     assert 'citrondyke_answer_ms_count{route="r"} 2' in text
 
 
-def test_number_of_series_is_bounded() -> None:
-    # Each version of the configuration can bring routes with new names; series of all of them
-    # would grow without end.
+def test_number_of_series_is_limited() -> None:
+    # Each version of the configuration can add routes with new names, so without a limit the number
+    # of series would grow forever.
     metrics = Metrics()
     for number in range(ROUTES_LIMIT * 3):
         metrics.record_request(f'r-{number}', 'done', 1.0, 1.0)
--- a/tests/test_gateway/test_gateway_start.py
+++ b/tests/test_gateway/test_gateway_start.py
@@ -1,4 +1,4 @@
-"""Callers who come while an instance starts wait for it."""
+"""Tests that requests wait for an instance that is starting."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.support.gateway import LOOPBACK, GatewayFleet, Reply, exchange, wait_until_seen
 from tests.support.gateway_process import GatewayProcess
 
-#: From exec until an instance listens, on a core of its own: the tests share theirs with others.
+#: Processor time from exec until an instance listens; elapsed time would depend on other tests.
 LISTENS_WITHIN_S = 0.1
 
 Make = Callable[[int], list[GatewayProcess]]
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def make(tmp_path: Path) -> Iterator[Make]:
-    """Give a way to make processes of instances beside one store and one server."""
+    """Factory of instance processes that share one store and one server."""
     fleet, made = GatewayFleet(), []
     fleet.configure()
     fleet.add_server('app-1', 'app', slots=100)
@@ -53,9 +53,12 @@
 
 
 def call_until_taken(process: GatewayProcess) -> tuple[float, Reply]:
-    """Call until it is served; give what the instance had run when it last refused a connection.
+    """Retry until a request is served.
 
-    On a busy machine the store may not answer while a request is held: then it is told a time.
+    On a busy machine the store may not respond while a request is held; the request then gets 503
+    with a retry time.
+
+    :returns: processor time of the instance when it last refused a connection, and the response.
     """
     refused_s = 0.0
     while True:
@@ -69,9 +72,9 @@
         gevent.sleep(float(reply.headers['retry-after']))
 
 
-def test_no_caller_is_refused_once_all_were_started_again(make: Make) -> None:
-    # Imports take a while, above all when a whole fleet does them at once. Callers have a try or
-    # two: who is refused at each has failed.
+def test_restart_of_all_instances_refuses_no_connection(make: Make) -> None:
+    # Imports take a while, above all when a whole fleet starts at once. Callers retry once or
+    # twice, so a caller whose connections are refused fails.
     processes = make(20)
     for process in processes:
         process.start()
@@ -89,20 +92,20 @@
         assert refused_s < LISTENS_WITHIN_S
 
 
-def test_signals_in_the_start(make: Make) -> None:
-    # A change of the settings must not end a process that is just starting; a stop ends it at once.
-    told, stopped = make(2)
-    for process in (told, stopped):
+def test_signals_during_the_start(make: Make) -> None:
+    # SIGHUP must not kill a process that is starting; SIGTERM stops it at once.
+    reloaded, stopped = make(2)
+    for process in (reloaded, stopped):
         process.start()
         wait_until_seen(process.connect, 'it to listen')
-    told.send_signal(signal.SIGHUP)
+    reloaded.send_signal(signal.SIGHUP)
     stopped.send_signal(signal.SIGTERM)
     assert stopped.wait() == -signal.SIGTERM
     assert stopped.connect() is None
-    wait_until_seen(lambda: is_ready(told), 'it to be ready')
+    wait_until_seen(lambda: is_ready(reloaded), 'it to be ready')
 
 
-def test_a_start_that_fails_turns_callers_away(make: Make) -> None:
+def test_failed_start_closes_the_port(make: Make) -> None:
     (process,) = make(1)
     process.file.write_text('node_name = 1')
     process.start()
@@ -112,8 +115,9 @@
     assert process.connect() is None
 
 
-def test_a_predecessor_that_still_listens(make: Make) -> None:
-    # Binding fails at both tries, so the process ends and is started again by the platform.
+def test_port_in_use_ends_the_process(make: Make) -> None:
+    # The predecessor still listens. Binding fails at both attempts, so the process exits and the
+    # platform restarts it.
     (process,) = make(1)
     with socket.socket() as predecessor:
         predecessor.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -124,7 +128,7 @@
         assert 'Address already in use' in process.log_text
 
 
-def test_a_request_waits_for_the_configuration() -> None:
+def test_request_waits_for_the_configuration() -> None:
     fleet = GatewayFleet()
     try:
         fleet.add_server('app-1', 'app')
@@ -136,7 +140,7 @@
         fleet.end()
 
 
-def test_a_request_that_waited_in_vain_is_told_when_to_come_again() -> None:
+def test_request_that_cannot_be_served_in_time_gets_a_retry_time() -> None:
     fleet = GatewayFleet()
     try:
         fleet.start_instance()
@@ -144,7 +148,8 @@
         reply = fleet.call('/fetch/a', Deadline_Ms='900')
         waited_s = time.monotonic() - began_s
         assert (reply.status, reply.body) == (503, b'')
-        # A third of what the caller will wait; the rest is for another instance.
+        # The request is held for a third of the caller's timeout; the rest is left for a retry at
+        # another instance.
         assert waited_s > 0.25
         assert waited_s * 0.9 < float(reply.headers['retry-after'])
     finally:
--- a/tests/test_gateway/test_gateway_stop.py
+++ b/tests/test_gateway/test_gateway_stop.py
@@ -1,4 +1,4 @@
-"""A planned stop cuts no request off."""
+"""Tests that a graceful shutdown aborts no request."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from tests.support.gateway import GatewayFleet, Reply, exchange, wait_until_seen
 
 
-def test_requests_run_on_while_the_balancer_is_told(fleet: GatewayFleet) -> None:
-    # An instance is asked to stop in the middle of a stream. Its health check fails at once, the
-    # stream ends whole, and what the balancer still sends meanwhile is served too.
+def test_requests_are_served_until_the_load_balancer_stops_sending(fleet: GatewayFleet) -> None:
+    # An instance is stopped in the middle of a stream. Its health check fails at once, the stream
+    # ends whole, and requests that the load balancer still sends are served.
     for name in ('lm-1', 'lm-2'):
         fleet.servers[name].event_gap_ms = 200.0
     instance = fleet.instances[0]
@@ -30,7 +30,7 @@
         assert stopping.ready()
 
 
-def test_stop_ends_though_a_server_is_silent(fleet: GatewayFleet) -> None:
+def test_shutdown_ends_though_a_server_is_unresponsive(fleet: GatewayFleet) -> None:
     for name in ('app-1', 'app-2'):
         fleet.servers[name].acts.append(Act.SILENT)
     instance = fleet.instances[0]
