--- a/citrondyke/gateway/instance.py
+++ b/citrondyke/gateway/instance.py
@@ -381,7 +381,7 @@
         self.guard.record_removed(state)
 
     def _on_incarnation_ended(self, state: ServerState) -> None:
-        # The guard comes first, so that it attributes the aborted requests to the ended incarnation.
+        # The guard comes first, so that it attributes the aborted requests to that incarnation.
         self.guard.record_incarnation_ended(state)
         self._sends.abort_incarnation(state)
 
