--- a/citrondyke/decisions/jobs/job_file_reader.py
+++ b/citrondyke/decisions/jobs/job_file_reader.py
@@ -130,7 +130,7 @@
             return f'target {target} differs from {self._target} in the lines before'
         custom_id = hashlib.blake2b(line.custom_id.encode(), digest_size=10).digest()
         if custom_id in self._custom_ids:
-            return f'custom_id {line.custom_id!r} is not unique in the file'
+            return f'custom_id {line.custom_id!r} was used before'
         self._custom_ids.add(custom_id)
         return None
 
