--- a/citrondyke/decisions/batch/batch_demand.py
+++ b/citrondyke/decisions/batch/batch_demand.py
@@ -24,7 +24,7 @@
     """The waiting items of one service at one owner that have the best completion likelihood."""
 
     service: ServiceName
-    prospect: CompletionLikelihood
+    likelihood: CompletionLikelihood
     waiting_count: int
     #: Latest time at which the most urgent of them can start and still finish by its due time, on
     #: the monotonic clock of the instance that holds this object.
@@ -35,6 +35,6 @@
     """Batch demand as sent to peers; its time is relative, because the clocks differ."""
 
     service: ServiceName
-    prospect: int
+    likelihood: int
     waiting_count: int
     start_in_ms: float
--- a/citrondyke/decisions/batch/batch_demand_table.py
+++ b/citrondyke/decisions/batch/batch_demand_table.py
@@ -65,7 +65,7 @@
         demands = {
             demand.service: BatchDemand(
                 demand.service,
-                CompletionLikelihood(demand.prospect),
+                CompletionLikelihood(demand.likelihood),
                 demand.waiting_count,
                 now_ms + demand.start_in_ms,
             )
@@ -90,7 +90,7 @@
         self._published, self._published_ms = own, now_ms
         return [
             DemandNotice(
-                demand.service, demand.prospect, demand.waiting_count, demand.start_by_ms - now_ms
+                demand.service, demand.likelihood, demand.waiting_count, demand.start_by_ms - now_ms
             )
             for demand in own
         ]
@@ -130,11 +130,11 @@
 
 
 def _order(demand: BatchDemand) -> tuple[int, int]:
-    if demand.prospect is not CompletionLikelihood.DOABLE:
-        return demand.prospect, 0
-    return demand.prospect, int(demand.start_by_ms // EQUAL_URGENCY_MS)
+    if demand.likelihood is not CompletionLikelihood.DOABLE:
+        return demand.likelihood, 0
+    return demand.likelihood, int(demand.start_by_ms // EQUAL_URGENCY_MS)
 
 
 def _coarse(demand: BatchDemand) -> tuple[ServiceName, CompletionLikelihood, int]:
     """Reduce demand to what changes the shares noticeably."""
-    return demand.service, demand.prospect, demand.waiting_count.bit_length()
+    return demand.service, demand.likelihood, demand.waiting_count.bit_length()
--- a/citrondyke/decisions/batch/batch_scheduler.py
+++ b/citrondyke/decisions/batch/batch_scheduler.py
@@ -69,7 +69,7 @@
 
     #: Number that the owner assigned to the run.
     number: int
-    life: ServerIncarnation
+    incarnation: ServerIncarnation
     started_ms: float
     urgency: Urgency
     #: Expected remaining run time; an item that has run for seconds may be nearly finished.
@@ -193,16 +193,18 @@
         local = [state for state in usable if state.listed.zone == zone]
         return local, [state for state in usable if state.listed.zone != zone]
 
-    def overloaded_servers(self, lives: Iterable[ServerIncarnation]) -> set[ServerIncarnation]:
+    def overloaded_servers(
+        self, incarnations: Iterable[ServerIncarnation]
+    ) -> set[ServerIncarnation]:
         """Return the servers with more requests than capacity, some of them online."""
         now_ms = self._context.now_ms()
         found = set()
-        for life in lives:
-            state = self._registry.find_incarnation(life)
+        for incarnation in incarnations:
+            state = self._registry.find_incarnation(incarnation)
             if state is not None and _excess_count(state, now_ms) > 0:
-                found.add(life)
+                found.add(incarnation)
             else:
-                self._excess_history.pop(life, None)
+                self._excess_history.pop(incarnation, None)
         return found
 
     def items_to_preempt(self, running: Iterable[RunningItem]) -> list[RunningItem]:
@@ -217,10 +219,10 @@
         now_ms = self._context.now_ms()
         by_server: dict[ServerIncarnation, list[RunningItem]] = {}
         for item in running:
-            by_server.setdefault(item.life, []).append(item)
+            by_server.setdefault(item.incarnation, []).append(item)
         chosen = []
-        for life, items in by_server.items():
-            state = self._registry.find_incarnation(life)
+        for incarnation, items in by_server.items():
+            state = self._registry.find_incarnation(incarnation)
             if state is not None:
                 chosen.extend(self._preempt_at(state, items, now_ms))
         return chosen
--- a/citrondyke/decisions/batch/item_priority.py
+++ b/citrondyke/decisions/batch/item_priority.py
@@ -19,7 +19,7 @@
 class ItemPriority(msgspec.Struct, frozen=True):
     """Priority of an item if it started now."""
 
-    prospect: CompletionLikelihood
+    likelihood: CompletionLikelihood
     #: Time between its expected end and its due time.
     slack_ms: float
     #: Whether an earlier run of it was interrupted.
@@ -33,9 +33,9 @@
         items start in descending order of slack, the likeliest to finish in time first: in the
         order of due times, capacity would go to items that all become late.
         """
-        is_doubtful = self.prospect is CompletionLikelihood.DOUBTFUL
+        is_doubtful = self.likelihood is CompletionLikelihood.DOUBTFUL
         slack_ms = -self.slack_ms if is_doubtful else self.slack_ms
-        return self.prospect, not self.has_begun, slack_ms
+        return self.likelihood, not self.has_begun, slack_ms
 
 
 def priority_of(slack_ms: float, margin_ms: float, *, has_begun: bool = False) -> ItemPriority:
@@ -46,10 +46,10 @@
     """
     if slack_ms < LATE_SLACK_MS:
         return ItemPriority(CompletionLikelihood.LATE, slack_ms, has_begun)
-    prospect = (
+    likelihood = (
         CompletionLikelihood.DOABLE if slack_ms >= margin_ms else CompletionLikelihood.DOUBTFUL
     )
-    return ItemPriority(prospect, slack_ms, has_begun)
+    return ItemPriority(likelihood, slack_ms, has_begun)
 
 
 def batch_demand_of(
@@ -60,11 +60,11 @@
     :param priorities: of all waiting items; at least one.
     """
     priorities = list(priorities)
-    best = min(each.prospect for each in priorities)
-    slacks_ms = [each.slack_ms for each in priorities if each.prospect is best]
+    best = min(each.likelihood for each in priorities)
+    slacks_ms = [each.slack_ms for each in priorities if each.likelihood is best]
     return BatchDemand(service, best, len(slacks_ms), now_ms + min(slacks_ms))
 
 
 def count_by_likelihood(priorities: Iterable[ItemPriority]) -> Counter[CompletionLikelihood]:
     """Count items by completion likelihood."""
-    return Counter(each.prospect for each in priorities)
+    return Counter(each.likelihood for each in priorities)
--- a/citrondyke/decisions/batch/takeover.py
+++ b/citrondyke/decisions/batch/takeover.py
@@ -44,7 +44,7 @@
     since_ms: float
 
 
-class _SeenHead(msgspec.Struct):
+class _HeadState(msgspec.Struct):
     version: int
     since_ms: float
     dead_since_ms: float | None = None
@@ -61,7 +61,7 @@
     def __init__(self, context: Context) -> None:
         """Start without known instances."""
         self._context = context
-        self._seen: dict[InstanceId, _Heartbeat] = {}
+        self._heartbeats: dict[InstanceId, _Heartbeat] = {}
         #: Times of death of incarnations whose rows were removed, in the order of removal.
         self._removed: dict[str, float] = {}
         self._heartbeat_ms = float('-inf')
@@ -72,23 +72,23 @@
 
     def record_row(self, instance_id: InstanceId, incarnation: str, version: int) -> bool:
         """Record the row of a heartbeat; return whether its version is new."""
-        seen = self._seen.get(instance_id)
-        if seen is not None and version <= seen.version:
+        heartbeat = self._heartbeats.get(instance_id)
+        if heartbeat is not None and version <= heartbeat.version:
             return False
         now_ms = self._context.now_ms()
-        is_known_incarnation = seen is not None and seen.life == incarnation
-        since_ms = seen.since_ms if seen is not None and is_known_incarnation else now_ms
-        self._seen[instance_id] = _Heartbeat(incarnation, version, now_ms, since_ms)
+        is_known_incarnation = heartbeat is not None and heartbeat.life == incarnation
+        since_ms = heartbeat.since_ms if heartbeat is not None and is_known_incarnation else now_ms
+        self._heartbeats[instance_id] = _Heartbeat(incarnation, version, now_ms, since_ms)
         return True
 
     def record_removed(self, instance_id: InstanceId) -> None:
         """Record that a row was removed, by its instance or after a long time without renewal."""
-        seen = self._seen.pop(instance_id, None)
-        if seen is None:
+        heartbeat = self._heartbeats.pop(instance_id, None)
+        if heartbeat is None:
             return
         now_ms = self._context.now_ms()
-        self._removed[seen.life] = min(
-            now_ms, seen.renewed_ms + HEARTBEAT_TIMEOUT_MS * self.timeout_factor
+        self._removed[heartbeat.life] = min(
+            now_ms, heartbeat.renewed_ms + HEARTBEAT_TIMEOUT_MS * self.timeout_factor
         )
         while len(self._removed) > REMOVED_LIMIT:
             del self._removed[next(iter(self._removed))]
@@ -134,11 +134,15 @@
         if not owner:
             return float('inf')
         now_ms = self._context.now_ms()
-        seen = self._seen.get(owner)
-        if seen is not None and seen.life != incarnation and seen.version > row_version:
+        heartbeat = self._heartbeats.get(owner)
+        if (
+            heartbeat is not None
+            and heartbeat.life != incarnation
+            and heartbeat.version > row_version
+        ):
             # A later incarnation of the owner started after that row was written.
-            return now_ms - seen.since_ms
-        if seen is None and incarnation in self._removed:
+            return now_ms - heartbeat.since_ms
+        if heartbeat is None and incarnation in self._removed:
             # Counts from the removal rather than from since_ms: the owner ran on until then, and
             # its last writes may still take effect.
             return now_ms - self._removed[incarnation]
@@ -146,8 +150,8 @@
         # heartbeat was polled here; if it counted as dead, instances would claim jobs from each
         # other. A recently written head also shows that its owner was alive at that time.
         last_alive_ms = since_ms
-        if seen is not None and seen.life == incarnation:
-            last_alive_ms = max(since_ms, seen.renewed_ms)
+        if heartbeat is not None and heartbeat.life == incarnation:
+            last_alive_ms = max(since_ms, heartbeat.renewed_ms)
         overdue_ms = now_ms - last_alive_ms - HEARTBEAT_TIMEOUT_MS * self.timeout_factor
         return overdue_ms if overdue_ms >= 0 else None
 
@@ -159,7 +163,7 @@
     @property
     def count(self) -> int:
         """Return the number of instances that have a row, this one included."""
-        return max(1, len(self._seen))
+        return max(1, len(self._heartbeats))
 
     @property
     def is_settled(self) -> bool:
@@ -175,8 +179,9 @@
         now_ms = self._context.now_ms()
         return [
             instance_id
-            for instance_id, seen in self._seen.items()
-            if now_ms - seen.renewed_ms >= longest_ms and instance_id != self._context.instance_id
+            for instance_id, heartbeat in self._heartbeats.items()
+            if now_ms - heartbeat.renewed_ms >= longest_ms
+            and instance_id != self._context.instance_id
         ]
 
     @property
@@ -184,16 +189,16 @@
         return self._context.now_ms() - self._polled_ms <= POLL_GAP_MS * self.timeout_factor
 
     def _restart_timeouts(self, now_ms: float) -> None:
-        for seen in self._seen.values():
-            seen.renewed_ms = now_ms
+        for heartbeat in self._heartbeats.values():
+            heartbeat.renewed_ms = now_ms
 
     def live_instances(self) -> list[InstanceId]:
         """List the live instances, this one included, in sorted order."""
         now_ms = self._context.now_ms()
         found = {
             instance_id
-            for instance_id, seen in self._seen.items()
-            if now_ms - seen.renewed_ms < HEARTBEAT_TIMEOUT_MS * self.timeout_factor
+            for instance_id, heartbeat in self._heartbeats.items()
+            if now_ms - heartbeat.renewed_ms < HEARTBEAT_TIMEOUT_MS * self.timeout_factor
         }
         found.add(self._context.instance_id)
         return sorted(found)
@@ -210,7 +215,7 @@
         self._context = context
         self._incarnation = incarnation
         self._instances = instances
-        self._seen: dict[JobId, _SeenHead] = {}
+        self._heads: dict[JobId, _HeadState] = {}
 
     @property
     def has_polled_instances(self) -> bool:
@@ -227,31 +232,31 @@
         :param version: version of the head's row.
         """
         now_ms = self._context.now_ms()
-        seen = self._seen.get(head.job_id)
-        if seen is None or seen.version != version:
-            seen = self._seen[head.job_id] = _SeenHead(version, now_ms)
+        state = self._heads.get(head.job_id)
+        if state is None or state.version != version:
+            state = self._heads[head.job_id] = _HeadState(version, now_ms)
         if head.owner_life == self._incarnation:
             # The reply to its acceptance was lost; no other instance claims it while this one
             # is alive.
-            return now_ms - seen.since_ms >= OWN_CLAIM_DELAY_MS
+            return now_ms - state.since_ms >= OWN_CLAIM_DELAY_MS
         if head.owner == self._context.instance_id:
             # Owned by an earlier incarnation of this instance, which is certainly dead.
             return True
         if not self._instances.is_settled or not self._instances.is_dead(
-            head.owner, head.owner_life, version, seen.since_ms
+            head.owner, head.owner_life, version, state.since_ms
         ):
-            seen.dead_since_ms = None
+            state.dead_since_ms = None
             return False
-        if seen.dead_since_ms is None:
-            seen.dead_since_ms = now_ms
+        if state.dead_since_ms is None:
+            state.dead_since_ms = now_ms
         order = sorted(
             self._instances.live_instances(),
             key=lambda name: rendezvous_weight(name, head.job_id),
             reverse=True,
         )
         rank = order.index(self._context.instance_id)
-        return now_ms - seen.dead_since_ms >= rank * ROTATION_MS
+        return now_ms - state.dead_since_ms >= rank * ROTATION_MS
 
     def forget(self, job_id: JobId) -> None:
         """Drop the state of a finished job."""
-        self._seen.pop(job_id, None)
+        self._heads.pop(job_id, None)
--- a/citrondyke/decisions/jobs/acceptance.py
+++ b/citrondyke/decisions/jobs/acceptance.py
@@ -258,7 +258,7 @@
     return url.startswith('/services/') and url.startswith(endpoint)
 
 
-def _rejection_of(doubt: CommitFailure) -> JobRejection:
-    if doubt.reason is CommitFailureReason.NOT_WRITTEN:
+def _rejection_of(uncertain: CommitFailure) -> JobRejection:
+    if uncertain.reason is CommitFailureReason.NOT_WRITTEN:
         return JobRejection(JobRejectionReason.PLATFORM_DOWN)
     return JobRejection(JobRejectionReason.UNCERTAIN)
--- a/citrondyke/decisions/jobs/held_segment.py
+++ b/citrondyke/decisions/jobs/held_segment.py
@@ -138,10 +138,10 @@
         suspects = ItemSet.parse(self.row.suspects)
         unsuspected = waiting - suspects
         if unsuspected:
-            room = CAUTIOUS_WINDOW - len(in_flight)
-            if room < CAUTIOUS_WINDOW // 2:
+            free_slots = CAUTIOUS_WINDOW - len(in_flight)
+            if free_slots < CAUTIOUS_WINDOW // 2:
                 return []
-            chosen = list(unsuspected)[:room]
+            chosen = list(unsuspected)[:free_slots]
         else:
             chosen = [] if in_flight else list(waiting)[:SUSPECT_WINDOW]
         self._queued = self._queued | ItemSet.of(chosen)
--- a/citrondyke/decisions/jobs/item_runner.py
+++ b/citrondyke/decisions/jobs/item_runner.py
@@ -181,12 +181,12 @@
             return True
         body = reply.body
         if item.is_model:
-            whole = assemble_answer(item.frames)
-            if whole is None:
+            answer = assemble_answer(item.frames)
+            if answer is None:
                 # The stream ended cleanly without a complete answer, so it starts over.
                 item.frames.clear()
                 return False
-            body = whole
+            body = answer
         outcome = success_outcome(item.request_id, item.custom_id, reply.status, body)
         held.record_outcome(item.position, outcome)
         return True
--- a/citrondyke/decisions/jobs/job_file_reader.py
+++ b/citrondyke/decisions/jobs/job_file_reader.py
@@ -17,7 +17,7 @@
 
     #: Starts at 1.
     line_number: int
-    why: str
+    reason: str
 
     def __bool__(self) -> bool:
         """Evaluate as false, like an empty list of segments."""
@@ -106,9 +106,9 @@
         text = line.strip()
         if not text:
             return None
-        why = self._check(text)
-        if why is not None:
-            return InvalidLine(self._line_number, why)
+        reason = self._check(text)
+        if reason is not None:
+            return InvalidLine(self._line_number, reason)
         self._lines.append(text)
         self._items_count += 1
         return None
@@ -120,10 +120,10 @@
             return f'more than {self._items_limit} items'
         line = parse_line(text)
         if isinstance(line, LineError):
-            return line.why
+            return line.reason
         target = target_of_line(line)
         if isinstance(target, LineError):
-            return target.why
+            return target.reason
         if self._target is None:
             self._target, self._url = target, line.url
         if target != self._target:
--- a/citrondyke/decisions/jobs/job_line.py
+++ b/citrondyke/decisions/jobs/job_line.py
@@ -23,7 +23,7 @@
 class LineError(msgspec.Struct, frozen=True):
     """Result instead of a target: why the line cannot be accepted."""
 
-    why: str
+    reason: str
 
     def __bool__(self) -> bool:
         """Evaluate as false, like a missing target."""
--- a/citrondyke/decisions/jobs/outcome_committer.py
+++ b/citrondyke/decisions/jobs/outcome_committer.py
@@ -87,20 +87,24 @@
     def _store_part(self, held: HeldSegment, positions: list[int]) -> Workflow[PartRow | None]:
         if not positions:
             return None
-        good = [held.outcomes[each].line for each in positions if held.outcomes[each].is_success]
-        bad = [held.outcomes[each].line for each in positions if not held.outcomes[each].is_success]
+        succeeded = [
+            held.outcomes[each].line for each in positions if held.outcomes[each].is_success
+        ]
+        failed = [
+            held.outcomes[each].line for each in positions if not held.outcomes[each].is_success
+        ]
         # The fence in the key keeps a fenced holder from overwriting the objects of the current
         # holder.
         stem = f'result/{held.job_id}/{held.segment:06d}/{held.row.fence}-{held.row.parts_count}'
-        output_key = yield from self._store_lines(held, f'{stem}.out', good)
-        error_key = yield from self._store_lines(held, f'{stem}.err', bad)
+        output_key = yield from self._store_lines(held, f'{stem}.out', succeeded)
+        error_key = yield from self._store_lines(held, f'{stem}.err', failed)
         return PartRow(
             kind=PartKind.RESULTS,
             items=ItemSet.of(positions).text(),
             output_key=output_key,
             error_key=error_key,
-            succeeded_count=len(good),
-            failed_count=len(bad),
+            succeeded_count=len(succeeded),
+            failed_count=len(failed),
             finished_epoch_ms=self._context.epoch_ms(),
         )
 
@@ -123,8 +127,8 @@
         remaining = held.remaining - committed
         # An outcome recorded after the commit began goes into the next one; if the segment were
         # released before that, the item would run again.
-        is_whole = not (ItemSet.of(held.outcomes) - committed)
-        is_released = held.is_releasing and not held.running_count and is_whole
+        is_complete = not (ItemSet.of(held.outcomes) - committed)
+        is_released = held.is_releasing and not held.running_count and is_complete
         started = held.started_after_commit(committed) if held.records_starts else ItemSet()
         if is_released:
             started = ItemSet()
--- a/citrondyke/decisions/jobs/worker.py
+++ b/citrondyke/decisions/jobs/worker.py
@@ -190,12 +190,12 @@
                 if share.batch_count == 0 and (suspect := pending.pop_suspect()) is not None:
                     started.append(self._runner.begin(*suspect, server_id, share, pending))
                 continue
-            room = share.free_capacity(self._context.now_ms())
-            while room > 0:
+            free_capacity = share.free_capacity(self._context.now_ms())
+            while free_capacity > 0:
                 taken = pending.pop()
                 if taken is None:
                     return started
-                room -= 1
+                free_capacity -= 1
                 started.append(self._runner.begin(*taken, server_id, share, pending))
         return started
 
--- a/citrondyke/entry/upload.py
+++ b/citrondyke/entry/upload.py
@@ -65,7 +65,7 @@
             raise InvalidFieldError('file is missing')
         finished = self._reader.finish()
         if isinstance(finished, InvalidLine):
-            raise BadJobLineError(finished.line_number, finished.why)
+            raise BadJobLineError(finished.line_number, finished.reason)
         segments, summary = finished
         self._store(segments)
         return summary
@@ -84,7 +84,7 @@
         if self._segment.name == 'file':
             segments = self._reader.feed(data)
             if isinstance(segments, InvalidLine):
-                raise BadJobLineError(segments.line_number, segments.why)
+                raise BadJobLineError(segments.line_number, segments.reason)
             self._store(segments)
         elif self._segment.name == 'purpose':
             self.purpose += data.decode(errors='replace')
--- a/citrondyke/gateway/peers/need_codec.py
+++ b/citrondyke/gateway/peers/need_codec.py
@@ -31,7 +31,7 @@
     except UnreadableBytesError as error:
         raise ValueError(error.message) from error
     for need in needs:
-        CompletionLikelihood(need.prospect)
+        CompletionLikelihood(need.likelihood)
         if not 0 <= need.waiting_count <= COUNT_LIMIT or not math.isfinite(need.start_in_ms):
             raise ValueError(f'a need of {need.waiting_count} items in {need.start_in_ms} ms')
     return needs
--- a/tests/test_batch/test_batch_demand.py
+++ b/tests/test_batch/test_batch_demand.py
@@ -43,19 +43,19 @@
         self.table = BatchDemandTable(manual_context(self.clock))
 
     def demand(
-        self, count: int, prospect: CompletionLikelihood = DOABLE, start_in_ms: float = 9e3
+        self, count: int, likelihood: CompletionLikelihood = DOABLE, start_in_ms: float = 9e3
     ) -> None:
-        need = BatchDemand(SERVICE, prospect, count, self.clock.ms + start_in_ms)
+        need = BatchDemand(SERVICE, likelihood, count, self.clock.ms + start_in_ms)
         self.table.record_own_demand([need])
 
     def receive(
         self,
         count: int,
-        prospect: CompletionLikelihood = DOABLE,
+        likelihood: CompletionLikelihood = DOABLE,
         start_in_ms: float = 9e3,
         peer: InstanceId = PEER,
     ) -> None:
-        self.table.record_peer_demand(peer, [DemandNotice(SERVICE, prospect, count, start_in_ms)])
+        self.table.record_peer_demand(peer, [DemandNotice(SERVICE, likelihood, count, start_in_ms)])
 
     def share(self, free_count: int) -> float:
         return self.table.own_share_of_capacity(SERVICE, free_count)
@@ -80,10 +80,10 @@
 
 @pytest.mark.parametrize('prospect', [DOUBTFUL, LATE])
 def test_doubtful_and_late_items_yield_to_doable_ones(
-    prospect: CompletionLikelihood,
+    likelihood: CompletionLikelihood,
 ) -> None:
     owner = Owner()
-    owner.demand(30, prospect, start_in_ms=-100.0)
+    owner.demand(30, likelihood, start_in_ms=-100.0)
     owner.receive(6, start_in_ms=60_000.0)
     assert owner.share(6) == 0.0
     assert owner.share(7) == 1.0
