--- a/benchmarks/account_limits.py
+++ b/benchmarks/account_limits.py
@@ -19,7 +19,7 @@
 from citrondyke.decisions.accounts.fleet_rate_limiter import VerdictKind
 from citrondyke.decisions.accounts.steward_rate_limiter import StewardRateLimiter
 from citrondyke.ids import TenantId
-from tests.support.limit_world import LimitWorld, Make, allowed_in_window
+from tests.support.limit_world import LimiterFactory, LimitWorld, allowed_in_window
 
 __all__ = ('main',)
 
@@ -70,7 +70,9 @@
 }
 
 
-def _play(make: Make, size: int, fault: Callable[[LimitWorld], None], seed: int) -> Outcome:
+def _play(
+    make: LimiterFactory, size: int, fault: Callable[[LimitWorld], None], seed: int
+) -> Outcome:
     began_s = time.process_time()
     world = LimitWorld(make, size, [HOT, *USUAL], seed)
     if make is CountedLimits:
@@ -119,7 +121,7 @@
         'busiest',
         'us a request, simulation too',
     )
-    ways: dict[str, Make] = {'steward': StewardRateLimiter, 'counted': CountedLimits}
+    ways: dict[str, LimiterFactory] = {'steward': StewardRateLimiter, 'counted': CountedLimits}
     for name, make in ways.items():
         for size in SIZES:
             for fault_name, fault in FAULTS.items():
--- a/citrondyke/decisions/accounts/account_quota.py
+++ b/citrondyke/decisions/accounts/account_quota.py
@@ -66,7 +66,7 @@
             self._bucket.add(min_remaining - remaining)
         return max(remaining, min_remaining)
 
-    def add_remaining(self, count: float) -> None:
+    def credit(self, count: float) -> None:
         """Add uses to the remaining quota; ``count`` may be negative."""
         self._bucket.add(count)
 
--- a/citrondyke/decisions/accounts/slot_steward.py
+++ b/citrondyke/decisions/accounts/slot_steward.py
@@ -56,7 +56,7 @@
 DEMAND_SHARE = 0.25
 #: Reservations sent to an instance with a rejection, so that it doesn't reject their callers
 #: locally.
-EXPECTED_WORKS_LIMIT = 100
+EXPECTED_WORK_LIMIT = 100
 
 
 class _EarliestStart(msgspec.Struct, frozen=True):
@@ -123,16 +123,16 @@
         number: int,
         account: Account,
         need: UseNeed,
-        rejected_works: tuple[int, ...] = (),
+        rejected_work_ids: tuple[int, ...] = (),
     ) -> UseAnswered:
         """Grant or reject one use.
 
-        :param rejected_works: work of the account that the requester has rejected locally.
+        :param rejected_work_ids: work of the account that the requester has rejected locally.
         """
         now_ms = self._now_ms()
         quota = self._quota_of(account)
         quota.reservations.expire(now_ms)
-        quota.rejected_work.record(rejected_works, now_ms)
+        quota.rejected_work.record(rejected_work_ids, now_ms)
         due_ms = quota.reservations.due_ms_of(need.work)
         if due_ms is None and quota.rejected_work.should_reject_retry(need.work, now_ms):
             quota.record_rejected(now_ms)
@@ -237,7 +237,7 @@
         for account, quota in self._quotas.items():
             if account not in row.accounts:
                 found = self._find_account(account)
-                quota.add_remaining(0.0 if found is None else _advance_grant_uses(found))
+                quota.credit(0.0 if found is None else _advance_grant_uses(found))
         for account in row.accounts:
             found = self._find_account(account)
             if found is not None:
@@ -285,7 +285,7 @@
         )
         pause_ms = self._local_rejections.pause_ms(account, requester, uses_per_s)
         expected = quota.reservations.keys_due_by(now_ms + pause_ms + EARLY_TOLERANCE_MS)
-        if len(expected) > EXPECTED_WORKS_LIMIT:
+        if len(expected) > EXPECTED_WORK_LIMIT:
             pause_ms, expected = 0.0, []
         quota.local_rejection_until_ms = max(quota.local_rejection_until_ms, now_ms + pause_ms)
         # There is no reservation, so the retry time is not before the caller's deadline.
--- a/citrondyke/decisions/accounts/steward_rate_limiter.py
+++ b/citrondyke/decisions/accounts/steward_rate_limiter.py
@@ -108,8 +108,8 @@
                 continue
             if replica != own_id:
                 self._last_number += 1
-                rejected_works = self._local_rejections.pop_locally_rejected(account.id)
-                message = UseAsked(self._last_number, account.id, need, rejected_works)
+                rejected_work_ids = self._local_rejections.pop_locally_rejected(account.id)
+                message = UseAsked(self._last_number, account.id, need, rejected_work_ids)
                 return QuotaQuery(replica, message, self._last_number)
             answer = self._answer(own_id, account, UseAsked(0, account.id, need))
             verdict = self.apply_answer(account, own_id, answer)
@@ -219,7 +219,7 @@
         """Return the slots whose lease this instance holds."""
         return tuple(slot for slot, lease in enumerate(self._leases) if lease.is_held)
 
-    def window(self, account: TenantId) -> StewardCount | None:
+    def steward_count(self, account: TenantId) -> StewardCount | None:
         """Return an account's counts in the last window; ``None`` if not its steward."""
         steward = self._steward_of(slot_of(account))
         return None if steward is None else steward.count(account)
--- a/citrondyke/decisions/reservations/rejected_work.py
+++ b/citrondyke/decisions/reservations/rejected_work.py
@@ -11,7 +11,7 @@
 
 #: Time for which rejected work is remembered. Callers retry within a third of their remaining time.
 REJECTED_MEMORY_MS = 3_000.0
-REMEMBERED_WORKS_LIMIT = 4_000
+REMEMBERED_WORK_LIMIT = 4_000
 #: If no new work was rejected for this time, there is capacity for retries.
 OVERLOAD_MEMORY_MS = 300.0
 
@@ -28,15 +28,15 @@
         self._rejected_ms: dict[int, float] = {}
         self._overload_ms = float('-inf')
 
-    def record(self, works: Iterable[int], now_ms: float) -> None:
+    def record(self, work_ids: Iterable[int], now_ms: float) -> None:
         """Record work that was rejected without a reservation."""
-        for work in works:
+        for work in work_ids:
             self._rejected_ms.pop(work, None)
             if work:
                 self._rejected_ms[work] = now_ms
         while self._rejected_ms:
             oldest = next(iter(self._rejected_ms))
-            is_full = len(self._rejected_ms) > REMEMBERED_WORKS_LIMIT
+            is_full = len(self._rejected_ms) > REMEMBERED_WORK_LIMIT
             if not is_full and self._rejected_ms[oldest] >= now_ms - REJECTED_MEMORY_MS:
                 break
             del self._rejected_ms[oldest]
--- a/citrondyke/decisions/sharing/step_time_model.py
+++ b/citrondyke/decisions/sharing/step_time_model.py
@@ -77,9 +77,9 @@
         for streams, step_ms in self.estimates():
             if step_ms > allowed_ms:
                 break
-            pace = streams / step_ms
-            if pace > best_throughput:
-                best_streams, best_throughput = streams, pace
+            throughput = streams / step_ms
+            if throughput > best_throughput:
+                best_streams, best_throughput = streams, throughput
         return best_streams, best_throughput
 
     def max_streams(self, allowed_ms: float) -> int:
--- a/citrondyke/gateway/accounts/limit_exchange.py
+++ b/citrondyke/gateway/accounts/limit_exchange.py
@@ -114,7 +114,7 @@
         if self._socket is not None:
             self._socket.close()
 
-    def use(self, account: Account, need: UseNeed) -> LimitVerdict:
+    def acquire_use(self, account: Account, need: UseNeed) -> LimitVerdict:
         """Return whether an account may send one more request; wait until it may begin.
 
         A grant that wasn't used in time is requested again, because the window in which it was
--- a/citrondyke/gateway/callers/admission_controller.py
+++ b/citrondyke/gateway/callers/admission_controller.py
@@ -98,7 +98,7 @@
                     return end
             if not forwarded.is_counted:
                 asked_ms = self._context.now_ms()
-                verdict = self._limits.use(
+                verdict = self._limits.acquire_use(
                     forwarded.account, self._need(forwarded, admitted.expected_wait_ms)
                 )
                 if verdict.kind is not VerdictKind.WITHIN:
--- a/citrondyke/gateway/operator_state.py
+++ b/citrondyke/gateway/operator_state.py
@@ -48,7 +48,7 @@
                     rate_per_s=account.rate_per_s,
                     burst=account.burst,
                     verdicts=self._metrics.account_verdicts(account.id),
-                    steward=self._limits.window(account.id),
+                    steward=self._limits.steward_count(account.id),
                 )
                 for account in table.accounts or ()
             ],
--- a/citrondyke/gateway/replication/unreadable_rows.py
+++ b/citrondyke/gateway/replication/unreadable_rows.py
@@ -9,7 +9,7 @@
 log = logbook.Logger(__name__)
 
 #: Limit on rows remembered as logged; beyond it a row may be logged again.
-REMEMBERED_WORKS_LIMIT = 1_000
+REMEMBERED_LIMIT = 1_000
 
 
 class UnreadableRows:
@@ -29,7 +29,7 @@
             return
         self._logged.pop(key, None)
         self._logged[key] = version
-        if len(self._logged) > REMEMBERED_WORKS_LIMIT:
+        if len(self._logged) > REMEMBERED_LIMIT:
             del self._logged[next(iter(self._logged))]
         log.warning(
             'row.unreadable',
--- a/tests/support/limit_world.py
+++ b/tests/support/limit_world.py
@@ -33,7 +33,7 @@
 from citrondyke.ids import AvailabilityZone, InstanceId, TenantId
 from citrondyke.util.clock import Clock
 
-__all__ = ('WINDOW_MS', 'LimitWorld', 'Make', 'allowed_in_window')
+__all__ = ('WINDOW_MS', 'LimitWorld', 'LimiterFactory', 'allowed_in_window')
 
 WINDOW_MS = 5_000.0
 DELAY_MS = 1.0
@@ -49,7 +49,7 @@
 
 BUDGET = OvershootBudget(window_ms=WINDOW_MS, overshoot=0.1, slack=20.0)
 
-Make = Callable[
+LimiterFactory = Callable[
     [
         Context,
         Callable[[], tuple[InstanceId, ...]],
@@ -103,7 +103,7 @@
     began_ms: float
     tried: set[InstanceId] = set()
     rounds: int = 1
-    is_back: bool = False
+    is_retry: bool = False
     #: Whether it returns to a reservation.
     is_kept: bool = False
 
@@ -112,7 +112,7 @@
     """A simulated fleet that records the uses granted to accounts."""
 
     def __init__(
-        self, make: Make, instances_count: int, accounts: list[Account], seed: int = 1
+        self, make: LimiterFactory, instances_count: int, accounts: list[Account], seed: int = 1
     ) -> None:
         self.random = random.Random(seed)
         self.now_ms = 0.0
@@ -183,16 +183,16 @@
             left_ms = self.left_ms - (self.now_ms - request.began_ms)
             need = UseNeed(request.need.work, left_ms, self.may_wait_ms)
             account = node.accounts[request.account.id]
-            back = _PendingRequest(
-                node, account, need, self.now_ms, is_back=True, is_kept=request.is_kept
+            retry = _PendingRequest(
+                node, account, need, self.now_ms, is_retry=True, is_kept=request.is_kept
             )
-            self._advance_request(back)
+            self._advance_request(retry)
 
-    def kill(self, name: InstanceId, back_ms: float | None) -> None:
-        """Crash an instance; it restarts after ``back_ms``, or never if that is ``None``."""
+    def kill(self, name: InstanceId, restart_after_ms: float | None) -> None:
+        """Crash an instance, which restarts later, or never if ``restart_after_ms`` is ``None``."""
         self.nodes[name].is_dead = True
-        if back_ms is not None:
-            self.at(back_ms, lambda: self._start(name))
+        if restart_after_ms is not None:
+            self.at(restart_after_ms, lambda: self._start(name))
         else:
             self._publish_members(frozenset(self.nodes) - {name})
 
@@ -292,13 +292,13 @@
                 delay_ms += STORE_LATE_MS
             self.at(delay_ms / 2, partial(self._run_at_store, node, call, delay_ms / 2))
 
-    def _run_at_store(self, node: Node, call: AdvanceGrantStoreCall, back_ms: float) -> None:
+    def _run_at_store(self, node: Node, call: AdvanceGrantStoreCall, reply_delay_ms: float) -> None:
         row = self.rows.get(call.slot, AdvanceGrantRow(frozenset(), 0))
         if call.new_accounts is not None and call.version == row.version:
             self.rows[call.slot] = AdvanceGrantRow(call.new_accounts, row.version + 1)
             row = AdvanceGrantRow(call.new_accounts, row.version + 1, is_written=True)
         is_lost = self.random.random() < self.lost_share
-        self.at(back_ms, partial(self._apply_row, node, call, None if is_lost else row))
+        self.at(reply_delay_ms, partial(self._apply_row, node, call, None if is_lost else row))
 
     def _apply_row(
         self, node: Node, call: AdvanceGrantStoreCall, row: AdvanceGrantRow | None
@@ -380,7 +380,7 @@
         self.waits_ms.append(self.now_ms - request.began_ms)
         if verdict.kind is VerdictKind.WITHIN:
             self.uses_ms.setdefault(account.id, []).append(self.now_ms)
-        elif request.need.left_ms > 0 and not request.is_back:
+        elif request.need.left_ms > 0 and not request.is_retry:
             request.is_kept = verdict.is_kept
-            back_ms = min(verdict.retry_in_ms, request.need.left_ms / 3)
-            self.at(back_ms, lambda: self._retry(request))
+            retry_after_ms = min(verdict.retry_in_ms, request.need.left_ms / 3)
+            self.at(retry_after_ms, lambda: self._retry(request))
--- a/tests/test_accounts/test_accounts_machine.py
+++ b/tests/test_accounts/test_accounts_machine.py
@@ -101,7 +101,7 @@
     def kill_steward(self) -> None:
         """Crash the steward of the large account, which restarts later."""
         for node in list(self.world.nodes.values()):
-            is_steward = not node.is_dead and node.limits.window(LARGE.id) is not None  # type: ignore[attr-defined]
+            is_steward = not node.is_dead and node.limits.steward_count(LARGE.id) is not None  # type: ignore[attr-defined]
             if is_steward and sum(not each.is_dead for each in self.world.nodes.values()) > 3:
                 self.world.kill(node.id, 900.0)
 
--- a/tests/test_accounts/test_accounts_window.py
+++ b/tests/test_accounts/test_accounts_window.py
@@ -216,7 +216,7 @@
     other = Account(id=TenantId('large-2'), rate_per_s=0.001, burst=0.0)
     client.fleet.run(rejection.retry_in_ms)  # type: ignore[attr-defined]
     assert client.ask(8).outcome is UseOutcome.REFUSED  # type: ignore[attr-defined]
-    client.slot._quota_of(other).add_remaining(-1e3)
+    client.slot._quota_of(other).credit(-1e3)
     assert client.ask(7, other).outcome is UseOutcome.REFUSED  # type: ignore[attr-defined]
     assert client.ask(7).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
 
