--- a/citrondyke/decisions/forwarding/server_registry.py
+++ b/citrondyke/decisions/forwarding/server_registry.py
@@ -56,14 +56,14 @@
 class RegistryChange(msgspec.Struct):
     """What a new server list changed."""
 
-    came: list[ServerId] = []
-    went: list[ServerState] = []
+    added: list[ServerId] = []
+    removed: list[ServerState] = []
     #: Earlier incarnations of restarted servers; requests on their way to them are lost.
     restarted: list[ServerState] = []
 
     def __bool__(self) -> bool:
         """Return whether anything changed."""
-        return bool(self.came or self.went or self.restarted)
+        return bool(self.added or self.removed or self.restarted)
 
 
 class ServerRegistry:
@@ -95,19 +95,19 @@
         change = RegistryChange()
         entries = {entry.id: entry for entry in listed}
         for server_id in [each for each in self._states if each not in entries]:
-            change.went.append(self._states.pop(server_id))
+            change.removed.append(self._states.pop(server_id))
         for server_id, entry in entries.items():
             state = self._states.get(server_id)
             if state is not None and entry.is_later_incarnation_than(state.listed):
                 change.restarted.append(self._states.pop(server_id))
                 state = None
             if state is None:
-                change.came.append(server_id)
+                change.added.append(server_id)
                 since_ms = self._context.now_ms()
                 self._states[server_id] = ServerState(entry, self._incarnation_of(entry), since_ms)
             else:
                 state.listed = entry
-        for state in (*change.went, *change.restarted):
+        for state in (*change.removed, *change.restarted):
             state.is_delisted = True
         if change:
             states = self._states.values()
--- a/citrondyke/decisions/forwarding/server_state.py
+++ b/citrondyke/decisions/forwarding/server_state.py
@@ -116,7 +116,7 @@
         share = SMOOTHING_FACTOR if self.mean_ms else 1.0
         self.mean_ms += share * (latency_ms - self.mean_ms)
 
-    def record_work(self, latency_ms: float, typical_ms: float, now_ms: float) -> None:
+    def record_latency_ratio(self, latency_ms: float, typical_ms: float, now_ms: float) -> None:
         """Compare an answer's latency with the typical one of its route on this service."""
         self.latency_ratio.record(latency_ms / self.reported_slowdown.factor(now_ms), typical_ms)
 
--- a/citrondyke/decisions/forwarding/startup_hold.py
+++ b/citrondyke/decisions/forwarding/startup_hold.py
@@ -17,7 +17,7 @@
 #: A held request occupies its connection and the received part of its body.
 HELD_LIMIT = 256
 #: Bounds of the time after which a rejected caller retries.
-RETRY_MIN_MS, RETRY_MAX_MS = 200.0, 1_500.0
+MIN_RETRY_MS, MAX_RETRY_MS = 200.0, 1_500.0
 RETRY_SPREAD = 0.5
 
 
@@ -57,5 +57,5 @@
         callers that were rejected together from returning together.
         """
         elapsed_ms = self._context.now_ms() - self._started_ms
-        expected_ms = min(max(elapsed_ms, RETRY_MIN_MS), RETRY_MAX_MS)
+        expected_ms = min(max(elapsed_ms, MIN_RETRY_MS), MAX_RETRY_MS)
         return expected_ms * (1.0 + RETRY_SPREAD * self._context.random.random())
--- a/citrondyke/decisions/server_list/__init__.py
+++ b/citrondyke/decisions/server_list/__init__.py
@@ -1,1 +1,1 @@
-"""Who reads the list of servers from the store, and who hears of it from a neighbour."""
+"""Which instances read the server list from the store, and how others receive it."""
--- a/citrondyke/decisions/server_list/reader_lease_tracker.py
+++ b/citrondyke/decisions/server_list/reader_lease_tracker.py
@@ -39,7 +39,7 @@
 
 
 class _ReaderState(msgspec.Struct):
-    life: str
+    incarnation: str
     #: Number up to which all changes of this reader were applied here; -1 for none.
     number: int
     received_ms: float
@@ -76,7 +76,7 @@
         state = self._readers.get(reader)
         if state is None or state.number < 0:
             return ServerListCursor('', 0)
-        return ServerListCursor(state.life, state.number)
+        return ServerListCursor(state.incarnation, state.number)
 
     def record_cursor(
         self, reader: InstanceId, cursor: ServerListCursor, own_digest: int
@@ -139,7 +139,7 @@
 
     def _reader_state(self, reader: InstanceId, incarnation: str) -> _ReaderState:
         state = self._readers.pop(reader, None)
-        if state is None or state.life != incarnation:
+        if state is None or state.incarnation != incarnation:
             state = _ReaderState(incarnation, -1, self._context.now_ms())
         self._readers[reader] = state
         while len(self._readers) > READERS_LIMIT:
--- a/citrondyke/decisions/servers/health_evaluator.py
+++ b/citrondyke/decisions/servers/health_evaluator.py
@@ -63,7 +63,7 @@
     unanswered: int = 0
     succeeded: int = 0
     unanswered_observers: int = 0
-    witnesses: list[InstanceId] = []
+    observers: list[InstanceId] = []
     local_zone: _ZoneResults = msgspec.field(default_factory=_ZoneResults)
     remote_zones: dict[AvailabilityZone | None, _ZoneResults] = {}
 
@@ -130,7 +130,7 @@
         baseline = _baseline_failures(states, views)
         single_observer_left = max(1, len(states) // SINGLE_OBSERVER_DIVISOR) - sum(
             state.health_record.health is ServerHealth.EJECTED
-            and len(views[state.incarnation].witnesses) == 1
+            and len(views[state.incarnation].observers) == 1
             for state in evaluated
         )
         changes = []
@@ -138,7 +138,7 @@
             view = views[state.incarnation]
             after = self._next_health(state, view, baseline, now_ms)
             is_ejecting = after is ServerHealth.EJECTED is not state.health_record.health
-            if is_ejecting and len(view.witnesses) == 1:
+            if is_ejecting and len(view.observers) == 1:
                 if single_observer_left <= 0:
                     after = ServerHealth.DEGRADED
                 single_observer_left -= 1
@@ -151,8 +151,8 @@
         self, state: ServerState, view: _FleetView, baseline: int, now_ms: float
     ) -> ServerHealth:
         record = state.health_record
-        is_baseline = baseline > 0 and view.failures < BASELINE_FACTOR * baseline
-        if view.is_confirmed_healthy_here or is_baseline:
+        is_within_baseline = baseline > 0 and view.failures < BASELINE_FACTOR * baseline
+        if view.is_confirmed_healthy_here or is_within_baseline:
             return ServerHealth.HEALTHY
         recoveries_count = record.recovery_count(self._trusted_peers(state, view, now_ms), now_ms)
         since_failure_ms = now_ms - record.last_failure_ms
@@ -167,7 +167,7 @@
         # again.
         if recoveries_count > 0 and (since_failure_ms > WINDOW_MS or not view.failed):
             return ServerHealth.HEALTHY
-        is_degraded = bool(view.witnesses) or record.health is ServerHealth.DEGRADED
+        is_degraded = bool(view.observers) or record.health is ServerHealth.DEGRADED
         return ServerHealth.DEGRADED if is_degraded else ServerHealth.HEALTHY
 
     def _trusted_peers(
@@ -242,7 +242,7 @@
         view.unanswered_observers += bool(unanswered)
         view.succeeded += succeeded
         if failed or unanswered:
-            view.witnesses.append(observer)
+            view.observers.append(observer)
         is_own = zone == self._context.zone
         zone_results = (
             view.local_zone if is_own else view.remote_zones.setdefault(zone, _ZoneResults())
@@ -285,6 +285,6 @@
         failures=view.failed + view.unanswered,
         successes=view.succeeded,
         failure_age_ms=now_ms - record.last_failure_ms,
-        witnesses=view.witnesses,
-        outs_count=len(record.ejected_at_ms),
+        observers=view.observers,
+        ejections_count=len(record.ejected_at_ms),
     )
--- a/citrondyke/decisions/servers/latency_ratio.py
+++ b/citrondyke/decisions/servers/latency_ratio.py
@@ -19,12 +19,12 @@
         """Start at the average of the service."""
         self.factor = 1.0
 
-    def record(self, latency_ms: float, usual_ms: float) -> None:
+    def record(self, latency_ms: float, typical_ms: float) -> None:
         """Record an answer.
 
-        :param usual_ms: current latency of such a request at an average server.
+        :param typical_ms: current latency of such a request at an average server.
         """
-        if usual_ms <= 0.0:
+        if typical_ms <= 0.0:
             return
-        ratio = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, latency_ms / usual_ms))
+        ratio = min(MAX_SLOWDOWN, max(MIN_SLOWDOWN, latency_ms / typical_ms))
         self.factor += SMOOTHING_FACTOR * (ratio - self.factor)
--- a/citrondyke/decisions/servers/probe_schedule.py
+++ b/citrondyke/decisions/servers/probe_schedule.py
@@ -47,7 +47,9 @@
             state, rotation
         ):
             return False
-        self._claimed = {life: each for life, each in self._claimed.items() if each == rotation}
+        self._claimed = {
+            incarnation: each for incarnation, each in self._claimed.items() if each == rotation
+        }
         self._claimed[state.incarnation] = rotation
         return True
 
--- a/citrondyke/decisions/servers/server_health.py
+++ b/citrondyke/decisions/servers/server_health.py
@@ -35,6 +35,6 @@
     #: Time since the last failure; infinite if none is known.
     failure_age_ms: float
     #: Instances that observed failures.
-    witnesses: list[InstanceId]
+    observers: list[InstanceId]
     #: Number of recent ejections.
-    outs_count: int
+    ejections_count: int
--- a/citrondyke/gateway/callers/forwarder.py
+++ b/citrondyke/gateway/callers/forwarder.py
@@ -316,7 +316,7 @@
         state.record_latency(took_ms)
         self._timeouts.record_first_answer(forwarded.route, took_ms)
         usual_ms = self._baselines.record(forwarded.route.name, state.listed.service, took_ms)
-        state.record_work(took_ms, usual_ms, now_ms)
+        state.record_latency_ratio(took_ms, usual_ms, now_ms)
 
     def _left_ms(self, forwarded: ForwardedRequest) -> float:
         return forwarded.until_ms - self._context.now_ms()
--- a/citrondyke/gateway/replication/replicated_state.py
+++ b/citrondyke/gateway/replication/replicated_state.py
@@ -223,7 +223,7 @@
             state.listed.id for state in self._book.states() if state.listed.is_leaving
         }
         change = self._book.replace(listed)
-        for state in change.went:
+        for state in change.removed:
             self._on_server_gone(state)
         for state in change.restarted:
             self._on_incarnation_ended(state)
@@ -235,8 +235,8 @@
                 'servers.changed',
                 extra={
                     'source': source,
-                    'came': change.came,
-                    'went': [state.listed.id for state in change.went],
+                    'came': change.added,
+                    'went': [state.listed.id for state in change.removed],
                     'lives_over': [state.incarnation for state in change.restarted],
                     'leaving': leaving,
                     'count': len(listed),
--- a/citrondyke/gateway/servers/health_log.py
+++ b/citrondyke/gateway/servers/health_log.py
@@ -45,9 +45,9 @@
                 'failures': change.failures,
                 'successes': change.successes,
                 'failure_age_ms': round(change.failure_age_ms, 1),
-                'witnesses': change.witnesses[:NAMED_LIMIT],
-                'witnesses_count': len(change.witnesses),
-                'outs_count': change.outs_count,
+                'witnesses': change.observers[:NAMED_LIMIT],
+                'witnesses_count': len(change.observers),
+                'outs_count': change.ejections_count,
             },
         )
 
--- a/tests/test_forwarding/test_forwarding_admission.py
+++ b/tests/test_forwarding/test_forwarding_admission.py
@@ -27,15 +27,15 @@
     def __init__(self) -> None:
         self.clock = ManualClock()
         context = manual_context(self.clock)
-        self.book = ServerRegistry(context)
-        self.book.replace(listed_server(name, 's', SLOTS) for name in ('a', 'b'))
-        self.rule = AdmissionRule(context, self.book)
-        self.book.topology.replace(other_instances(9))
+        self.registry = ServerRegistry(context)
+        self.registry.replace(listed_server(name, 's', SLOTS) for name in ('a', 'b'))
+        self.rule = AdmissionRule(context, self.registry)
+        self.registry.topology.replace(other_instances(9))
         self.route = route(RouteKind.STREAM)
         self.rule.record_service_time(self.route, SERVICE_TIME_MS)
 
     def best_server(self) -> ServerState:
-        state = self.book.choose_server(ServiceName('s'), (), '')
+        state = self.registry.choose_server(ServiceName('s'), (), '')
         assert state is not None
         return state
 
@@ -44,7 +44,7 @@
 
 
 def fill_servers(setup: AdmissionSetup, count: int) -> None:
-    for state in setup.book.states():
+    for state in setup.registry.states():
         state.own.online = count
 
 
@@ -70,7 +70,7 @@
 
 def test_batch_items_are_preempted_and_cause_no_rejection() -> None:
     setup = AdmissionSetup()
-    for state in setup.book.states():
+    for state in setup.registry.states():
         state.own.batch = SLOTS
     assert isinstance(setup.decide(), Admitted)
 
--- a/tests/test_forwarding/test_forwarding_degraded_server.py
+++ b/tests/test_forwarding/test_forwarding_degraded_server.py
@@ -25,8 +25,8 @@
 
     def __init__(self, seed: int) -> None:
         self.clock = ManualClock()
-        self.book = ServerRegistry(manual_context(self.clock, seed=seed))
-        self.book.replace(listed_server(f's-{number}', SERVICE, 8) for number in range(5))
+        self.registry = ServerRegistry(manual_context(self.clock, seed=seed))
+        self.registry.replace(listed_server(f's-{number}', SERVICE, 8) for number in range(5))
         self.running: list[ServerState] = []
         self.degraded_count = 0
         self.failed_count = 0
@@ -36,7 +36,7 @@
         self.clock.ms += GAP_MS
         if len(self.running) >= RUNNING * 5:
             self.running.pop(0).own.online -= 1
-        state = self.book.choose_server(SERVICE, (), '', is_once=True)
+        state = self.registry.choose_server(SERVICE, (), '', is_once=True)
         assert state is not None
         if state.listed.id == DEGRADED:
             self.degraded_count += 1
@@ -74,7 +74,7 @@
 
 def test_failures_of_all_servers_leave_all_in_use() -> None:
     load = LoadedServers(1)
-    for state in load.book.states():
+    for state in load.registry.states():
         state.record_failure(load.clock.ms)
-    chosen = {load.book.choose_server(SERVICE, (), '') for _ in range(100)}
+    chosen = {load.registry.choose_server(SERVICE, (), '') for _ in range(100)}
     assert len(chosen) == 5
--- a/tests/test_forwarding/test_forwarding_incarnations.py
+++ b/tests/test_forwarding/test_forwarding_incarnations.py
@@ -24,22 +24,22 @@
     def __init__(self) -> None:
         self.clock = ManualClock()
         context = manual_context(self.clock)
-        self.book = ServerRegistry(context)
-        self.notices = LoadNotices(context, self.book)
+        self.registry = ServerRegistry(context)
+        self.notices = LoadNotices(context, self.registry)
 
     def list(self, **more: Any) -> bool:
         """List the server; return whether an earlier incarnation ended."""
-        return bool(self.book.replace([listed_server(A, SERVICE, **more)]).restarted)
+        return bool(self.registry.replace([listed_server(A, SERVICE, **more)]).restarted)
 
     def is_new(self) -> bool:
-        state = self.book.state(A)
+        state = self.registry.state(A)
         assert state is not None
         counts = (state.total_count(self.clock.ms), state.failures_count, state.mean_ms)
         return counts == (0, 0, 0.0) and state.ejected_until_ms <= self.clock.ms
 
     def record_everything(self) -> None:
         """Record every kind of observation of the server."""
-        state = self.book.state(A)
+        state = self.registry.state(A)
         assert state is not None
         state.own.online = 2
         state.record_latency(500.0)
@@ -70,7 +70,7 @@
     assert not known.is_new()
     assert known.list(**second)
     assert known.is_new()
-    assert [state.listed.id for state in known.book.eligible_servers(SERVICE)] == [A]
+    assert [state.listed.id for state in known.registry.eligible_servers(SERVICE)] == [A]
 
 
 @pytest.mark.parametrize('more', [{'born_epoch_ms': 1_000}, {}])
@@ -87,7 +87,7 @@
     known = KnownServer()
     known.list(seq=4)
     known.record_everything()
-    known.book.replace([])
+    known.registry.replace([])
     known.list(seq=4)
     assert known.is_new()
 
@@ -97,7 +97,7 @@
     # counted, an empty server would look full.
     known = KnownServer()
     known.list(born_epoch_ms=1_000)
-    state = known.book.state(A)
+    state = known.registry.state(A)
     assert state is not None
     earlier = server_digest(state.listed)
     known.list(born_epoch_ms=2_000)
@@ -108,11 +108,11 @@
 def test_request_may_go_to_the_next_incarnation_of_a_server_that_failed_it() -> None:
     known = KnownServer()
     known.list(born_epoch_ms=1_000)
-    first = known.book.choose_server(SERVICE, (), '')
+    first = known.registry.choose_server(SERVICE, (), '')
     assert first is not None
-    assert known.book.choose_server(SERVICE, {first.incarnation}, '') is None
+    assert known.registry.choose_server(SERVICE, {first.incarnation}, '') is None
     known.list(born_epoch_ms=2_000)
-    assert known.book.choose_server(SERVICE, {first.incarnation}, '') is not None
+    assert known.registry.choose_server(SERVICE, {first.incarnation}, '') is not None
 
 
 def row_of(version: int, born: int | None, value: str | None = 'up') -> ObservedRow[str]:
--- a/tests/test_forwarding/test_forwarding_topology.py
+++ b/tests/test_forwarding/test_forwarding_topology.py
@@ -32,14 +32,14 @@
 
     def __init__(self, clock: ManualClock, zone: str, number: int) -> None:
         self.context = manual_context(clock, f'{zone}-{number}', zone, seed=number)
-        self.book = ServerRegistry(self.context)
-        self.book.replace(
+        self.registry = ServerRegistry(self.context)
+        self.registry.replace(
             listed_server(f's{n}', SERVICE, 7, ZONES[n % len(ZONES)]) for n in range(SERVERS)
         )
-        self.notices = LoadNotices(self.context, self.book)
+        self.notices = LoadNotices(self.context, self.registry)
 
     def state(self, server_id: str) -> ServerState:
-        found = self.book.state(ServerId(server_id))
+        found = self.registry.state(ServerId(server_id))
         assert found is not None
         return found
 
@@ -56,7 +56,7 @@
         }
         zones = {instance_id: node.context.zone for instance_id, node in self.nodes.items()}
         for instance_id, node in self.nodes.items():
-            node.book.topology.replace(
+            node.registry.topology.replace(
                 {other: zone for other, zone in zones.items() if other != instance_id}
             )
         self.datagrams = 0
@@ -78,7 +78,7 @@
         for node in self.nodes.values():
             totals = node.notices.take_totals()
             rotation = node.notices.totals_rotation
-            for recipient in node.book.topology.one_peer_per_remote_zone(rotation):
+            for recipient in node.registry.topology.one_peer_per_remote_zone(rotation):
                 self.datagrams += 1
                 self.nodes[recipient].notices.record_totals(totals)
 
@@ -143,13 +143,13 @@
         node.state('s1').own.online = 2
         fleet.deliver_notices(node)
     fleet.deliver_totals()
-    told = [
+    received_counts = [
         node.state('s1').online_count(fleet.clock.ms)
         for name, node in fleet.nodes.items()
         if name.startswith('zone-c')
     ]
     # Every instance receives the totals within some rounds of half a second, most of them in one.
-    assert sum(count == 6 for count in told) >= PER_ZONE // 2
+    assert sum(count == 6 for count in received_counts) >= PER_ZONE // 2
 
 
 def test_counts_of_the_local_zone_are_never_replaced_by_a_total() -> None:
@@ -164,10 +164,10 @@
     # All servers of the local zone are full; two of 27 others have capacity. A caller must not be
     # rejected or wait for that reason.
     node = Fleet().node('zone-a-0')
-    for state in node.book.states():
+    for state in node.registry.states():
         state.own.online = 7
     node.state('s1').own.online = 3
-    chosen = node.book.choose_server(SERVICE, (), '')
+    chosen = node.registry.choose_server(SERVICE, (), '')
     assert chosen is node.state('s1')
 
 
@@ -175,11 +175,11 @@
     # A burst fills most of the capacity of the local zone, batch items the rest, and remote servers
     # look empty. They looked so half a second ago, to all zones; a caller would wait there.
     node = Fleet().node('zone-a-0')
-    for state in node.book.states():
+    for state in node.registry.states():
         if state.listed.zone == node.context.zone:
             state.own.online = 4
             state.own.batch = 3
-    chosen = node.book.choose_server(SERVICE, (), '')
+    chosen = node.registry.choose_server(SERVICE, (), '')
     assert chosen is not None
     assert chosen.listed.zone == node.context.zone
 
@@ -188,11 +188,11 @@
     # The only server of the local zone is slow. Without remote candidates all its callers would
     # miss their target.
     node = Fleet().node('zone-a-0')
-    for state in list(node.book.states()):
+    for state in list(node.registry.states()):
         state.is_misplaced = state.listed.zone == node.context.zone and state.listed.id != 's0'
         state.record_latency(50.0 if state.listed.id != 's0' else 400.0)
     node.state('s0').own.online = 3
-    chosen = node.book.choose_server(SERVICE, (), '')
+    chosen = node.registry.choose_server(SERVICE, (), '')
     assert chosen is not None
     assert chosen.listed.id != 's0'
 
@@ -213,7 +213,7 @@
             state.own.online -= 1
             fleet.deliver_notices(node)
         node = fleet.nodes[random.choice(names)]
-        chosen = node.book.choose_server(SERVICE, (), '')
+        chosen = node.registry.choose_server(SERVICE, (), '')
         assert chosen is not None
         chosen.own.online += 1
         fleet.deliver_notices(node)
@@ -238,7 +238,7 @@
     received: dict[InstanceId, list[str]] = {each: [] for each in fleet.nodes}
     for rotation in range(3):
         for instance_id, node in fleet.nodes.items():
-            for recipient in node.book.topology.one_peer_per_remote_zone(rotation):
+            for recipient in node.registry.topology.one_peer_per_remote_zone(rotation):
                 received[recipient].append(fleet.nodes[instance_id].context.zone)
     for instance_id, zones in received.items():
         others = [zone for zone in ZONES if zone != fleet.nodes[instance_id].context.zone]
@@ -249,12 +249,12 @@
     # In a large fleet notices stay unread until a server is chosen. If they were not applied first,
     # the server that a peer has just filled would get the request.
     clock = ManualClock()
-    book = ServerRegistry(manual_context(clock))
-    book.replace(listed_server(name, 's', 1) for name in ('full', 'free'))
-    full = book.state(ServerId('full'))
+    registry = ServerRegistry(manual_context(clock))
+    registry.replace(listed_server(name, 's', 1) for name in ('full', 'free'))
+    full = registry.state(ServerId('full'))
     assert full is not None
-    book.on_choose(lambda: full.record_peer_counts(InstanceId('other'), 1, 0, clock.ms))
-    for choose in (book.choose_server, book.choose_for_suspect):
+    registry.on_choose(lambda: full.record_peer_counts(InstanceId('other'), 1, 0, clock.ms))
+    for choose in (registry.choose_server, registry.choose_for_suspect):
         chosen = choose(ServiceName('s'), (), 'name')
         assert chosen is not None
         assert chosen.listed.id == 'free'
--- a/tests/test_forwarding/test_forwarding_unresponsive_server.py
+++ b/tests/test_forwarding/test_forwarding_unresponsive_server.py
@@ -30,10 +30,10 @@
     def __init__(self, clock: ManualClock, *, keeps_connections: bool) -> None:
         self._clock = clock
         self._keeps_connections = keeps_connections
-        self.book = ServerRegistry(manual_context(clock))
-        self.book.replace(listed_server(f's-{number}', SERVICE, 8) for number in range(SERVERS))
+        self.registry = ServerRegistry(manual_context(clock))
+        self.registry.replace(listed_server(f's-{number}', SERVICE, 8) for number in range(SERVERS))
         self.timeouts = FailoverTimeouts()
-        for state in self.book.states():
+        for state in self.registry.states():
             state.record_latency(FIRST_EVENT_MS)
 
     def serve(self, served_by: Route) -> float:
@@ -42,7 +42,7 @@
         self.timeouts.record_first_answer(served_by, FIRST_EVENT_MS)
         started_ms = self._clock.now_ms()
         while history.may_send:
-            state = self.book.choose_server(SERVICE, history.excluded, '')
+            state = self.registry.choose_server(SERVICE, history.excluded, '')
             assert state is not None
             if state.listed.id != UNRESPONSIVE:
                 self._clock.ms += FIRST_EVENT_MS
@@ -85,16 +85,16 @@
 def test_long_request_of_a_route_is_not_aborted_because_others_are_short() -> None:
     # A service answers look-ups in 90 ms and trivial calls of another route in 2 ms. A slow look-up
     # must not be aborted while its server works on it, or it would be aborted at every server.
-    patience = FailoverTimeouts()
+    timeouts = FailoverTimeouts()
     clock = ManualClock()
-    state = next(iter(Instance(clock, keeps_connections=True).book.states()))
+    state = next(iter(Instance(clock, keeps_connections=True).registry.states()))
     look_up = msgspec.structs.replace(route(RouteKind.IDEMPOTENT), target_ms=400.0)
     trivial = msgspec.structs.replace(look_up, name=RouteName('trivial'))
     for _ in range(20):
-        patience.record_first_answer(look_up, 90.0)
-        patience.record_first_answer(trivial, 2.0)
+        timeouts.record_first_answer(look_up, 90.0)
+        timeouts.record_first_answer(trivial, 2.0)
         state.record_latency(2.0)
-    assert patience.first_answer_timeout_ms(look_up, state, 0.0) >= 5 * 90.0
+    assert timeouts.first_answer_timeout_ms(look_up, state, 0.0) >= 5 * 90.0
 
 
 def test_last_attempt_may_take_the_whole_time() -> None:
--- a/tests/test_servers/simulated_fleet.py
+++ b/tests/test_servers/simulated_fleet.py
@@ -49,14 +49,14 @@
 
     def __init__(self, clock: ManualClock, name: str, zone: str, seed: int) -> None:
         self.context = manual_context(clock, name, zone, seed)
-        self.book = ServerRegistry(self.context)
-        self.notices = EvidenceNotices(self.context, self.book)
+        self.registry = ServerRegistry(self.context)
+        self.notices = EvidenceNotices(self.context, self.registry)
 
     def health_counts(self) -> Counter[ServerHealth]:
-        return Counter(state.health_record.health for state in self.book.states())
+        return Counter(state.health_record.health for state in self.registry.states())
 
     def state(self, server: ServerId) -> ServerState:
-        state = self.book.state(server)
+        state = self.registry.state(server)
         assert state is not None
         return state
 
@@ -92,11 +92,11 @@
         zones = {instance.context.instance_id: instance.context.zone for instance in self.instances}
         for instance in self.instances:
             own = instance.context.instance_id
-            instance.book.replace(
+            instance.registry.replace(
                 listed_server(f's-{n}', SERVICE, zone=ZONES[n % 3]) for n in range(servers)
             )
             others = {each: AvailabilityZone(zone) for each, zone in zones.items() if each != own}
-            instance.book.topology.replace(others)
+            instance.registry.topology.replace(others)
 
     def run(self, for_ms: float) -> Lost:
         """Send requests for some time; return what was lost in it."""
@@ -120,7 +120,7 @@
         is_once = self.random.random() < 0.25
         excluded: set[ServerIncarnation] = set()
         for _ in range(1 if is_once else 2):
-            state = instance.book.choose_server(SERVICE, excluded, '', is_once=is_once)
+            state = instance.registry.choose_server(SERVICE, excluded, '', is_once=is_once)
             if state is None:
                 break
             excluded.add(state.incarnation)
--- a/tests/test_servers/test_servers_choice.py
+++ b/tests/test_servers/test_servers_choice.py
@@ -65,9 +65,9 @@
         self._events: list[tuple[float, int, tuple[int, int, int]]] = []
         self._number = 0
         for n in range(INSTANCES):
-            book = ServerRegistry(manual_context(self.clock, f'i-{n}', seed=100 * seed + n))
-            book.replace(listed_server(f's-{m}', SERVICE, SLOTS) for m in range(SERVERS))
-            self.books.append(book)
+            registry = ServerRegistry(manual_context(self.clock, f'i-{n}', seed=100 * seed + n))
+            registry.replace(listed_server(f's-{m}', SERVICE, SLOTS) for m in range(SERVERS))
+            self.books.append(registry)
 
     def slowdown(self, server: int) -> float:
         """For a seventh of the time, 600 ms at a time, work takes 2.5 times as long."""
@@ -100,7 +100,7 @@
         self.running[server] += 1
         if self.reports_slowdown:
             state.reported_slowdown.record(self.slowdown(server), self.clock.ms)
-        state.record_work(first_ms, FIRST_MS * 1.2, self.clock.ms)
+        state.record_latency_ratio(first_ms, FIRST_MS * 1.2, self.clock.ms)
         state.record_latency(first_ms)
         result.first_ms.append(first_ms)
         result.by_server[server] += 1
@@ -123,8 +123,8 @@
             assert state is not None
             self._count(at, state, -1)
             return
-        for number, book in enumerate(self.books):
-            state = book.state(name)
+        for number, registry in enumerate(self.books):
+            state = registry.state(name)
             if number != at and state is not None:
                 state.record_peer_counts(InstanceId(f'i-{at}'), online, 0, self.clock.ms)
 
@@ -184,27 +184,27 @@
 
 
 def test_candidates_are_drawn_by_speed() -> None:
-    book = ServerRegistry(manual_context())
-    book.replace(listed_server(f's-{n}', SERVICE) for n in range(9))
-    for state in book.states():
+    registry = ServerRegistry(manual_context())
+    registry.replace(listed_server(f's-{n}', SERVICE) for n in range(9))
+    for state in registry.states():
         state.reported_slowdown.record(4.0 if state.listed.id == 's-0' else 1.0, 0.0)
     random = Random(1)
     drawn: Counter[ServerId] = Counter()
     for _ in range(2_000):
-        few = sample_candidates(list(book.states()), random, 0.0)
+        few = sample_candidates(list(registry.states()), random, 0.0)
         assert len(few) == DRAWN_CANDIDATES_COUNT
         drawn.update(state.listed.id for state in few)
     assert drawn[ServerId('s-0')] < 0.6 * drawn[ServerId('s-1')]
 
 
 def test_free_server_is_found_although_it_was_not_drawn() -> None:
-    book = ServerRegistry(manual_context())
-    book.replace(listed_server(f's-{n}', SERVICE) for n in range(30))
-    for state in book.states():
+    registry = ServerRegistry(manual_context())
+    registry.replace(listed_server(f's-{n}', SERVICE) for n in range(30))
+    for state in registry.states():
         state.reported_slowdown.record(1.0, 0.0)
         state.own.online = 0 if state.listed.id == 's-7' else SLOTS
     for _ in range(20):
-        chosen = book.choose_server(SERVICE, (), '')
+        chosen = registry.choose_server(SERVICE, (), '')
         assert chosen is not None
         assert chosen.listed.id == 's-7'
 
@@ -212,12 +212,12 @@
 def test_server_that_has_not_answered_here_yet_gets_requests_too() -> None:
     # In a large fleet an instance meets each server only once in some seconds; servers that it has
     # not met must not look worse for their load than those it has met.
-    book = ServerRegistry(manual_context())
-    book.replace(listed_server(f's-{n}', SERVICE) for n in range(8))
-    for state in book.states():
+    registry = ServerRegistry(manual_context())
+    registry.replace(listed_server(f's-{n}', SERVICE) for n in range(8))
+    for state in registry.states():
         state.own.online = 2
         if state.listed.id in ('s-0', 's-1'):
             state.reported_slowdown.record(1.0, 0.0)
-    chosen = Counter(book.choose_server(SERVICE, (), '') for _ in range(400))
+    chosen = Counter(registry.choose_server(SERVICE, (), '') for _ in range(400))
     assert len(chosen) == 8
     assert max(chosen.values()) <= 2 * 400 / 8
--- a/tests/test_servers/test_servers_failing.py
+++ b/tests/test_servers/test_servers_failing.py
@@ -199,12 +199,12 @@
     fleet.run(2_000.0)
     instance = fleet.instances[0]
     new = ServerId('s-new')
-    instance.book.replace(listed_server(name, SERVICE) for name in ('s-0', 's-1', 's-2', new))
-    for state in instance.book.states():
+    instance.registry.replace(listed_server(name, SERVICE) for name in ('s-0', 's-1', 's-2', new))
+    for state in instance.registry.states():
         state.own.online = 0
 
     def chosen() -> set[ServerId]:
-        states = [instance.book.choose_server(SERVICE, (), '', is_once=True) for _ in range(60)]
+        states = [instance.registry.choose_server(SERVICE, (), '', is_once=True) for _ in range(60)]
         return {state.listed.id for state in states if state is not None}
 
     assert new not in chosen()
--- a/tests/test_servers/test_servers_slowdown.py
+++ b/tests/test_servers/test_servers_slowdown.py
@@ -82,7 +82,7 @@
         now_ms = number * 500.0
         pace = 2.0 if number % 2 else 1.0
         state.reported_slowdown.record(pace, now_ms)
-        state.record_work(20.0 * 1.6 * pace, 20.0, now_ms)
+        state.record_latency_ratio(20.0 * 1.6 * pace, 20.0, now_ms)
     assert state.latency_ratio.factor == pytest.approx(1.6, rel=0.05)
 
 
@@ -97,5 +97,5 @@
 def test_server_that_reports_no_slowdown_counts_as_average() -> None:
     state = ServerState(listed_server('s-0', 's'), ServerIncarnation('s-0'))
     for _ in range(20):
-        state.record_work(80.0, 20.0, 0.0)
+        state.record_latency_ratio(80.0, 20.0, 0.0)
     assert state.expected_slowdown(0.0) == 1.0
