--- a/citrondyke/decisions/__init__.py
+++ b/citrondyke/decisions/__init__.py
@@ -1,8 +1,7 @@
-"""Every decision of an instance, with no socket, clock, greenlet or global.
+"""The decision logic of an instance, free of I/O, greenlets and global state.
 
-Time comes from the clock handed in, chance from the generator handed in. What must touch the
-world is yielded as a typed operation, so that any driver can host an instance: the daemon's
-over gevent, or one in virtual time.
+The clock and the random number generator are passed in. All I/O is yielded as a typed operation,
+so that any driver can host an instance: the daemon's over gevent, or one in virtual time.
 """
 
 from __future__ import annotations
--- a/citrondyke/decisions/instance.py
+++ b/citrondyke/decisions/instance.py
@@ -1,4 +1,4 @@
-"""One instance: all its decisions put together, for any driver to host."""
+"""Assembles the decision components of one instance, for any driver to host."""
 
 from __future__ import annotations
 
@@ -65,14 +65,15 @@
 
 __all__ = ('Instance',)
 
-#: Looks further apart than this many lease times do not prove that a holder is gone.
+#: Longest gap between two polls of a lease row, as a share of the lease time. Over a longer gap an
+#: unchanged counter does not prove that the lease expired.
 MAX_POLL_GAP_SHARE = 0.75
-#: Pause between two pulls of the configuration from peers.
+#: Pause between two configuration pulls from peers.
 PULL_PAUSE_MS = 200.0
 
 
 class Instance:
-    """Everything that one instance decides, with no I/O of its own."""
+    """The decision components of one instance, without any I/O."""
 
     def __init__(
         self,
@@ -80,9 +81,9 @@
         limits: InstanceLimits,
         new_share: Callable[[ServerView], ServerShare] | None = None,
     ) -> None:
-        """Put the parts together; nothing runs before ``run``.
+        """Create the components; nothing runs before ``run``.
 
-        :param new_share: makes the share of a server, where a benchmark wants a baseline's.
+        :param new_share: creates the batch share of a server; benchmarks pass a baseline here.
         """
         self.context = context
         self.limits = limits
@@ -128,11 +129,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the configuration and the lists are there."""
+        """Return whether the configuration and the platform's lists have been read."""
         return self.config_replica.is_loaded and self._lists_read.is_fired
 
     def run(self) -> Workflow[None]:
-        """Start all that an instance does by itself."""
+        """Start the background workflows of the instance."""
         yield Spawn(self.config_replica.run(), is_essential=True)
         yield Spawn(self.session.run(), is_essential=True)
         yield Spawn(self.committer.run(), is_essential=True)
@@ -144,14 +145,14 @@
         yield Spawn(self._run_batch_work(), is_essential=True)
 
     def is_repeatable(self, target: TargetName) -> bool:
-        """Tell whether a target's requests may be sent again; an unknown service's may not."""
+        """Return whether a target's requests are repeatable; an unknown service's are not."""
         if not target.startswith(SERVICE_PREFIX):
             return True
         service = self.config_replica.current.service_entry(target[len(SERVICE_PREFIX) :])
         return service is not None and service.is_repeatable
 
     def propose(self, proposal: ConfigProposal, who: str) -> Workflow[ProposalResult]:
-        """Accept a configuration change and tell every peer before the operator hears of it."""
+        """Accept a configuration change and push it to every peer before returning."""
         result = yield from self.config_replica.propose(proposal, who)
         if isinstance(result, ConfigChange):
             for peer in self.members.peers():
@@ -159,7 +160,7 @@
         return result
 
     def cancel_job(self, tenant_id: TenantId | None, job_id: JobId) -> Workflow[JobResult]:
-        """Stop a job: in the table service, here, and at every peer."""
+        """Cancel a job in the table service, on this instance and on every peer."""
         result = yield from self.acceptance.cancel(tenant_id, job_id)
         self.worker.stop_job(job_id)
         for peer in self.members.peers():
@@ -168,13 +169,13 @@
         return result
 
     def on_peer_version(self, sender: InstanceId, version: ConfigVersion) -> None:
-        """Take in which configuration a peer has; a newer one is fetched from it."""
+        """Record a peer's configuration version and pull a newer one from that peer."""
         if version > self.config_replica.current.version and self.config_replica.is_loaded:
             self._pull_from = sender
             self._pull_requested.fire(None)
 
     def on_peer_message(self, sender: InstanceId, message: PeerMessage) -> PeerMessage | None:
-        """Take in a peer's message; give the answer to send back, if any."""
+        """Handle a peer's message and return the reply to send, if any."""
         match message:
             case Ping():
                 return self.members.on_ping(sender, message)
@@ -185,7 +186,7 @@
             case ServerState():
                 self.notices.on_state(message)
             case ConfigPush():
-                # Before the log was read it would be applied on top of nothing.
+                # Before the log is read there is no version that the change could follow.
                 if self.config_replica.is_loaded:
                     self.config_replica.merge_changes([message.change])
             case JobStopped():
@@ -193,7 +194,7 @@
         return None
 
     def leave(self, until_ms: float) -> Workflow[None]:
-        """Stop taking batch work and hand back what is held; calls are still served."""
+        """Stop accepting batch work and release held segments; calls are still served."""
         self.members.leave()
         for peer in self.members.peers():
             ping = self.members.leaving_ping()
@@ -201,10 +202,10 @@
         yield from self.worker.drain(until_ms)
 
     def finish(self, until_ms: float) -> Workflow[None]:
-        """Seal the last records and give the lease back, once no call is under way.
+        """Seal the last audit records and release the lease, once no call is in flight.
 
-        A lease that goes back earlier tells others that this instance is gone: its orders that
-        still run would be closed as unknown, though their answers are on the way.
+        If the lease were released earlier, other instances would take this one for dead and close
+        its running at-most-once requests as unknown, although their replies still arrive.
         """
         while not (yield from self.journal.seal()) and self.context.now_ms() < until_ms:
             pass
@@ -217,7 +218,7 @@
             self.leases,
             self.sweeper,
             self.is_repeatable,
-            lambda key: self.worker.holds(key),  # noqa: PLW0108  (the worker comes after)
+            lambda key: self.worker.holds(key),  # noqa: PLW0108  (the worker is created later)
         )
         worker_limits = WorkerLimits(
             part_every_ms=limits.part_every_ms,
@@ -233,7 +234,7 @@
         self.worker.wake(target)
 
     def _follow_lists(self) -> Workflow[None]:
-        """Read the lists; while they do not answer, the last ones stay in force."""
+        """Poll the platform's lists; while they are unavailable, the last ones stay in force."""
         while True:
             snapshot = yield from read_lists()
             if not isinstance(snapshot, PlatformFailure):
@@ -252,7 +253,7 @@
             yield from self._pause(self.limits.gossip_every_ms)
 
     def _refresh_stewardship(self, *, is_forced: bool) -> Workflow[None]:
-        """Take up the servers that fall to this instance now."""
+        """Recompute stewardship and start watching newly assigned servers."""
         if not is_forced and self.members.revision == self._members_revision:
             return
         self._members_revision = self.members.revision
@@ -264,7 +265,7 @@
             yield from self._start_targets()
 
     def _run_batch_work(self) -> Workflow[None]:
-        """Begin batch work once there is a session to claim with."""
+        """Start batch work once there is a session under which segments can be claimed."""
         yield from wait_for(self.session.began, None)
         yield from wait_for(self._lists_read, None)
         yield Spawn(self.worker.poll_jobs())
@@ -279,7 +280,7 @@
     def _run_target(self, target: TargetName) -> Workflow[None]:
         yield from self.worker.run_target(target)
         self._running_targets.discard(target)
-        # The servers may have come back while the last items ended.
+        # The servers may have returned while the last items were finishing.
         yield from self._start_targets()
 
     def _pull_configs(self) -> Workflow[None]:
--- a/citrondyke/decisions/jobs/worker.py
+++ b/citrondyke/decisions/jobs/worker.py
@@ -177,7 +177,7 @@
         held = [each for each in self._held.values() if each.job.target == target]
         if len(held) >= self._limits.held_limit or not all(each.is_queued for each in held):
             return False
-        return len(pending) < self._steward.room(target)
+        return len(pending) < self._steward.pending_items_target(target)
 
     def _start_items(self, target: TargetName, pending: PendingItems) -> list[Workflow[None]]:
         """Put items on every server that has room."""
--- a/citrondyke/decisions/notices.py
+++ b/citrondyke/decisions/notices.py
@@ -1,4 +1,4 @@
-"""Tells stewards of this instance's online requests."""
+"""Notifies stewards of this instance's online load on their servers."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 __all__ = ('OnlineLoadNotices',)
 
-#: Changes within this time of each other travel together.
+#: Changes within this time after the first are sent together.
 COALESCE_MS = 2.0
-#: What is not zero is said again after this time, in case a notice was lost. At the target a node
-#: has over a hundred answers under way; to say each again every second would be most of its
-#: traffic.
+#: Non-zero counts are resent at this interval, in case a notice was lost. At the target load an
+#: instance has more than a hundred requests in flight; resending every count each second would be
+#: most of its traffic.
 REPEAT_EVERY_MS = 30_000.0
 
 
 class OnlineLoadNotices:
-    """Sends absolute numbers, so that one lost notice is made good by the next."""
+    """Sends absolute counts, so that the next notice makes up for a lost one."""
 
     def __init__(self, context: Context, fleet: Fleet, steward: Steward) -> None:
-        """Start with nothing to tell."""
+        """Start with no pending changes."""
         self._context = context
         self._fleet = fleet
         self._steward = steward
@@ -38,9 +38,9 @@
         self._wake: Signal[None] = Signal()
 
     def on_load_change(self, view: ServerView) -> None:
-        """Note that this instance's requests on a server changed.
+        """Record that this instance's online requests on a server changed.
 
-        Where this instance is the steward itself, batch work yields at once.
+        If this instance is the server's steward, batch work is preempted at once.
         """
         server_id = view.listed.id
         if self._steward.is_steward_for(server_id):
@@ -50,7 +50,7 @@
         self._wake.fire(None)
 
     def run(self) -> Workflow[None]:
-        """Send what changed, for good."""
+        """Send changed counts until the instance stops."""
         repeat_at_ms = self._context.now_ms() + REPEAT_EVERY_MS
         while True:
             fired = yield from wait_for(self._wake, repeat_at_ms)
@@ -74,7 +74,7 @@
                 )
 
     def on_state(self, state: ServerState) -> None:
-        """Take in a steward's answer."""
+        """Apply a steward's reply."""
         view = self._fleet.view(state.server_id)
         if view is not None:
             view.apply_report(state, self._context.now_ms())
--- a/citrondyke/decisions/steward.py
+++ b/citrondyke/decisions/steward.py
@@ -1,4 +1,4 @@
-"""Looks after backend servers: their load, their online notices, their batch work."""
+"""Stewardship of backend servers: load polling, online notices and batch preemption."""
 
 from __future__ import annotations
 
@@ -28,28 +28,28 @@
 __all__ = ('SERVICE_PREFIX', 'Steward', 'StewardTimings')
 
 SERVICE_PREFIX = 'service:'
-#: Used until an engine has reported its own limit of streams.
+#: Used until an engine has reported its own limit of concurrent streams.
 INITIAL_MAX_RUNNING = 128
 DEFAULT_GAP_TARGET_MS = 42.0
-#: A peer is told a server's state again when it changed by this part ...
+#: A server's state is sent to a peer again when it changed by this share ...
 PUBLISH_CHANGE_SHARE = 0.1
-#: ... or at once where the server is fuller than this part of its limit ...
+#: ... or at once if the server's load exceeds this share of its limit ...
 FULL_SHARE = 0.8
-#: ... or after this time, which is longer where the server is emptier than this part.
+#: ... or after ``PUBLISH_EVERY_MS``; below this share of the limit the longer interval applies.
 IDLE_SHARE = 0.5
 PUBLISH_IDLE_EVERY_MS = 10_000.0
-#: Polls after which all peers are told that a server leaves, and from then on each so many.
+#: For this many polls every peer is notified that a server is leaving, then at every n-th poll.
 LEAVING_ROUNDS = 4
 LEAVING_REPEAT = 20
 PUBLISH_EVERY_MS = 1000.0
 
 
 class StewardTimings(msgspec.Struct, frozen=True, kw_only=True):
-    """Pauses of a steward."""
+    """Intervals and timeouts of a steward."""
 
     poll_every_ms: float
     poll_timeout_ms: float
-    #: Looks for work, over all instances, a second.
+    #: Polls for batch work per second, summed over all instances.
     fleet_polls_per_s: float
     min_poll_interval_ms: float
 
@@ -62,7 +62,7 @@
 
 
 class Steward:
-    """The servers that this instance looks after, by rendezvous over the live instances."""
+    """The servers assigned to this instance by rendezvous hashing over the live instances."""
 
     def __init__(
         self,
@@ -75,10 +75,11 @@
         on_free_capacity: Callable[[TargetName], None],
         new_share: Callable[[ServerView], ServerShare] | None = None,
     ) -> None:
-        """Use the parts handed in.
+        """Create a steward without any servers.
 
-        :param on_preempt: told which batch requests must yield.
-        :param on_free_capacity: told for which target a place may have become free.
+        :param on_preempt: called with the batch requests to preempt.
+        :param on_free_capacity: called with a target whose capacity may have become free.
+        :param new_share: creates the batch share of a server; ``None`` for the default.
         """
         self._context = context
         self._fleet = fleet
@@ -94,7 +95,7 @@
         self._steward_cache: dict[ServerId, InstanceId | None] = {}
 
     def refresh(self) -> list[ServerId]:
-        """Work out anew who looks after what; give the servers that are new to this instance."""
+        """Recompute all stewards; return the servers newly assigned to this instance."""
         live = self._members.live()
         self._steward_cache = {
             view.listed.id: steward_of(view.listed.id, view.listed.zone, live)
@@ -123,23 +124,23 @@
         return gained
 
     def steward_of(self, server_id: ServerId) -> InstanceId | None:
-        """Give a server's steward."""
+        """Return a server's steward."""
         return self._steward_cache.get(server_id)
 
     def is_steward_for(self, server_id: ServerId) -> bool:
-        """Tell whether this instance looks after a server."""
+        """Return whether this instance is a server's steward."""
         return server_id in self._shares
 
     def targets(self) -> list[TargetName]:
-        """List the targets that this instance has servers of."""
+        """List the targets of the servers assigned to this instance."""
         return sorted(self._targets)
 
     def serves(self, target: TargetName) -> bool:
-        """Tell whether this instance has servers of a target."""
+        """Return whether servers of a target are assigned to this instance."""
         return target in self._targets
 
     def shares_of(self, target: TargetName) -> list[tuple[ServerId, ServerShare]]:
-        """List the servers of a target that take work, the emptiest first."""
+        """List the servers of a target that accept batch work, least loaded first."""
         now_ms = self._context.now_ms()
         shares = [
             (server_id, self._shares[server_id])
@@ -149,11 +150,14 @@
         return sorted(shares, key=lambda pair: -pair[1].free_capacity(now_ms))
 
     def share(self, server_id: ServerId) -> ServerShare | None:
-        """Find a server's share."""
+        """Return a server's batch share."""
         return self._shares.get(server_id)
 
-    def room(self, target: TargetName) -> int:
-        """Count the batch requests of a target that could start, with as many in reserve."""
+    def pending_items_target(self, target: TargetName) -> int:
+        """Return how many items of a target to keep ready to start.
+
+        At least the fill limit of each server counts, so that items are in reserve.
+        """
         now_ms = self._context.now_ms()
         return sum(
             max(share.free_capacity(now_ms), share.fill_limit(now_ms))
@@ -161,7 +165,7 @@
         )
 
     def next_capacity_ms(self, target: TargetName) -> float:
-        """Give when time alone makes room for a batch request of a target; else infinity."""
+        """Return when capacity for a batch request becomes free by time alone, else infinity."""
         now_ms = self._context.now_ms()
         return min(
             (share.next_capacity_ms(now_ms) for _, share in self.shares_of(target)),
@@ -169,7 +173,7 @@
         )
 
     def poll_interval_ms(self, target: TargetName) -> float:
-        """Give the pause between two looks for work, so that the fleet's looks stay bounded."""
+        """Return the pause between two polls for work, which bounds the fleet's poll rate."""
         pollers_count = max(1, len(self._members.live())) * max(1, len(self._targets))
         return max(
             self._timings.min_poll_interval_ms,
@@ -177,9 +181,9 @@
         )
 
     def on_notice(self, sender: InstanceId, notice: OnlineNotice) -> ServerState | None:
-        """Take in what an entry instance has on a server; yield at once where it must.
+        """Record an entry instance's online load on a server; preempt batch work if needed.
 
-        :returns: what to answer, if anything.
+        :returns: the reply to send, if any.
         """
         share = self._shares.get(notice.server_id)
         if share is None:
@@ -196,7 +200,7 @@
         return self._reply(sender, view, share, has_more=has_more)
 
     def watch(self, server_id: ServerId) -> Workflow[None]:
-        """Poll one server's load while this instance looks after it."""
+        """Poll one server's load while this instance is its steward."""
         watched = self._shares.get(server_id)
         leaving_rounds = 0
         while watched is not None:
@@ -220,10 +224,10 @@
             yield from sleep_until(now_ms + self._context.jittered_ms(self._timings.poll_every_ms))
 
     def _publish_leaving(self, view: ServerView, share: ServerShare, rounds: int) -> Workflow[None]:
-        """Tell every peer that a server leaves, a few times and then now and then.
+        """Notify every peer that a server is leaving, a few times and then at long intervals.
 
-        An instance that has nothing on the server sends its steward no notices, gets no answers,
-        and would send its next request there as long as the list says that the server lives.
+        An instance without requests on the server sends its steward no notices and so gets no
+        replies. It would send its next request there as long as the list shows the server as live.
         """
         if rounds > LEAVING_ROUNDS and rounds % LEAVING_REPEAT:
             return
@@ -255,7 +259,7 @@
             share.set_target(self._gap_target_ms())
 
     def _gap_target_ms(self) -> float:
-        """Give the tightest target of the online classes: any of them may call any server."""
+        """Return the tightest token gap target: any online class may use any server."""
         classes = self._config_replica.current.online_classes()
         return min((each.token_gap_target_ms for each in classes), default=DEFAULT_GAP_TARGET_MS)
 
@@ -272,13 +276,13 @@
         online_limit = share.online_limit()
         is_full = online_count >= FULL_SHARE * online_limit
         if not has_more and not is_full and not view.is_leaving:
-            # Whoever sends less to a server with room does not need to know how full it is.
+            # A sender that reduces its load on a server with free capacity needs no reply.
             return None
         comfort_limit = share.comfort_limit()
         published = self._published.get((sender, view.listed.id))
         if published is not None and not view.is_leaving:
-            moved = abs(online_count - published.online_count)
-            is_small = moved <= max(1.0, PUBLISH_CHANGE_SHARE * published.online_count)
+            change = abs(online_count - published.online_count)
+            is_small = change <= max(1.0, PUBLISH_CHANGE_SHARE * published.online_count)
             is_same_limit = (published.online_limit, published.comfort_limit) == (
                 online_limit,
                 comfort_limit,
