--- a/citrondyke/decisions/crashes/__init__.py
+++ b/citrondyke/decisions/crashes/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end the servers that run them: what names one, what is evidence, what follows."""
+"""Detection of poison requests, under which the servers that run them exit."""
--- a/citrondyke/decisions/crashes/server_exit_detector.py
+++ b/citrondyke/decisions/crashes/server_exit_detector.py
@@ -1,4 +1,4 @@
-"""Which servers have ended, and what was under way there when they did."""
+"""Detects server exits and the requests that were in flight there."""
 
 from __future__ import annotations
 
@@ -13,36 +13,37 @@
 
 __all__ = ('InterruptedRequest', 'ServerExitDetector')
 
-#: How long what broke off at a server waits for word of its end: a server that ended without a
-#: word is off the list after three heartbeats and a look, some 5 s.
+#: How long interrupted requests are kept until the server's exit is known: a server that exited
+#: silently is off the list after three heartbeats and a poll, about 5 s.
 KEPT_MS = 10_000.0
-#: A connection that is taken this soon after another broke off shows that the server lives: it
-#: takes seconds to start anew.
+#: A connection accepted this soon after another one broke shows that the server is alive: a
+#: restart takes seconds.
 ALIVE_WITHIN_MS = 500.0
-#: What is kept of one server, and servers that are kept: places of a server, and a fleet's.
+#: Interrupted requests kept for each server (its capacity), and servers kept (a fleet's size).
 PER_SERVER_LIMIT = 64
 SERVERS_LIMIT = 1_000
 
 
 class InterruptedRequest(msgspec.Struct, frozen=True):
-    """A request that broke off at a server."""
+    """A request whose connection to its server broke."""
 
     content: RequestFingerprint
-    #: Whether its answer had not been coming for long.
+    #: Whether its response had not started, or only a short time before.
     is_fresh: bool
     at_ms: float
 
 
 class ServerExitDetector:
-    """Tells a server's end from a broken connection.
+    """Distinguishes a server's exit from a broken connection.
 
-    Connections are reset, answers get lost, instances are cut off: none of it says anything of
-    the request. A server has ended when it refuses connections right after, or is off the list
-    though it never said that it leaves, or has begun another life.
+    Connections are reset, responses get lost and instances are partitioned; none of this is
+    evidence against the request. A server has exited if it refuses connections right afterwards,
+    is off the list without having announced that it leaves, or runs as a new incarnation.
+    Servers are identified by the digest of their incarnation.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start without a server."""
+        """Start without any observations."""
         self._context = context
         self._interrupted: dict[int, list[InterruptedRequest]] = {}
         self._exited_ms: dict[int, float] = {}
@@ -50,7 +51,7 @@
     def record_interrupted(
         self, server: int, content: RequestFingerprint, *, is_fresh: bool
     ) -> bool:
-        """Keep what broke off; tell whether the server is known to have ended."""
+        """Record an interrupted request; return whether the server is known to have exited."""
         self._forget_old()
         if server in self._exited_ms:
             return True
@@ -60,27 +61,28 @@
         return False
 
     def record_server_exited(self, server: int) -> list[InterruptedRequest]:
-        """Take in a server's end; give what it counts against."""
+        """Record a server's exit; return the interrupted requests that it counts against."""
         self._forget_old()
         self._exited_ms.setdefault(server, self._context.now_ms())
         return self._interrupted.pop(server, [])
 
     def record_removed(self, server: int) -> list[InterruptedRequest]:
-        """Take in that a server is off the list; give what that counts against.
+        """Record that a server is off the list; return the requests that this counts against.
 
-        It may go on serving what it has: only what broke off there before is told by it.
+        The server may continue to serve its current requests, so only requests that were
+        interrupted before count, and the server is not recorded as exited.
         """
         self._forget_old()
         return self._interrupted.pop(server, [])
 
     def has_exited(self, server: int) -> bool:
-        """Tell whether a server is known to have ended."""
+        """Return whether a server is known to have exited."""
         return server in self._exited_ms
 
     def record_server_alive(self, server: int, asked_ms: float) -> bool:
-        """Take in that a server took a connection; tell whether more broke off since.
+        """Record an accepted connection; return whether requests were interrupted since.
 
-        :param asked_ms: when the connection was begun.
+        :param asked_ms: monotonic time at which the connection attempt started.
         """
         kept = [
             each
--- a/citrondyke/decisions/crashes/suspect.py
+++ b/citrondyke/decisions/crashes/suspect.py
@@ -1,4 +1,4 @@
-"""What is known of one request under which servers have ended."""
+"""Evidence against one request under which servers exited."""
 
 from __future__ import annotations
 
@@ -8,46 +8,47 @@
 
 __all__ = ('BEGUN_WEIGHT', 'FRESH_WEIGHT', 'Suspect', 'SuspectRow')
 
-#: What a server's end counts against a request that it had just begun, or not answered yet.
+#: Weight of a server's exit for a request whose response had just started, or not yet.
 FRESH_WEIGHT = 1.0
-#: ... and against one whose answer had been coming for a while: a request that ends its server
-#: does so on what it brings, with few exceptions, and eight others were there at each crash.
+#: Weight for a request whose response had been streaming for a while. A poison request crashes its
+#: server while its input is processed, with few exceptions, and about eight innocent requests are
+#: in flight at each crash.
 BEGUN_WEIGHT = 0.25
-#: Ends of servers that a success has made good are remembered, as reports of them may come late.
+#: Exits cleared by a success that are remembered, as reports of them may arrive late.
 CLEARED_LIMIT = 64
 
 
 class SuspectRow(msgspec.Struct, frozen=True):
-    """A suspect as instances tell each other and the store of it."""
+    """A suspect as it is stored and exchanged between instances."""
 
     digest: str
     target: int
-    #: By the digest of the server's life: the weight of its end.
+    #: Weight of each server's exit, by the digest of its incarnation.
     lives: dict[int, float] = {}
     cleared: list[int] = []
-    #: Successes so far; what was counted before the last one counts no more.
+    #: Number of successes so far; evidence of an earlier number is void.
     era: int = 0
     trials: int = 0
     refused: int = 0
     tried_epoch_ms: float = 0.0
     score_at_trial: float = 0.0
     changed_epoch_ms: float = 0.0
-    #: Names the write that claimed a trial; two claims of the same moment are otherwise alike.
+    #: Identifies the write that claimed a probe; simultaneous claims would otherwise be equal.
     claim: str = ''
 
 
 class Suspect(msgspec.Struct):
-    """One request's evidence since it was last answered well, and its trials.
+    """Evidence against one request since its last success, and its probes.
 
-    Joining two of them gives the same whoever's comes first, so that reports, rows of the store
-    and what a peer hands over may arrive in any order and more than once.
+    Merging is commutative and idempotent, so that reports, stored rows and rows from peers may
+    arrive in any order and more than once. The fields are those of ``SuspectRow``.
     """
 
     content: RequestFingerprint
     lives: dict[int, float]
     cleared: list[int]
     era: int = 0
-    #: Sends that were allowed beyond the limit, and those of them that no server ran.
+    #: Probes allowed beyond the exit limit, and those of them that no server ran.
     trials: int = 0
     refused: int = 0
     tried_epoch_ms: float = 0.0
@@ -56,11 +57,11 @@
 
     @property
     def score(self) -> float:
-        """Add up the ends of servers, each once whoever reports it."""
+        """Return the sum of the exit weights; each exit counts once."""
         return sum(self.lives.values())
 
     def count(self, server: int, weight: float, epoch_ms: float) -> bool:
-        """Count a server's end; tell whether that is news."""
+        """Count a server's exit; return whether this changed the evidence."""
         if server in self.cleared or self.lives.get(server, 0.0) >= weight:
             return False
         self.lives[server] = weight
@@ -68,7 +69,7 @@
         return True
 
     def clear(self, epoch_ms: float) -> None:
-        """Begin anew after a success."""
+        """Discard the evidence after a success."""
         self.cleared = (self.cleared + list(self.lives))[-CLEARED_LIMIT:]
         self.lives = {}
         self.era += 1
@@ -77,7 +78,7 @@
         self.changed_epoch_ms = max(self.changed_epoch_ms, epoch_ms)
 
     def merge(self, row: SuspectRow) -> bool:
-        """Take in what another instance knows; tell whether that changed anything."""
+        """Merge another instance's evidence; return whether anything changed."""
         before = self.row()
         if row.era > self.era:
             self.clear(row.changed_epoch_ms)
@@ -96,7 +97,7 @@
         return self.row() != before
 
     def row(self) -> SuspectRow:
-        """Give it as others are told of it."""
+        """Return the row to store and to send to peers."""
         return SuspectRow(
             digest=self.content.digest,
             target=self.content.target,
--- a/citrondyke/decisions/crashes/suspect_registry.py
+++ b/citrondyke/decisions/crashes/suspect_registry.py
@@ -1,4 +1,4 @@
-"""Which requests are suspected of ending their servers, and what may be done with them."""
+"""Registry of requests suspected of crashing their servers."""
 
 from __future__ import annotations
 
@@ -24,97 +24,100 @@
 
 __all__ = ('SuspectRegistry', 'SuspectStatus')
 
-#: Servers that may end under a request before it is stopped. With two, requests that stood beside
-#: a culprit at its first two servers would be stopped with it; each one more costs everybody on
-#: another server their answers.
+#: Weighted server exits after which a request is blocked. With two, requests that ran beside a
+#: poison request on its first two servers would be blocked with it; each additional exit costs all
+#: requests on one more server their responses.
 EXITS_LIMIT = 3.0
-#: Sends beyond the limit, one at a time in the whole fleet: who was there by chance is cleared by
-#: the first; who is not stays stopped. More would lose a server each.
+#: Probes sent beyond the limit, one at a time in the whole fleet. The first one clears an innocent
+#: request; a poison request stays blocked. Each additional probe would cost a server.
 PROBES_LIMIT = 3
-#: Pause between the last end and the first trial: servers start anew within seconds, and the loss
-#: of one more hurts least when the others are back.
+#: Pause between the last exit and the first probe: servers restart within seconds, and losing one
+#: more does least harm when the others are back.
 FIRST_PROBE_PAUSE_MS = 3_000.0
-#: Pause before the second trial, doubled for the next: long enough for an operator to see why
-#: servers end, and to change it.
+#: Pause before the second probe, doubled for each later one: long enough for an operator to find
+#: out why servers exit, and to fix it.
 PROBE_PAUSE_MS = 600_000.0
-#: ... of a batch item, whose job must come to an end within its own time.
+#: The same pause for a batch item, whose job must finish by its own deadline.
 ITEM_PROBE_PAUSE_MS = 5_000.0
-#: Trials that a full server turned away may be made up for so often.
+#: Probes rejected by a full server that may be repeated.
 REFUSED_LIMIT = 2
-#: Others with the same work are asked back while a trial is under way for at most so long.
+#: While a probe is in flight, identical requests are told to retry, for at most this long.
 PROBE_TIMEOUT_MS = 3_000.0
-#: What is known is forgotten after a day without another end or trial.
+#: Evidence expires after a day without another exit or probe.
 KEPT_MS = 86_400_000.0
-#: Suspects that are remembered, some 400 bytes each; the least suspected go first.
+#: Suspects kept, about 400 bytes each; those with the lowest score are dropped first.
 SUSPECTS_LIMIT = 1_000
-#: What is worth telling the store: one end alone is chance nearly always.
+#: Lowest score that is stored: a single exit is nearly always a coincidence.
 STORED_SCORE = 2.0
 
 
 class SuspectStatus(Enum):
-    """What may be done with a request."""
+    """Whether a request may be sent to a server."""
 
     FREE = 'free'
-    #: It goes where few others and no other suspects are.
+    #: Sent to a server with few other requests and no other suspects.
     SUSPECTED = 'suspected'
-    #: It may be sent once if nobody else in the fleet does.
+    #: May be sent once, by the one instance that claims the probe.
     PROBE_DUE = 'trial_due'
-    #: Its trial is under way somewhere.
+    #: A probe of it is in flight at some instance.
     PROBE_RUNNING = 'on_trial'
     STOPPED = 'stopped'
 
 
 class SuspectRegistry:
-    """Counts ends of servers by the content of the requests that were under way there.
+    """Counts server exits by the fingerprint of the requests that were in flight there.
 
-    Answers a request that ends each server that runs it and comes again under new ids, at any
-    instance: counted by attempt it would end as many servers as each attempt may be sent to. A
-    crash takes everybody on the server along, so that being there is weak evidence: it counts
-    once for a server, less for whom its answer had long begun, and a whole answer anywhere takes
-    all of it back.
+    Handles a request that crashes every server that runs it and is retried under new ids through
+    any instance: counted per attempt, each attempt would crash as many servers as its retry limit
+    allows. A crash interrupts all requests on the server, so being in flight there is weak
+    evidence: it counts once per server, less if the response had been streaming for a while, and
+    one complete response at any instance clears all of it.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start without a suspect."""
+        """Start without any suspects."""
         self._context = context
         self._by_digest: dict[ContentDigest, Suspect] = {}
         self._targets: Counter[int] = Counter()
 
     def __len__(self) -> int:
-        """Count the suspects."""
+        """Return the number of suspects."""
         return len(self._by_digest)
 
     def contents(self) -> list[RequestFingerprint]:
-        """List the suspects."""
+        """List the fingerprints of the current suspects."""
         return [suspect.content for suspect in self._by_digest.values() if suspect.lives]
 
     def probes_count(self, content: RequestFingerprint) -> int:
-        """Count the trials of a request."""
+        """Return how many probes of a request were claimed."""
         suspect = self._by_digest.get(content.digest)
         return 0 if suspect is None else suspect.trials
 
     def has_suspects_for(self, target: int) -> bool:
-        """Tell whether a request for a target may be a suspect."""
+        """Return whether a request for a target may be a suspect.
+
+        :param target: target hash of the request's fingerprint.
+        """
         return target in self._targets
 
     def score(self, content: RequestFingerprint) -> float:
-        """Give the servers that have ended under a request, weighed."""
+        """Return the weighted number of servers that exited under a request."""
         suspect = self._by_digest.get(content.digest)
         return 0.0 if suspect is None else suspect.score
 
     def record_server_exit(
         self, content: RequestFingerprint, server: int, *, is_fresh: bool
     ) -> bool:
-        """Count a server's end against a request; tell whether that is news.
+        """Count a server's exit against a request; return whether this changed the evidence.
 
-        :param server: digest of the server's life.
-        :param is_fresh: whether its answer had not come for long.
+        :param server: digest of the server's incarnation.
+        :param is_fresh: whether the response had not started, or only a short time before.
         """
         weight = FRESH_WEIGHT if is_fresh else BEGUN_WEIGHT
         return self._suspect(content).count(server, weight, self._context.epoch_ms())
 
     def record_survived(self, content: RequestFingerprint) -> bool:
-        """Take in a whole answer; tell whether the request had been suspected."""
+        """Record a complete response; return whether the request was suspected."""
         suspect = self._by_digest.get(content.digest)
         if suspect is None or not suspect.lives:
             return False
@@ -122,14 +125,14 @@
         return True
 
     def merge(self, row: SuspectRow) -> bool:
-        """Take in what another instance or the store knows; tell whether that is news."""
+        """Merge a row from a peer or the store; return whether anything changed."""
         if row.changed_epoch_ms < self._context.epoch_ms() - KEPT_MS:
             return False
         content = RequestFingerprint(ContentDigest(row.digest), row.target)
         return self._suspect(content).merge(row)
 
     def status_of(self, content: RequestFingerprint, *, is_item: bool = False) -> SuspectStatus:
-        """Tell what may be done with a request."""
+        """Return whether a request may be sent to a server."""
         suspect = self._by_digest.get(content.digest)
         if suspect is None or not suspect.lives:
             return SuspectStatus.FREE
@@ -144,12 +147,12 @@
         return SuspectStatus.STOPPED
 
     def row(self, content: RequestFingerprint) -> SuspectRow | None:
-        """Give what is known of a request."""
+        """Return the evidence against a request, if any."""
         suspect = self._by_digest.get(content.digest)
         return None if suspect is None else suspect.row()
 
     def probe_row(self, content: RequestFingerprint) -> SuspectRow:
-        """Give what the store must hold before a trial begins."""
+        """Return the row that must be stored before a probe starts."""
         suspect = self._suspect(content)
         return msgspec.structs.replace(
             suspect.row(),
@@ -161,13 +164,13 @@
         )
 
     def record_probe_refused(self, content: RequestFingerprint) -> None:
-        """Take note that no server ran a trial."""
+        """Record that no server ran a probe."""
         suspect = self._by_digest.get(content.digest)
         if suspect is not None:
             suspect.refused += 1
 
     def stored_rows(self) -> list[SuspectRow]:
-        """Give what a newcomer should know."""
+        """Return the rows that a newly started instance needs."""
         return [
             suspect.row()
             for suspect in self._by_digest.values()
@@ -175,7 +178,7 @@
         ]
 
     def forget_old(self) -> Iterable[ContentDigest]:
-        """Forget what is a day old; give the names of what is gone."""
+        """Drop expired suspects; return their digests."""
         oldest_ms = self._context.epoch_ms() - KEPT_MS
         gone = [
             digest
--- a/citrondyke/decisions/crashes/suspect_update_queue.py
+++ b/citrondyke/decisions/crashes/suspect_update_queue.py
@@ -1,4 +1,4 @@
-"""What peers are to be told of suspects, and when."""
+"""Queue of suspect updates that are to be sent to peers."""
 
 from __future__ import annotations
 
@@ -14,42 +14,44 @@
 
 __all__ = ('SuspectNews', 'SuspectUpdateBatch', 'SuspectUpdateKind', 'SuspectUpdateQueue')
 
-#: When the same is told again, in ms after it was told before: one datagram in a hundred is lost,
-#: and a link that loses many is harmed for seconds.
+#: Pauses before an update is resent, in ms: one datagram in a hundred is lost, and a lossy link
+#: stays lossy for seconds.
 RESEND_AFTER_MS = (100.0, 700.0)
-#: How often a thing is told.
+#: How often an update is sent.
 SENDS_COUNT = len(RESEND_AFTER_MS) + 1
-#: Requests in one message, 16 bytes each; it must fit one packet.
+#: Requests in one message, 16 bytes each; a message must fit into one packet.
 ENTRIES_PER_MESSAGE = 60
-#: Between two messages: one that tells 195 instances all the time sends 3,900 datagrams/s.
+#: Pause between two messages: continuous sending to 195 instances is 3,900 datagrams/s.
 MESSAGE_GAP_MS = 50.0
-#: What waits to be told; the least suspected is left out.
+#: Updates that may wait; on overflow the one with the lowest score is dropped.
 QUEUE_LIMIT = 512
 
 
 class SuspectUpdateKind(IntEnum):
-    """What there is to tell; the higher, the weightier."""
+    """Kind of an update."""
 
+    #: A server exited after the response had been streaming for a while.
     BEGUN = 0
+    #: A server exited before or just after the response started.
     FRESH = 1
-    #: It was answered well.
+    #: The request got a complete response.
     SURVIVED = 2
 
 
 class SuspectNews(msgspec.Struct, frozen=True):
-    """One request and what is to be told of it."""
+    """One update about one request."""
 
     content: RequestFingerprint
     kind: SuspectUpdateKind
 
 
 class SuspectUpdateBatch(msgspec.Struct, frozen=True):
-    """What goes into one message."""
+    """Content of one message."""
 
-    #: Digest of the life of the server that ended; 0 where none has.
+    #: Digest of the incarnation of the exited server; 0 for successes.
     server: int
     news: list[SuspectNews]
-    #: Whether everybody is to know, not only who collects what is seen.
+    #: Whether it goes to all peers, not only to those that collect reports on this request.
     is_broadcast: bool
 
 
@@ -64,10 +66,10 @@
 
 
 class SuspectUpdateQueue:
-    """Tells each thing some times, a bounded number of messages a second."""
+    """Sends each update several times, within a bounded message rate."""
 
     def __init__(self, context: Context) -> None:
-        """Start with nothing to tell."""
+        """Start empty."""
         self._context = context
         self._pending: list[_PendingUpdate] = []
         self._sent_ms = float('-inf')
@@ -81,11 +83,12 @@
         is_broadcast: bool = True,
         sends_count: int = SENDS_COUNT,
     ) -> None:
-        """Have something told.
+        """Queue an update.
 
-        :param server: digest of the life of the server that ended; 0 for a success.
-        :param is_broadcast: whether everybody is to know.
-        :param times: how often it is told.
+        :param server: digest of the incarnation of the exited server; 0 for a success.
+        :param score: the request's score; higher ones are sent first.
+        :param is_broadcast: whether it goes to all peers.
+        :param sends_count: how often it is sent.
         """
         rank = float('inf') if news.kind is SuspectUpdateKind.SURVIVED else score
         now_ms = self._context.now_ms()
@@ -94,14 +97,14 @@
             self._pending.remove(min(self._pending, key=lambda each: each.rank))
 
     def next_pause_ms(self) -> float | None:
-        """Give the time until something is to be told; ``None`` while there is nothing."""
+        """Return the time until the next message is due; ``None`` if the queue is empty."""
         if not self._pending:
             return None
         due_ms = min(each.due_ms for each in self._pending)
         return max(0.0, max(due_ms, self._sent_ms + MESSAGE_GAP_MS) - self._context.now_ms())
 
     def take_due(self) -> SuspectUpdateBatch | None:
-        """Give the next message; ``None`` where nothing is due."""
+        """Return the next message; ``None`` if none is due."""
         now_ms = self._context.now_ms()
         due = [each for each in self._pending if each.due_ms <= now_ms]
         if not due:
--- a/tests/test_crashes/test_crashes_life_watch.py
+++ b/tests/test_crashes/test_crashes_life_watch.py
@@ -1,4 +1,4 @@
-"""A server's end is told from a broken connection."""
+"""The detector distinguishes a server's exit from a broken connection."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class DetectorSetup:
-    """A watch and its clock."""
+    """A detector and its clock."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -38,52 +38,52 @@
     return fingerprint_of(b'POST', b'h', b'/', name)
 
 
-def test_all_that_broke_off_counts_when_the_server_has_ended(setup: DetectorSetup) -> None:
+def test_exit_counts_against_all_interrupted_requests(setup: DetectorSetup) -> None:
     assert not setup.interrupt(b'a')
     assert not setup.interrupt(b'b')
     assert setup.exited() == [content(b'a'), content(b'b')]
     assert setup.exited() == []
-    # The word of the end came before the break was seen here.
+    # The exit was reported before this instance saw the connection break.
     assert setup.interrupt(b'c')
 
 
-def test_server_that_takes_a_connection_has_not_ended(setup: DetectorSetup) -> None:
+def test_accepted_connection_shows_that_the_server_is_alive(setup: DetectorSetup) -> None:
     setup.interrupt()
     setup.clock.ms += 2.0
     setup.detector.record_server_alive(SERVER, setup.clock.ms)
     assert setup.exited() == []
 
 
-def test_connection_seconds_later_may_be_the_next_servers(setup: DetectorSetup) -> None:
-    # This instance stood still after the break. What takes the connection by now is another
-    # server at the same address; the list shows later that the one before is gone.
+def test_connection_accepted_seconds_later_is_no_evidence(setup: DetectorSetup) -> None:
+    # This instance was frozen after the break. By now another server may accept the connection at
+    # the same address; the list shows later that the previous one was removed.
     setup.interrupt()
     setup.clock.ms += ALIVE_WITHIN_MS + 1.0
     setup.detector.record_server_alive(SERVER, setup.clock.ms)
     assert [each.content for each in setup.detector.record_removed(SERVER)] == [content(b'a')]
 
 
-def test_connection_begun_before_the_break_says_nothing(setup: DetectorSetup) -> None:
+def test_connection_started_before_the_break_is_no_evidence(setup: DetectorSetup) -> None:
     asked_ms = setup.clock.ms
     setup.clock.ms += 1.0
     setup.interrupt()
-    # It is asked again.
+    # The caller has to connect again.
     assert setup.detector.record_server_alive(SERVER, asked_ms)
     assert setup.exited() == [content(b'a')]
 
 
-def test_server_off_the_list_goes_on_with_what_it_has(setup: DetectorSetup) -> None:
+def test_removed_server_is_not_taken_as_exited(setup: DetectorSetup) -> None:
     setup.detector.record_removed(SERVER)
     assert not setup.interrupt()
 
 
-def test_what_broke_off_long_ago_is_forgotten(setup: DetectorSetup) -> None:
+def test_old_interruptions_expire(setup: DetectorSetup) -> None:
     setup.interrupt()
     setup.clock.ms += KEPT_MS + 1.0
     assert setup.exited() == []
 
 
-def test_watch_is_bounded(setup: DetectorSetup) -> None:
+def test_detector_is_bounded(setup: DetectorSetup) -> None:
     for number in range(1_000):
         setup.interrupt(b'%d' % number)
     assert len(setup.exited()) <= 64
--- a/tests/test_crashes/test_crashes_news.py
+++ b/tests/test_crashes/test_crashes_news.py
@@ -1,4 +1,4 @@
-"""What peers are told of suspects is told again, and bounded."""
+"""Suspect updates are repeated, and their rate and number are bounded."""
 
 from __future__ import annotations
 
@@ -21,52 +21,52 @@
 def drain(
     queue: SuspectUpdateQueue, clock: ManualClock
 ) -> list[tuple[float, int, list[SuspectNews]]]:
-    """Take all that there is to tell, each when it is due."""
-    told = []
+    """Take all messages, each when it is due."""
+    sent = []
     while (pause_ms := queue.next_pause_ms()) is not None:
         clock.ms += pause_ms
         message = queue.take_due()
         if message is not None:
-            told.append((clock.ms, message.server, message.news))
-    return told
+            sent.append((clock.ms, message.server, message.news))
+    return sent
 
 
-def test_each_is_told_three_times_at_once_first() -> None:
+def test_update_is_sent_three_times_the_first_time_at_once() -> None:
     clock = ManualClock()
     queue = SuspectUpdateQueue(manual_context(clock))
     queue.enqueue(5, news(1), 1.0)
     queue.enqueue(5, news(2), 1.0)
     assert queue.next_pause_ms() == 0.0
-    told = drain(queue, clock)
-    assert [(server, len(found)) for _, server, found in told] == [(5, 2)] * 3
+    sent = drain(queue, clock)
+    assert [(server, len(found)) for _, server, found in sent] == [(5, 2)] * 3
 
 
 def test_messages_are_spaced_and_name_one_server_each() -> None:
-    # Six servers of a rack end at once with sixty requests on each.
+    # Six servers of a rack exit at the same time with sixty requests on each.
     clock = ManualClock()
     queue = SuspectUpdateQueue(manual_context(clock))
     for server in range(1, 7):
         for number in range(60):
             queue.enqueue(server, news(server * 100 + number), 1.0)
-    told = drain(queue, clock)
-    times = [at_ms for at_ms, _, _ in told]
+    sent = drain(queue, clock)
+    times = [at_ms for at_ms, _, _ in sent]
     assert all(b - a >= MESSAGE_GAP_MS for a, b in itertools.pairwise(times))
-    assert len({each.content for _, _, found in told for each in found}) == 360
+    assert len({each.content for _, _, found in sent for each in found}) == 360
 
 
-def test_least_suspected_is_left_out_when_there_is_too_much() -> None:
+def test_lowest_scores_are_dropped_on_overflow() -> None:
     clock = ManualClock()
     queue = SuspectUpdateQueue(manual_context(clock))
     queue.enqueue(1, news(1), 3.0)
     queue.enqueue(0, news(2, SuspectUpdateKind.SURVIVED), 0.0)
     for number in range(2_000):
         queue.enqueue(2, news(number + 10), 1.0)
-    told = {each for _, _, found in drain(queue, clock) for each in found}
-    assert {news(1), news(2, SuspectUpdateKind.SURVIVED)} <= told
-    assert len(told) <= 512
+    sent = {each for _, _, found in drain(queue, clock) for each in found}
+    assert {news(1), news(2, SuspectUpdateKind.SURVIVED)} <= sent
+    assert len(sent) <= 512
 
 
-def test_what_everybody_and_what_few_are_told_goes_apart() -> None:
+def test_broadcasts_and_targeted_updates_are_separate_messages() -> None:
     clock = ManualClock()
     queue = SuspectUpdateQueue(manual_context(clock))
     queue.enqueue(1, news(1), 1.0, is_broadcast=False)
--- a/tests/test_crashes/test_crashes_suspects.py
+++ b/tests/test_crashes/test_crashes_suspects.py
@@ -1,4 +1,4 @@
-"""Who is suspected after servers have ended, who is stopped, and who is cleared."""
+"""Which requests are suspected, blocked and cleared after server exits."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class RegistrySetup:
-    """A book and its clock."""
+    """A registry and its clock."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -47,13 +47,13 @@
             self.record_exits(server, content)
 
     def claim_probe(self) -> bool:
-        """Have a trial given out, as the store does."""
+        """Claim a probe, as the store does."""
         if self.registry.status_of(CULPRIT) is not SuspectStatus.PROBE_DUE:
             return False
         return self.registry.merge(self.registry.probe_row(CULPRIT))
 
 
-def test_third_end_stops_a_request() -> None:
+def test_third_exit_blocks_a_request() -> None:
     setup = RegistrySetup()
     for server in (1, 2):
         setup.record_exits(server, CULPRIT)
@@ -64,27 +64,28 @@
     assert setup.registry.status_of(other(1)) is SuspectStatus.FREE
 
 
-def test_one_servers_end_counts_once_whoever_tells_of_it() -> None:
-    # Ten of one kind are on a server that loses power; all instances tell of it, some twice.
+def test_exit_counts_once_however_often_it_is_reported() -> None:
+    # Ten identical requests are on a server that loses power; every instance reports the exit, some
+    # twice.
     setup = RegistrySetup()
     for _ in range(30):
         setup.record_exits(1, CULPRIT)
     assert setup.registry.score(CULPRIT) == 1.0
 
 
-def test_many_ends_of_another_cause_stop_nobody() -> None:
-    # A rack with six servers is lost with eight requests on each; those that are sent again meet
-    # the next loss once more at the most.
+def test_exits_of_another_cause_block_no_request() -> None:
+    # A rack with six servers is lost with eight requests on each; a retried request is interrupted
+    # by at most one more loss.
     setup = RegistrySetup()
     for server in range(6):
-        setup.record_exits(server, *(other(server * 8 + place) for place in range(8)))
-        setup.record_exits(server + 100, *(other(server * 8 + place) for place in range(8)))
+        setup.record_exits(server, *(other(server * 8 + index) for index in range(8)))
+        setup.record_exits(server + 100, *(other(server * 8 + index) for index in range(8)))
     assert all(setup.registry.status_of(other(number)) in SENT for number in range(48))
 
 
-def test_whole_answer_clears_and_late_reports_do_not_count() -> None:
-    # A request that is asked often was under way at three ends of another cause. It is answered
-    # well; then a report of one of the three comes once more, delayed.
+def test_success_clears_and_late_reports_do_not_count() -> None:
+    # A frequent request was in flight at three exits of another cause. It succeeds; then a delayed
+    # report of one of the three exits arrives.
     setup = RegistrySetup()
     setup.stop()
     assert setup.registry.record_survived(CULPRIT)
@@ -96,8 +97,8 @@
     assert setup.registry.status_of(CULPRIT) is SuspectStatus.STOPPED
 
 
-def test_answer_that_has_long_begun_is_weak_evidence() -> None:
-    # A long answer is cut off by one crash after the other, each time after seconds.
+def test_streaming_response_is_weak_evidence() -> None:
+    # A long response is interrupted by one crash after another, each time after seconds.
     setup = RegistrySetup()
     for server in range(11):
         setup.record_exits(server, CULPRIT, is_fresh=False)
@@ -106,8 +107,8 @@
     assert setup.registry.status_of(CULPRIT) is SuspectStatus.STOPPED
 
 
-def test_trials_are_few_and_far_between() -> None:
-    # A request that ends its servers is asked all the time for three hours.
+def test_probes_are_few_and_far_apart() -> None:
+    # A poison request is sent continuously for three hours.
     setup = RegistrySetup()
     setup.stop()
     probed_ms = []
@@ -125,7 +126,7 @@
     assert probed_ms[2] - probed_ms[1] >= 2 * PROBE_PAUSE_MS
 
 
-def test_trial_that_a_full_server_turned_away_is_made_up_for_twice() -> None:
+def test_probe_rejected_by_a_full_server_is_repeated_twice() -> None:
     setup = RegistrySetup()
     setup.stop()
     probes_count = 0
@@ -137,7 +138,7 @@
     assert probes_count == 2
 
 
-def test_trial_without_a_word_is_over_in_time() -> None:
+def test_probe_without_result_times_out() -> None:
     setup = RegistrySetup()
     setup.stop()
     setup.clock.ms += FIRST_PROBE_PAUSE_MS
@@ -146,7 +147,7 @@
     assert setup.registry.status_of(CULPRIT) is SuspectStatus.STOPPED
 
 
-def test_item_gets_its_trials_within_its_jobs_time() -> None:
+def test_item_is_probed_at_shorter_intervals() -> None:
     setup = RegistrySetup()
     setup.stop()
     probes_count = 0
@@ -159,7 +160,7 @@
     assert probes_count == PROBES_LIMIT
 
 
-def test_book_is_bounded_and_keeps_the_most_suspected() -> None:
+def test_registry_is_bounded_and_keeps_the_highest_score() -> None:
     setup = RegistrySetup()
     setup.stop()
     for number in range(3_000):
@@ -168,7 +169,7 @@
     assert setup.registry.status_of(CULPRIT) is SuspectStatus.STOPPED
 
 
-def test_suspect_of_yesterday_is_forgotten() -> None:
+def test_suspect_expires_after_a_day() -> None:
     setup = RegistrySetup()
     setup.stop()
     row = setup.registry.row(CULPRIT)
@@ -192,7 +193,7 @@
 )
 
 
-def joined(wanted: list[SuspectRow]) -> tuple[object, ...]:
+def merged(wanted: list[SuspectRow]) -> tuple[object, ...]:
     suspect = Suspect(CULPRIT, {}, [])
     for row in wanted:
         suspect.merge(row)
@@ -200,10 +201,8 @@
 
 
 @given(st.lists(rows, max_size=5), st.integers(0, 1_000))
-def test_reports_may_come_in_any_order_and_more_than_once(
-    found: list[SuspectRow], seed: int
-) -> None:
-    # Lives of a later era are other servers' than those of an earlier one.
+def test_merge_is_commutative_and_idempotent(found: list[SuspectRow], seed: int) -> None:
+    # Incarnations of different eras belong to different servers.
     apart = [
         msgspec.structs.replace(
             row, lives={server + 10 * row.era: weight for server, weight in row.lives.items()}
@@ -212,13 +211,14 @@
     ]
     shuffled = apart + apart[:2]
     random.Random(seed).shuffle(shuffled)
-    assert joined(apart) == joined(shuffled)
+    assert merged(apart) == merged(shuffled)
 
 
 @pytest.mark.parametrize('seed', range(20))
-def test_culprit_among_others_is_stopped_and_the_others_go_on(seed: int) -> None:
-    # Five servers of eight places; each crash takes all along who are there. Who was on the server
-    # and has a try left moves to a server of its own; the culprit comes again and again.
+def test_poison_request_is_blocked_and_others_are_not(seed: int) -> None:
+    # Five servers with a capacity of eight each; a crash interrupts all requests on the server.
+    # Interrupted requests with a retry left move to another server; the poison request is retried
+    # again and again.
     rng = random.Random(seed)
     setup = RegistrySetup()
     exits_count = 0
@@ -229,8 +229,8 @@
         crowd = [*[each for each in crowd if each not in answered][-8:], other(turn)]
         if turn % 5 == 0 and setup.registry.status_of(CULPRIT) in SENT:
             exits_count += 1
-            place = rng.randrange(5)
-            beside = [each for index, each in enumerate(crowd) if index % 5 == place]
+            server = rng.randrange(5)
+            beside = [each for index, each in enumerate(crowd) if index % 5 == server]
             setup.record_exits(1_000 + exits_count, CULPRIT, *beside)
         for each in crowd[:4]:
             if setup.registry.status_of(each) in SENT:
