--- a/citrondyke/gateway/servers/poison_request_guard.py
+++ b/citrondyke/gateway/servers/poison_request_guard.py
@@ -1,4 +1,4 @@
-"""Finds out which servers ended under which requests, and who may still be sent."""
+"""Detects requests that crash the servers that run them, and stops their retries."""
 
 from __future__ import annotations
 
@@ -35,18 +35,21 @@
 
 log = logbook.Logger(__name__)
 
-#: A server that lives takes a connection within some ms; one that is dark would hold the request
-#: that waits for the answer up for no more than this.
+#: Connect timeout of the exit check. A live server accepts a connection within some ms; a
+#: partitioned one delays the request that waits for the check by no more than this.
 EXIT_CHECK_MS = 100.0
-#: An answer that has been coming for so long has outlived what its request could do at the
-#: beginning: it is the time of some ten events.
+#: A request whose response has been arriving for longer than this, the time of some ten events,
+#: has passed the phase in which a poison request crashes its server.
 FRESH_EVENTS_MS = 300.0
-#: Names of requests in one line.
+#: Request digests named in one line.
 NAMED_LIMIT = 8
 
 
 class PoisonRequestGuard:
-    """One instance's part in stopping requests that end their servers."""
+    """Tracks the requests under which servers exit, and gives verdicts on whether to send them.
+
+    Exits are counted by request content across all instances: through peers and through the store.
+    """
 
     def __init__(
         self,
@@ -69,57 +72,61 @@
         self._exit_checks: dict[int, gevent.Greenlet] = {}
 
     def start(self, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
-        """Begin to tell and to follow.
+        """Start publishing to peers and following the stored suspects.
 
-        :param send: sends a datagram to some peers.
+        :param send: sends a datagram to the given peers.
         """
         self._store.start(self._tasks)
         self.publisher.start(self._tasks, send)
 
-    def verdict(self, work: LazyRequestFingerprint, *, is_item: bool = False) -> SuspectStatus:
-        """Tell what may be done with a request; its body is looked at for suspects only."""
-        if not self._may_be_suspect(work):
+    def status_of(
+        self, lazy_fingerprint: LazyRequestFingerprint, *, is_item: bool = False
+    ) -> SuspectStatus:
+        """Return whether a request may be sent; its body is hashed only if it may be a suspect."""
+        if not self._may_be_suspect(lazy_fingerprint):
             return SuspectStatus.FREE
-        return self._suspects.status_of(work.fingerprint, is_item=is_item)
+        return self._suspects.status_of(lazy_fingerprint.fingerprint, is_item=is_item)
 
-    def _may_be_suspect(self, work: LazyRequestFingerprint) -> bool:
-        return len(self._suspects) > 0 and self._suspects.has_suspects_for(work.target)
+    def _may_be_suspect(self, lazy_fingerprint: LazyRequestFingerprint) -> bool:
+        return len(self._suspects) > 0 and self._suspects.has_suspects_for(lazy_fingerprint.target)
 
-    def exits_count(self, content: RequestFingerprint) -> float:
-        """Give the servers that have ended under a request, weighed."""
-        return self._suspects.score(content)
+    def exits_count(self, fingerprint: RequestFingerprint) -> float:
+        """Return the weighted number of servers that exited while running a request."""
+        return self._suspects.score(fingerprint)
 
-    def claim_probe(self, content: RequestFingerprint, who: str, *, is_item: bool = False) -> bool:
-        """Get the trial of a request; tell whether it is this instance's.
+    def claim_probe(
+        self, fingerprint: RequestFingerprint, who: str, *, is_item: bool = False
+    ) -> bool:
+        """Claim the probe of a suspect; return whether this instance got it.
 
         :param who: id of the request or item.
         """
-        is_granted = self._store.claim_probe(content, is_item=is_item)
+        is_granted = self._store.claim_probe(fingerprint, is_item=is_item)
         log.info(
             'suspect.trial',
             extra={
                 'item_id' if is_item else 'request_id': who,
-                'content': content.digest,
-                'servers': round(self._suspects.score(content), 2),
+                'content': fingerprint.digest,
+                'servers': round(self._suspects.score(fingerprint), 2),
                 'granted': is_granted,
             },
         )
         return is_granted
 
-    def record_probe_refused(self, content: RequestFingerprint) -> None:
-        """Take note that no server ran a trial."""
-        self._suspects.record_probe_refused(content)
-        self._store.save(content)
+    def record_probe_refused(self, fingerprint: RequestFingerprint) -> None:
+        """Record that no server ran a probe."""
+        self._suspects.record_probe_refused(fingerprint)
+        self._store.save(fingerprint)
 
-    def record_survived(self, work: LazyRequestFingerprint) -> None:
-        """Take in that a server answered a request whole and well; it clears a suspect.
+    def record_survived(self, lazy_fingerprint: LazyRequestFingerprint) -> None:
+        """Record a whole and successful response to a request; it clears a suspect.
 
-        A server may fail requests that it has not begun to run: a trial that met such a one would
-        set a request free that goes on to end three servers more.
+        Error responses don't count: a server may fail requests before it begins to run them. If
+        such a probe cleared a suspect, the request would go on to crash three more servers.
         """
-        if not self._may_be_suspect(work):
+        if not self._may_be_suspect(lazy_fingerprint):
             return
-        survivor = work.fingerprint
+        survivor = lazy_fingerprint.fingerprint
         was_known = self.publisher.is_known_to_all(survivor)
         if self._suspects.record_survived(survivor):
             self._log_cleared(survivor, 'own')
@@ -129,32 +136,33 @@
     def record_interrupted(
         self,
         state: ServerState,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         kind: BreakKind,
         first_event_ms: float | None,
         *,
         may_wait: bool = True,
     ) -> None:
-        """Take in that a request broke off at a server, and find out whether that has ended.
+        """Record that a request was interrupted at a server, and check whether the server exited.
 
-        The request waits for the answer, some ms: sent on before, it would meet the next server
-        while the last one's end is not counted yet, and all who were there would choose by load
-        alone, which is the same server for all of them.
+        The request waits some ms for the check. If it were sent on before, the exit would not be
+        counted yet when it reaches the next server; and all interrupted requests would be sent by
+        load alone, which selects the same server for all of them.
 
-        :param first_event_ms: when the server's first event came; ``None`` before that.
-        :param waits: whether the caller's greenlet may be held up, and so be ended here.
+        :param kind: how the response broke off.
+        :param first_event_ms: when the server's first event arrived; ``None`` before that.
+        :param may_wait: whether the calling greenlet may block here, and so be killed here.
         """
         server = server_digest(state.listed)
         if state.listed.is_leaving or (
             state.is_gone and not self._exit_detector.has_exited(server)
         ):
-            # It ends as it was told to.
+            # The server exits as planned.
             return
         since_ms = 0.0 if first_event_ms is None else self._context.now_ms() - first_event_ms
         is_fresh = since_ms <= FRESH_EVENTS_MS
-        if self._exit_detector.record_interrupted(server, content, is_fresh=is_fresh):
+        if self._exit_detector.record_interrupted(server, fingerprint, is_fresh=is_fresh):
             self._count_exits(
-                server, [InterruptedRequest(content, is_fresh, self._context.now_ms())]
+                server, [InterruptedRequest(fingerprint, is_fresh, self._context.now_ms())]
             )
             return
         if kind is not BreakKind.CUT:
@@ -166,13 +174,13 @@
             probe.join(EXIT_CHECK_MS / 1e3)
 
     def record_connect_failure(self, state: ServerState, error: BrokenReplyError) -> None:
-        """Take in that a server took no connection."""
+        """Record that a server did not accept a connection."""
         server = server_digest(state.listed)
         if _is_connection_refused(error) and not state.listed.is_leaving:
             self._record_server_exit(server, 'refused')
 
     def record_removed(self, state: ServerState) -> None:
-        """Take in that a server is off the list; without a word it has ended, mostly."""
+        """Record that a server was removed from the list; unless it was draining, it has exited."""
         server = server_digest(state.listed)
         broken = self._exit_detector.record_removed(server)
         if broken and not state.listed.is_leaving:
@@ -180,12 +188,12 @@
             self._count_exits(server, broken)
 
     def record_incarnation_ended(self, state: ServerState) -> None:
-        """Take in that a server has begun another life."""
+        """Record that a server was replaced by another incarnation."""
         if not state.listed.is_leaving:
             self._record_server_exit(server_digest(state.listed), 'next_life')
 
     def on_message(self, news: CrashNews) -> None:
-        """Take in what a peer tells."""
+        """Apply a message of a peer about exits and survived requests."""
         for each in news.news:
             if each.kind is SuspectUpdateKind.SURVIVED:
                 if self._suspects.record_survived(each.content):
@@ -233,11 +241,11 @@
             self._publish_suspect(each.content, was_known=was_known)
             self._store.save(each.content)
 
-    def _publish_suspect(self, content: RequestFingerprint, *, was_known: bool) -> None:
-        """Tell everybody of what only those who collect have known."""
-        if not was_known and self.publisher.is_known_to_all(content):
-            self.publisher.notify_all_ends(content)
-            self._store.save(content)
+    def _publish_suspect(self, fingerprint: RequestFingerprint, *, was_known: bool) -> None:
+        """Publish a suspect to all peers if so far only its collecting instances knew of it."""
+        if not was_known and self.publisher.is_known_to_all(fingerprint):
+            self.publisher.notify_all_ends(fingerprint)
+            self._store.save(fingerprint)
 
     def _log_ended(self, server: int, how: str, broken: list[InterruptedRequest]) -> None:
         state = self._book.by_digest(server)
@@ -253,24 +261,24 @@
         )
 
     def _log_counted(
-        self, content: RequestFingerprint, server: int, source: str, *, is_fresh: bool
+        self, fingerprint: RequestFingerprint, server: int, source: str, *, is_fresh: bool
     ) -> None:
         log.info(
             'suspect.counted',
             extra={
-                'content': content.digest,
+                'content': fingerprint.digest,
                 'server': f'{server:08x}',
                 'is_fresh': is_fresh,
-                'servers': round(self._suspects.score(content), 2),
-                'standing': self._suspects.status_of(content).value,
+                'servers': round(self._suspects.score(fingerprint), 2),
+                'standing': self._suspects.status_of(fingerprint).value,
                 'source': source,
             },
         )
 
-    def _log_cleared(self, content: RequestFingerprint, source: str) -> None:
-        log.info('suspect.cleared', extra={'content': content.digest, 'source': source})
+    def _log_cleared(self, fingerprint: RequestFingerprint, source: str) -> None:
+        log.info('suspect.cleared', extra={'content': fingerprint.digest, 'source': source})
 
 
 def _is_connection_refused(error: BrokenReplyError) -> bool:
-    """Tell whether nobody listens there any more; a timeout says less."""
+    """Whether the connection was refused: no process listens there. A timeout proves less."""
     return isinstance(error.__cause__, ConnectionRefusedError)
