--- a/citrondyke/decisions/at_most_once/__init__.py
+++ b/citrondyke/decisions/at_most_once/__init__.py
@@ -1,3 +1,3 @@
-"""Requests that run at most once."""
+"""At-most-once execution of requests that must not be repeated."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/at_most_once/group_committer.py
+++ b/citrondyke/decisions/at_most_once/group_committer.py
@@ -1,4 +1,4 @@
-"""Commits many small conditional writes in few transactions."""
+"""Group commit: many small conditional writes in few transactions."""
 
 from __future__ import annotations
 
@@ -27,26 +27,26 @@
 
 __all__ = ('GroupCommitter', 'GroupConflict', 'GroupResult')
 
-#: Writes in one transaction at the most.
+#: Maximum number of writes in one transaction.
 GROUP_LIMIT = 100
-#: Writes that may wait at once; more are refused, as each holds a caller.
+#: Writes that may wait; more are rejected, as each one keeps a caller waiting.
 WAITING_LIMIT = 10_000
-#: Writes that arrive within this time of the first go with it.
+#: Writes that arrive within this time after the first share its transaction.
 COALESCE_MS = 3.0
-#: How long an ambiguous answer is followed up before the writers are told.
+#: How long an ambiguous reply is resolved by retries before the writers are notified.
 RESOLUTION_TIMEOUT_MS = 2000.0
-#: After a failure one group in this time tries the table service; the rest is refused at once.
+#: Circuit breaker: writes submitted within this time after a failure are rejected at once.
 BREAKER_OPEN_MS = 500.0
 
 
 class GroupConflict(msgspec.Struct, frozen=True):
-    """Stands in the place of a commit: the row is not at the expected version."""
+    """Returned instead of a commit: the row is not at the expected version."""
 
-    #: As it stands; ``None`` for no such row.
+    #: The current row; ``None`` if it does not exist.
     row: Row | None
 
     def __bool__(self) -> bool:
-        """Count as no commit."""
+        """Return ``False``, as nothing was committed."""
         return False
 
 
@@ -61,14 +61,14 @@
 
 
 class GroupCommitter:
-    """One transaction at a time, each with all that waits.
+    """Commits all waiting writes together, one transaction at a time.
 
-    The writes of a group have nothing to do with each other: one that conflicts is answered
-    and the others go again without it.
+    The writes of a group are independent: those in conflict are completed with the conflict, and
+    the others are committed again without them.
     """
 
     def __init__(self, context: Context, rate_limiter: TransactionRateLimiter) -> None:
-        """Start with nothing waiting."""
+        """Start without waiting writes."""
         self._context = context
         self._rate_limiter = rate_limiter
         self._waiting: deque[_Write] = deque()
@@ -78,9 +78,9 @@
     def submit(
         self, key: RowKey, expected_version: int | None, value: msgspec.Struct
     ) -> Signal[GroupResult]:
-        """Hand in a write; the signal fires with its verdict.
+        """Queue a write; the returned signal fires with its result.
 
-        :param expected_version: ``None`` where the row must not exist.
+        :param expected_version: ``None`` if the row must not exist.
         """
         result: Signal[GroupResult] = Signal()
         is_broken = self._context.now_ms() < self._breaker_open_until_ms
@@ -92,7 +92,7 @@
         return result
 
     def run(self) -> Workflow[None]:
-        """Commit whatever is handed in, for good."""
+        """Commit submitted writes until the instance stops."""
         while True:
             yield from wait_for(self._filled, None)
             now_ms = self._context.now_ms()
@@ -103,7 +103,7 @@
             yield from self._commit_group(group)
 
     def _take_group(self) -> list[_Write]:
-        """Take writes of different rows; a second one of the same row waits for the next."""
+        """Take writes to different rows; a second write to a row waits for the next group."""
         group: dict[RowKey, _Write] = {}
         left: deque[_Write] = deque()
         while self._waiting and len(group) < GROUP_LIMIT:
@@ -140,6 +140,6 @@
         if isinstance(result, CommitFailure) and result.reason is CommitFailureReason.MAYBE_WRITTEN:
             until_ms = self._context.now_ms() + RESOLUTION_TIMEOUT_MS
             resolved = yield from commit(self._context, wanted, until_ms)
-            # What was in doubt once stays so until there is a verdict.
+            # The first attempt may have been written: a later NOT_WRITTEN does not change that.
             return result if isinstance(resolved, CommitFailure) else resolved
         return result
--- a/citrondyke/decisions/at_most_once/intent_row.py
+++ b/citrondyke/decisions/at_most_once/intent_row.py
@@ -1,4 +1,4 @@
-"""What is stored of a request that runs at most once."""
+"""Stored state of an at-most-once request."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class IntentState(Enum):
-    """How far the request is."""
+    """State of an at-most-once request."""
 
     #: Its owner may dispatch it, once.
     INTENT = 'intent'
     DONE = 'done'
-    #: It never ran; the same key may claim again.
+    #: It never ran; the key may be claimed again.
     NOT_RUN = 'not_run'
-    #: It may have run and is never dispatched again.
+    #: It may have run; it is never dispatched again.
     UNKNOWN = 'unknown'
 
 
 class StoredReply(msgspec.Struct, frozen=True):
-    """The answer, for whoever asks again."""
+    """The stored response, replayed to repeated requests."""
 
     status: int
     content_type: str
@@ -35,16 +35,16 @@
 class IntentRow(msgspec.Struct, frozen=True, kw_only=True):
     """Value of the row of one idempotency key."""
 
-    #: Of method, path and body: the same key with other content is a conflict.
+    #: Digest of method, path and body: the same key with different content is a conflict.
     digest: str
     state: IntentState
     owner: SessionId
-    #: Names the claim, so that its maker knows it again.
+    #: Identifies the claim, so that its owner recognises it.
     claim_id: WriteId
     changed_at_epoch_ms: float
     reply: StoredReply | None = None
 
 
 def intent_row_key(tenant_id: TenantId, idempotency_key: str) -> RowKey:
-    """Give the key of an intent's row."""
+    """Return the row key of an intent."""
     return RowKey(f'once/{tenant_id}/{digest_hex(idempotency_key.encode())}')
--- a/citrondyke/decisions/at_most_once/once_executor.py
+++ b/citrondyke/decisions/at_most_once/once_executor.py
@@ -1,4 +1,4 @@
-"""Takes a request that may not be repeated to its one outcome."""
+"""Executes a request at most once."""
 
 from __future__ import annotations
 
@@ -41,21 +41,22 @@
 
 __all__ = ('OnceExecutor',)
 
-#: How long a claim may wait for the table service before the caller is turned away.
+#: How long a claim may wait for the table service before the request is rejected.
 CLAIM_TIMEOUT_MS = 4000.0
-#: How long an outcome may wait for the table service before the caller is told so.
+#: How long storing an outcome may take before the caller gets it as not durable.
 OUTCOME_TIMEOUT_MS = 4000.0
 FIRST_POLL_MS = 50.0
 LONGEST_POLL_MS = 500.0
-#: Pause between two tries to store what the caller was told already.
+#: Pause between two attempts to store an outcome that the caller already has.
 PERSIST_PAUSE_MS = 1000.0
 
 
 class OnceExecutor:
-    """Stores the intent before the dispatch and the outcome before the answer.
+    """Stores the intent before the dispatch and the outcome before the response.
 
-    Whoever finds an intent whose owner is gone cannot know whether it was dispatched, so it is
-    closed as unknown and never dispatched again: at most once, whatever dies when.
+    If the owner of an intent is dead, no other instance can know whether the request was
+    dispatched. The intent is then closed as unknown and never dispatched again, so the request
+    runs at most once, whichever process dies at whichever time.
     """
 
     def __init__(
@@ -66,7 +67,7 @@
         leases: LeaseWatch,
         online: OnlineDispatcher,
     ) -> None:
-        """Use the parts handed in."""
+        """Create an executor."""
         self._context = context
         self._session = session
         self._committer = committer
@@ -75,7 +76,7 @@
         self._running: dict[RowKey, Signal[None]] = {}
 
     def serve(self, request: OnlineRequest, idempotency_key: str) -> Workflow[OnceResult]:
-        """Bring a request to its one outcome."""
+        """Execute a request, or return the outcome of an earlier one with the same key."""
         key = intent_row_key(request.tenant_id, idempotency_key)
         digest = digest_hex(request.method.encode(), request.path.encode(), request.body)
         expected_version: int | None = None
@@ -110,8 +111,9 @@
         self._running[key] = done
         try:
             if not self._session.is_lease_valid():
-                # Frozen between the claim and now: another instance may have closed the intent
-                # as unknown already, and a dispatch would make that answer a poor one.
+                # The process was frozen since the claim, and another instance may already have
+                # closed the intent as unknown. A dispatch now would run a request that
+                # was already reported as unknown.
                 return (yield from self._close(key, claim, version, IntentState.NOT_RUN))
             end = yield from self._online.serve(request)
             return (yield from self._settle(key, claim, version, end))
@@ -146,7 +148,7 @@
         reply: StoredReply | None = None,
         rejection: Rejection | None = None,
     ) -> Workflow[OnceResult]:
-        """Store the outcome, then tell it."""
+        """Store the outcome, then return it."""
         row = msgspec.structs.replace(
             claim, state=state, reply=reply, changed_at_epoch_ms=self._context.epoch_ms()
         )
@@ -160,7 +162,7 @@
                 stored = msgspec.json.decode(result.row.value, type=IntentRow)
                 if stored.claim_id == claim.claim_id and stored.state is state:
                     return _result_of(row, rejection=rejection)
-            # Another instance took this one for dead and closed the intent; its word stands.
+            # Another instance took this one for dead and closed the intent; its outcome stands.
             return OnceResult(OnceResultKind.UNKNOWN)
         yield Spawn(self._persist(key, row))
         if state is IntentState.DONE:
@@ -168,7 +170,7 @@
         return _result_of(row, rejection=rejection)
 
     def _persist(self, key: RowKey, row: IntentRow) -> Workflow[None]:
-        """Store an outcome once the table service answers again."""
+        """Store an outcome once the table service is available again."""
         while True:
             yield from sleep_until(self._context.now_ms() + PERSIST_PAUSE_MS)
             found = yield from read_rows(key)
@@ -186,10 +188,10 @@
                 return
 
     def _withdraw(self, key: RowKey, claim: IntentRow) -> Workflow[None]:
-        """Make "not run" final after a claim whose fate is open.
+        """Make "not run" final after a claim with an uncertain outcome.
 
-        The claim may have been written, or may still arrive. A closed row in its place, or one
-        that is written where there is none yet, leaves it nothing to take effect on.
+        The claim may have been written, or may still arrive. Once a closed row replaces it, or is
+        created in its absence, the claim's version check fails and it cannot take effect.
         """
         closed = msgspec.structs.replace(claim, state=IntentState.NOT_RUN)
         while True:
@@ -211,7 +213,7 @@
     def _follow(
         self, request: OnlineRequest, key: RowKey, digest: str, row: Row | None
     ) -> Workflow[OnceResult | _ClaimableKey]:
-        """Learn what became of a request whose key was claimed before."""
+        """Wait for the outcome of a request whose key is already claimed."""
         poll_ms = FIRST_POLL_MS
         while True:
             if row is None:
@@ -240,9 +242,9 @@
     def _poll_intent(
         self, key: RowKey, row: Row, stored: IntentRow
     ) -> Workflow[GroupConflict | None]:
-        """Read the intent again; close it where its owner is gone.
+        """Read the intent again; close it if its owner's lease has expired.
 
-        :returns: the row as it stands, ``None`` where nothing could be learned.
+        :returns: the changed row, ``None`` if it is unchanged or could not be read.
         """
         owner_id, _ = split_session_id(stored.owner)
         owner_key = session_row_key(owner_id)
@@ -276,7 +278,7 @@
 
 
 class _ClaimableKey(msgspec.Struct, frozen=True):
-    """The key can be claimed, at this version of its row."""
+    """The key can be claimed at this version of its row; ``None`` for no row."""
 
     version: int | None
 
--- a/citrondyke/decisions/at_most_once/once_result.py
+++ b/citrondyke/decisions/at_most_once/once_result.py
@@ -1,4 +1,4 @@
-"""How a request that may not be repeated ended."""
+"""Result of an at-most-once request."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
 
 class OnceResultKind(Enum):
-    """What the caller is told."""
+    """What is reported to the caller."""
 
     ANSWERED = 'answered'
-    #: The key was used before with other content.
+    #: The key was used before with different content.
     CONFLICT = 'conflict'
-    #: Never ran, and never will by this claim.
+    #: Never ran, and this claim will never run it.
     NOT_RUN = 'not_run'
     UNKNOWN = 'unknown'
     #: It ran; its outcome is not stored yet.
     NOT_DURABLE = 'not_durable'
-    #: Another instance still has it.
+    #: Still running when the caller's deadline passed.
     IN_PROGRESS = 'in_progress'
-    #: The table service does not answer; never ran.
+    #: The table service is unavailable; never ran.
     PLATFORM_DOWN = 'platform_down'
 
 
 class OnceResult(msgspec.Struct, frozen=True):
-    """The one outcome."""
+    """The single outcome."""
 
     kind: OnceResultKind
     reply: StoredReply | None = None
     rejection: Rejection | None = None
-    #: Whether the answer was stored before and is given again.
+    #: Whether the response is a replay of a stored one.
     is_replay: bool = False
--- a/citrondyke/decisions/at_most_once/transaction_rate_limiter.py
+++ b/citrondyke/decisions/at_most_once/transaction_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Bounds how many transactions a second one instance spends."""
+"""Limits the transactions per second of one instance."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 __all__ = ('TransactionRateLimiter',)
 
-#: Transactions that can be saved up while there is little to do.
+#: Capacity of the token bucket.
 BURST = 8.0
 
 
 class TransactionRateLimiter:
-    """A token bucket whose rate is this instance's part of the fleet's allowance."""
+    """Token bucket whose rate is this instance's share of the fleet's rate limit."""
 
     def __init__(self, fleet_per_s: float, live_count: Callable[[], int]) -> None:
         """Start full.
 
-        :param fleet_per_s: transactions a second for all instances together.
-        :param live_count: gives how many instances there are now.
+        :param fleet_per_s: transactions per second, summed over all instances.
+        :param live_count: returns the current number of live instances.
         """
         self._fleet_per_s = fleet_per_s
         self._live_count = live_count
@@ -25,7 +25,7 @@
         self._refilled_ms: float | None = None
 
     def next_ms(self, now_ms: float) -> float:
-        """Give the time from which the next transaction may go."""
+        """Return the time from which the next transaction is allowed."""
         self._refill(now_ms)
         if self._tokens >= 1.0:
             return now_ms
--- a/citrondyke/decisions/online/__init__.py
+++ b/citrondyke/decisions/online/__init__.py
@@ -1,3 +1,3 @@
-"""Online requests: who may come in, which backend server, what after a failure."""
+"""Online requests: admission, choice of the backend server, and retries."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/online/admission.py
+++ b/citrondyke/decisions/online/admission.py
@@ -1,4 +1,4 @@
-"""Lets online requests in, makes them wait in fair turns, or turns them away at once."""
+"""Admits online requests, queues them fairly between tenants, or rejects them at once."""
 
 from __future__ import annotations
 
@@ -17,47 +17,47 @@
 
 __all__ = ('Admission', 'Permit', 'QueuedRequest')
 
-#: Above this part of what the servers do comfortably a tenant is held to its share.
+#: Above this share of the servers' comfort limits each tenant is limited to its fair share.
 FAIR_SHARE_FROM = 0.6
-#: Refusals are remembered for about so long ...
+#: Rejections count for about this long ...
 SHED_MEMORY_MS = 500.0
-#: ... and where they are more than this part of the requests inside, it is no passing burst.
+#: ... and above this share of the granted permits they indicate more than a short burst.
 SHED_SHARE = 0.2
 SHED_MINIMUM = 3.0
-#: Part of a class's first-token target that a request may spend waiting for a place.
+#: Share of a class's first-token target that a request may spend waiting for a permit.
 WAIT_SHARE = 0.5
-#: The pace at which places become free is averaged over about so long.
+#: The rate at which permits are released is averaged over about this long.
 RATE_WINDOW_MS = 1000.0
 SHORTEST_RETRY_MS = 100.0
 MAX_RETRY_MS = 30_000.0
 
 
 class Permit(msgspec.Struct, frozen=True):
-    """Leave to send a request to a backend server; given back with ``Admission.leave``."""
+    """Permission to send one request to a backend server; see ``Admission.release``."""
 
     target: TargetName
     tenant_id: TenantId
 
 
 class QueuedRequest(msgspec.Struct, frozen=True, eq=False):
-    """A place in the queue; ask again with ``Admission.give_up`` when its time is over."""
+    """A request that waits for a permit; after its time call ``Admission.abandon``."""
 
     tenant_id: TenantId
-    #: When waiting longer would spoil the request's target or deadline.
+    #: Monotonic time after which the request would miss its target or deadline.
     until_ms: float
     outcome: Signal[Permit | Rejection]
 
 
 class _TargetState:
-    """One target's places and its queue."""
+    """Granted permits and waiting requests of one target."""
 
     def __init__(self) -> None:
         self.granted = 0
         self.granted_by_tenant: dict[TenantId, int] = {}
-        #: Waiting requests by tenant; tenants take turns in this order.
+        #: Waiting requests by tenant; tenants are served round-robin in this order.
         self.waiting: OrderedDict[TenantId, deque[QueuedRequest]] = OrderedDict()
         self.waiting_count = 0
-        #: Requests turned away of late, fading.
+        #: Decaying count of recently rejected requests.
         self.shed_level = 0.0
         self.shed_at_ms = 0.0
         self.release_rate_per_ms = 0.0
@@ -65,14 +65,14 @@
 
 
 class Admission:
-    """Places on the servers of each target, shared between tenants.
+    """Permits for the servers of each target, shared between tenants.
 
-    The capacity of this instance is its part of what the servers bear, by their stewards'
-    learned limits: what other instances have on them is taken off.
+    The capacity of this instance is the sum of the limits that the servers' stewards have learned,
+    less the requests of other instances.
     """
 
     def __init__(self, context: Context, fleet: Fleet, waiting_limit: int) -> None:
-        """Start with all places free.
+        """Start without granted permits.
 
         :param waiting_limit: requests that may wait, for each target.
         """
@@ -84,10 +84,10 @@
     def acquire(
         self, target: TargetName, tenant_id: TenantId, target_ms: float, deadline_ms: float
     ) -> Permit | Rejection | QueuedRequest:
-        """Ask for a place.
+        """Request a permit.
 
-        :param target_ms: the class's target for the first token.
-        :param deadline_ms: monotonic time after which the answer is of no use.
+        :param target_ms: the class's first-token target.
+        :param deadline_ms: monotonic time after which the response is of no use.
         """
         servers = self._fleet.target(target)
         if servers is None or not any(view.accepts_work for view in servers.views):
@@ -98,7 +98,7 @@
         return self._queue(state, tenant_id, target_ms, deadline_ms)
 
     def release(self, permit: Permit) -> None:
-        """Give a place back; whoever's turn it is gets it."""
+        """Release a permit; it goes to the next waiting request."""
         state = self._states[permit.target]
         state.granted -= 1
         left = state.granted_by_tenant[permit.tenant_id] - 1
@@ -110,7 +110,7 @@
         self.grant_queued(permit.target)
 
     def grant_queued(self, target: TargetName) -> None:
-        """Hand free places to those who wait, in turns between tenants."""
+        """Grant free permits to waiting requests, round-robin between tenants."""
         state = self._states.get(target)
         servers = self._fleet.target(target)
         if state is None or not state.waiting_count:
@@ -126,7 +126,7 @@
             queued.outcome.fire(self._admit(state, target, tenant_id))
 
     def abandon(self, target: TargetName, queued: QueuedRequest) -> Rejection:
-        """Take a request out of the queue; a place that it was just given goes back."""
+        """Remove a request from the queue; release a permit that it was just granted."""
         state = self._states[target]
         if queued.outcome.is_fired:
             answer = queued.outcome.value
@@ -141,14 +141,14 @@
         return Rejection(RejectionReason.OVERLOADED, self._retry_in_ms(state))
 
     def waiting_count(self, target: TargetName) -> int:
-        """Count the requests that wait for a target."""
+        """Return how many requests wait for a target."""
         state = self._states.get(target)
         return 0 if state is None else state.waiting_count
 
     def _capacity(self, servers: TargetServers) -> tuple[int, int]:
-        """Count this instance's places: what the servers bear less what others have there.
+        """Return this instance's capacity: the servers' limits less the peers' requests.
 
-        :returns: the places within the targets, and those within the servers' comfort.
+        :returns: the capacity by the servers' online limits, and by their comfort limits.
         """
         now_ms = self._context.now_ms()
         online_capacity = comfort_capacity = 0
@@ -163,11 +163,11 @@
     def _has_capacity(
         self, state: _TargetState, servers: TargetServers, tenant_id: TenantId
     ) -> bool:
-        """Tell whether a tenant's next request may go to a server.
+        """Return whether a tenant's next request may be sent.
 
-        A short burst may fill the servers up to what their targets bear. Where requests have to
-        be turned away anyway, going beyond the servers' comfort would only make every answer
-        slower and fewer of them, so the places end there.
+        A short burst may fill the servers up to their online limits, at which the targets are
+        still met. If requests have to be rejected anyway, load beyond the comfort limits would
+        only slow down every response and lower the throughput, so the comfort limits apply.
         """
         online_capacity, comfort_capacity = self._capacity(servers)
         limit = comfort_capacity if self._is_shedding(state) else online_capacity
@@ -189,10 +189,10 @@
     def _is_over_share(
         self, state: _TargetState, tenant_id: TenantId, comfort_capacity: int
     ) -> bool:
-        """Hold a tenant to its share where places get scarce.
+        """Return whether a tenant exceeds its fair share while permits are scarce.
 
-        Without this one tenant's flood takes every place and the others wait behind it, though
-        they ask for no more than they always did.
+        Without this limit a burst of one tenant takes every permit, and the other tenants wait
+        although their load has not changed.
         """
         if state.granted < comfort_capacity * FAIR_SHARE_FROM:
             return False
@@ -227,7 +227,7 @@
         return queued
 
     def _can_start_in_time(self, state: _TargetState, queued_before: int, wait_ms: float) -> bool:
-        """Tell whether a place is to be expected in time; if not, better to say so at once."""
+        """Return whether a permit is expected in time; otherwise an early rejection is better."""
         if state.release_rate_per_ms <= 0.0:
             return queued_before == 0
         return (queued_before + 1) / state.release_rate_per_ms <= wait_ms
@@ -237,7 +237,7 @@
             return SHORTEST_RETRY_MS * 10
         backlog_ms = (state.waiting_count + 1) / state.release_rate_per_ms
         retry_ms = min(MAX_RETRY_MS, max(SHORTEST_RETRY_MS, backlog_ms))
-        # Spread, so that those who were turned away together do not come back together.
+        # Spread, so that callers that were rejected together do not retry together.
         return retry_ms * (1 + self._context.random.random())
 
     def _update_release_rate(self, state: _TargetState) -> None:
@@ -256,7 +256,7 @@
                 )
 
     def _pop(self, state: _TargetState, tenant_id: TenantId) -> QueuedRequest:
-        """Take a tenant's first waiter; the tenant goes to the end of the turns."""
+        """Remove a tenant's oldest request and move the tenant to the end of the order."""
         queue = state.waiting[tenant_id]
         queued = queue.popleft()
         state.waiting_count -= 1
--- a/citrondyke/decisions/online/fleet.py
+++ b/citrondyke/decisions/online/fleet.py
@@ -1,4 +1,4 @@
-"""All backend servers as one instance sees them."""
+"""All backend servers as known to one instance."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 __all__ = ('AFFINITY_BUCKETS', 'Fleet', 'TargetServers')
 
-#: Prefixes are spread over so many buckets, each with its preferred servers.
+#: Prefixes are hashed into this many buckets, each with its own preferred servers.
 AFFINITY_BUCKETS = 512
-#: Servers that a bucket prefers, in order.
+#: Preferred servers of each bucket, in order.
 PREFERRED_SERVERS = 3
 
 
 class TargetServers:
     """The servers of one target, with a table of preferred ones for each prefix bucket.
 
-    The table makes a routing decision cost the same at 9 servers and at 600; it is made anew
-    only when the list changes.
+    With the table a routing decision costs the same for 9 servers and for 600. It is rebuilt only
+    when the list changes.
     """
 
     def __init__(self) -> None:
@@ -35,12 +35,12 @@
         self._preferred: list[tuple[ServerView, ...] | None] = [None] * AFFINITY_BUCKETS
 
     def set_views(self, views: list[ServerView]) -> None:
-        """Take the servers anew."""
+        """Replace the servers and discard the table."""
         self.views = views
         self._preferred = [None] * AFFINITY_BUCKETS
 
     def preferred(self, bucket: int) -> tuple[ServerView, ...]:
-        """Give a bucket's servers in order of preference; the same on every instance."""
+        """Return a bucket's servers in order of preference; all instances compute the same."""
         found = self._preferred[bucket]
         if found is None:
             seed = f'bucket-{bucket}'
@@ -58,7 +58,7 @@
     """Every listed server, by id and by target."""
 
     def __init__(self, first_online_limit: int) -> None:
-        """Start with no servers.
+        """Start without servers.
 
         :param first_online_limit: limit assumed before a steward has learned one.
         """
@@ -67,10 +67,10 @@
         self._targets: dict[TargetName, TargetServers] = {}
 
     def update_list(self, servers: Iterable[ListedServer]) -> bool:
-        """Take in the platform's list, which may be old; tell whether it changed.
+        """Apply the platform's list, which may be stale; return whether it changed.
 
-        A server that a steward has seen leaving stays so while it is listed, whatever the
-        lagging list says.
+        A server that its steward has seen leaving stays marked as leaving while it is listed, even
+        if the lagging list shows it as live.
         """
         listed = {server.id: server for server in servers}
         changed = False
@@ -92,7 +92,7 @@
         return changed
 
     def view(self, server_id: ServerId) -> ServerView | None:
-        """Find a server."""
+        """Return a server by id."""
         return self._views.get(server_id)
 
     def views(self) -> list[ServerView]:
@@ -100,15 +100,15 @@
         return list(self._views.values())
 
     def target(self, target: TargetName) -> TargetServers | None:
-        """Find the servers of a target."""
+        """Return the servers of a target."""
         return self._targets.get(target)
 
     def targets(self) -> list[TargetName]:
-        """List the targets that are served."""
+        """List the targets that have servers."""
         return sorted(self._targets)
 
     def mark_leaving(self, server_id: ServerId) -> None:
-        """Give a server nothing new from now on."""
+        """Mark a server as leaving, so that it gets no new requests."""
         view = self._views.get(server_id)
         if view is not None:
             view.is_leaving = True
--- a/citrondyke/decisions/online/online_dispatcher.py
+++ b/citrondyke/decisions/online/online_dispatcher.py
@@ -1,4 +1,4 @@
-"""Takes an online request from admission to its one outcome."""
+"""Dispatches an online request from admission to its single outcome."""
 
 from __future__ import annotations
 
@@ -27,25 +27,25 @@
 
 __all__ = ('OnlineDispatcher',)
 
-#: Servers that one request is sent to at the most.
+#: Maximum number of sends of one request.
 ATTEMPTS_LIMIT = 4
 
 
 class _Progress(msgspec.Struct):
-    """What has become of a request so far."""
+    """Progress of a request over its attempts."""
 
     attempts: int = 0
-    #: Frames that its caller has.
+    #: Frames that the caller has received.
     frames_count: int = 0
     may_have_run: bool = False
     first_frame_ms: float | None = None
     tried: tuple[ServerId, ...] = ()
-    #: Those of them that cut it.
+    #: The servers in ``tried`` that interrupted the request.
     cut: tuple[ServerId, ...] = ()
 
 
 class OnlineDispatcher:
-    """Admission, the choice of server, repeats, and the sums that others decide on."""
+    """Admits a request, chooses servers, retries, and reports load changes."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         admission: Admission,
         on_load_change: Callable[[ServerView], None],
     ) -> None:
-        """Use the parts handed in.
+        """Create a dispatcher.
 
         :param on_load_change: called when this instance's requests on a server change.
         """
@@ -65,7 +65,7 @@
         self._budgets: dict[TargetName, RetryBudget] = {}
 
     def serve(self, request: OnlineRequest) -> Workflow[OnlineResult]:
-        """Bring a request to its one outcome."""
+        """Carry out a request to its single outcome."""
         permit = yield from self._acquire_permit(request)
         if isinstance(permit, Rejection):
             return OnlineResult(kind=OnlineResultKind.REFUSED, rejection=permit)
@@ -88,8 +88,8 @@
             fired = yield from wait_for(answer.outcome, answer.until_ms)
             is_settled = fired
         finally:
-            # Also when the caller went away in the queue: a place handed to nobody would be
-            # lost for good.
+            # Also if the caller disconnected while queued: a permit granted to it would never be
+            # released.
             if not is_settled:
                 rejection = self._admission.abandon(request.target, answer)
         return answer.outcome.value if fired else rejection
@@ -118,10 +118,10 @@
                 return self._rejected_result(progress, rejection)
 
     def _choose(self, request: OnlineRequest, progress: _Progress) -> ServerView | Rejection:
-        """Choose a server that did not fail this request yet, if there is one.
+        """Choose a server that has not failed this request yet, if there is one.
 
-        A server that cut the request may be tried again when all others were; one that took
-        nothing would only be asked again by every caller at once.
+        After all servers were tried, those that interrupted the request may be tried again. Those
+        that were unreachable or rejected it are not: every caller would retry them at once.
         """
         view = self._router.choose(request.target, request.prefix_bucket, progress.tried)
         if isinstance(view, Rejection) and progress.cut:
@@ -173,7 +173,7 @@
             self._router.record_success(view, reply.first_frame_ms)
             return
         if reply.kind is ReplyKind.LATE:
-            # No answer in time counts as a slow first token.
+            # A missed deadline counts as a slow first token.
             self._router.record_success(view, self._context.now_ms() - began_ms)
             return
         if reply.kind in (ReplyKind.CANCELLED, ReplyKind.CALLER_GONE):
@@ -192,7 +192,10 @@
         return self._result(OnlineResultKind.LATE, progress)
 
     def _rejected_result(self, progress: _Progress, rejection: Rejection) -> OnlineResult:
-        """End a request that no server took; "not run" only where none can have run it."""
+        """Return the result of a request that no server completed.
+
+        It is reported as not run only if no server can have run it.
+        """
         kind = OnlineResultKind.BROKEN if progress.may_have_run else OnlineResultKind.REFUSED
         return OnlineResult(
             kind=kind,
--- a/citrondyke/decisions/online/rejection.py
+++ b/citrondyke/decisions/online/rejection.py
@@ -1,4 +1,4 @@
-"""Why an online request is turned away, as a sentinel value."""
+"""Rejection of an online request, as a sentinel value."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class RejectionReason(Enum):
-    """Why there is no place; stable, used in metrics."""
+    """Reason for a rejection; the values are stable and used in metrics."""
 
-    #: The fleet has no room within the class's target.
+    #: The fleet has no free capacity within the class's target.
     OVERLOADED = 'overloaded'
-    #: This tenant holds its share and others want theirs.
+    #: This tenant uses its fair share and other tenants need theirs.
     TENANT_SHARE = 'tenant_share'
-    #: No backend server of the target is to be used.
+    #: No backend server of the target is usable.
     NO_SERVER = 'no_server'
-    #: The deadline passed in the queue.
+    #: The deadline passed while the request was queued.
     DEADLINE = 'deadline'
-    #: The failures of late used up the allowance for repeats.
+    #: Recent failures used up the retry budget.
     RETRY_BUDGET = 'retry_budget'
-    #: The caller went away.
+    #: The caller disconnected.
     CALLER_GONE = 'caller_gone'
 
 
 class Rejection(msgspec.Struct, frozen=True):
-    """Stands in the place of a server or a place."""
+    """Returned instead of a server or a permit."""
 
     reason: RejectionReason
-    #: When to come back, from now; reflects the backlog.
+    #: Suggested delay before a retry, in milliseconds; reflects the backlog.
     retry_in_ms: float
 
     def __bool__(self) -> bool:
-        """Count as no place."""
+        """Return ``False``, as a rejection carries no permit."""
         return False
--- a/citrondyke/decisions/online/request.py
+++ b/citrondyke/decisions/online/request.py
@@ -1,4 +1,4 @@
-"""An online request as the decisions see it, and its end."""
+"""An online request as passed to the decision logic, and its result."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OnlineRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """What a caller wants, already checked."""
+    """A validated online request."""
 
     request_id: RequestId
     tenant_id: TenantId
@@ -27,17 +27,17 @@
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes
     is_streamed: bool
-    #: For a model engine, not for a plain service.
+    #: Whether it is for a model engine, not for a plain service.
     is_model: bool
-    #: Whether it may be sent again when its answer was lost.
+    #: Whether it may be sent again after its response was lost.
     is_repeatable: bool
-    #: Digest of the prompt's beginning, where requests share one.
+    #: Bucket of the digest of the prompt's prefix, if requests share one.
     prefix_bucket: int | None = None
-    #: The class's target for the first token.
+    #: The class's first-token target.
     first_token_target_ms: float
-    #: Monotonic time after which the answer is of no use.
+    #: Monotonic time after which the response is of no use.
     deadline_ms: float
-    #: Fires when the caller goes away.
+    #: Fires when the caller disconnects.
     cancel: Signal[Any]
 
 
@@ -45,9 +45,9 @@
     """How an online request ended."""
 
     ANSWERED = 'answered'
-    #: Turned away; it was never sent to a backend server that could have run it.
+    #: Rejected; no backend server can have run it.
     REFUSED = 'refused'
-    #: Sent, and no whole answer came.
+    #: Sent, but no complete response arrived.
     BROKEN = 'broken'
     #: The deadline passed after it was sent.
     LATE = 'late'
@@ -55,7 +55,7 @@
 
 
 class OnlineResult(msgspec.Struct, frozen=True, kw_only=True):
-    """The one outcome of an online request."""
+    """The single outcome of an online request."""
 
     kind: OnlineResultKind
     reply: ServerReply | None = None
--- a/citrondyke/decisions/online/router.py
+++ b/citrondyke/decisions/online/router.py
@@ -15,32 +15,35 @@
 
 __all__ = ('Router',)
 
-#: A prefix's preferred server may have so many times the load of a sampled one ...
+#: A prefix's preferred server may have up to this multiple of a sampled server's load ...
 BOUNDED_LOAD = 1.25
-#: ... plus so many requests, so that small numbers do not scatter prefixes.
+#: ... plus this many requests, so that prefixes are not scattered at low load.
 BOUNDED_LOAD_SLACK = 2
-#: Servers sampled for the choice by load.
+#: Servers sampled for the least-loaded choice.
 SAMPLES = 4
-#: A server of another zone must be so much emptier to be taken.
+#: A server of another zone is chosen only if it has this many requests fewer.
 ZONE_SLACK = 2
 FAILURES_TO_EJECT = 3
-#: A server is slow when its first tokens take so many times the others' ...
+#: A server is slow if its first-token time exceeds the others' median by this factor ...
 SLOW_RATIO = 3.0
-#: ... and so much longer, so that noise between fast servers does not eject one.
+#: ... and by this much, so that noise between fast servers does not eject one.
 SLOW_SLACK_MS = 20.0
 SLOW_SAMPLES = 5
 EJECT_MS = 1000.0
 LONGEST_EJECT_MS = 30_000.0
-#: Servers of a target that may be ejected at once.
+#: Largest share of a target's servers that may be ejected at the same time.
 EJECTED_SHARE = 0.5
 NO_SERVER_RETRY_MS = 1000.0
 
 
 class Router:
-    """Prefix affinity with a bounded load, then load among samples, the own zone first."""
+    """Chooses by prefix affinity with bounded load, else the least loaded of a sample.
+
+    Servers of the instance's own zone are preferred.
+    """
 
     def __init__(self, context: Context, fleet: Fleet) -> None:
-        """Choose among the servers of ``fleet``."""
+        """Create a router for the servers of ``fleet``."""
         self._context = context
         self._fleet = fleet
 
@@ -49,8 +52,8 @@
     ) -> ServerView | Rejection:
         """Choose a server.
 
-        :param prefix_bucket: where requests share a prompt prefix, the bucket of its digest.
-        :param tried: servers that had this request already.
+        :param prefix_bucket: bucket of the prompt prefix's digest, if requests share one.
+        :param tried: servers that this request was already sent to.
         """
         servers = self._fleet.target(target)
         if servers is None:
@@ -70,33 +73,33 @@
         return sampled
 
     def record_start(self, view: ServerView) -> None:
-        """Count a request that goes to a server."""
+        """Count a request sent to a server."""
         view.own_online += 1
         servers = self._fleet.target(view.listed.target)
         if servers is not None:
             servers.own_online += 1
 
     def record_end(self, view: ServerView) -> None:
-        """Count a request that left a server."""
+        """Count a request that ended at a server."""
         view.own_online -= 1
         servers = self._fleet.target(view.listed.target)
         if servers is not None:
             servers.own_online -= 1
 
     def record_failure(self, view: ServerView) -> None:
-        """Take in that a server failed; several in a row eject it."""
+        """Record a failure; several consecutive ones eject the server."""
         view.failures_in_row += 1
         if view.failures_in_row >= FAILURES_TO_EJECT or view.is_on_probation:
             self._eject(view)
 
     def record_success(self, view: ServerView, first_frame_ms: float | None) -> None:
-        """Take in that a server answered, and how fast its first token came."""
+        """Record a response and its time to the first token."""
         view.failures_in_row = 0
         if first_frame_ms is None:
             view.is_on_probation = False
             return
         if view.is_on_probation:
-            # What it did before it was ejected says nothing of it now.
+            # Samples from before the ejection no longer apply.
             view.samples = 0
         view.record_first_frame(first_frame_ms)
         if self._is_slow(view):
@@ -125,7 +128,7 @@
             if not self._is_usable(view, tried):
                 continue
             rank = float(view.load_at(now_ms) + (0 if view.listed.zone == zone else ZONE_SLACK))
-            # A share of a request decides between equals, so that they take turns.
+            # A random fraction of a request breaks ties, so that equal servers share the load.
             rank += self._context.random.random() * 0.5
             if best is None or rank < best_rank:
                 best, best_rank = view, rank
@@ -140,7 +143,7 @@
             return False
         if not view.is_on_probation:
             view.is_on_probation = True
-        # On probation only one request at a time is risked.
+        # On probation the server gets only one request at a time.
         return view.own_online == 0
 
     def _is_slow(self, view: ServerView) -> bool:
@@ -160,7 +163,7 @@
         return view.first_frame_ms > max(median_ms * SLOW_RATIO, median_ms + SLOW_SLACK_MS)
 
     def _eject(self, view: ServerView) -> None:
-        """Send a server nothing for a while; never so many that the rest would drown."""
+        """Eject a server for a while, unless the others could then not carry the load."""
         now_ms = self._context.now_ms()
         servers = self._fleet.target(view.listed.target)
         views = [] if servers is None else servers.views
--- a/tests/test_once/__init__.py
+++ b/tests/test_once/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of requests that run at most once."""
+"""Tests of at-most-once requests."""
 
 from __future__ import annotations
--- a/tests/test_once/test_once_faults.py
+++ b/tests/test_once/test_once_faults.py
@@ -1,4 +1,4 @@
-"""What may not be repeated runs at most once; the counting service is the judge."""
+"""At-most-once requests under faults; the test service counts the runs."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def order(caller: Caller, key: str, body: object = None) -> Answer | None:
-    """Send an order with a key; ``None`` where no answer came."""
+    """Send an order with a key; return ``None`` if no response arrived."""
     return caller.try_call('POST', PLACE, body or {'jugs': 2}, {'Idempotency-Key': key})
 
 
 @pytest.mark.fleet(instances=3, engines=0)
 def test_resends_through_all_instances_run_once(fleet: Fleet) -> None:
-    # Three instances get the same order at the same moment, several times. One claims its key;
-    # the others wait for its outcome, and all callers hear the same answer.
+    # Three instances receive the same order concurrently, several times. One claims its key, the
+    # others wait for the outcome, and all callers get the same response.
     callers = [fleet.caller(f'instance-{n}') for n in range(3)]
     with ThreadPoolExecutor(12) as pool:
         answers = list(pool.map(lambda n: order(callers[n % 3], f'k{n // 12}'), range(36)))
@@ -37,13 +37,13 @@
 
 
 @pytest.mark.fleet(instances=2, engines=0)
-def test_outage_refuses_at_once_and_for_good(fleet: Fleet) -> None:
-    # With the table service down an order is refused as not run, with a time to come back. When
-    # it is back the same key may be used and runs once; nothing that was refused runs later.
+def test_outage_rejects_at_once_and_rejected_orders_never_run(fleet: Fleet) -> None:
+    # With the table service down an order is rejected as not run, with a retry time. After the
+    # outage the same key can be used and runs once; a rejected order does not run later.
     caller = fleet.caller()
     fleet.fault('table', 'down')
-    refused = [order(caller, f'k{n}') for n in range(5)]
-    for answer in refused:
+    rejected = [order(caller, f'k{n}') for n in range(5)]
+    for answer in rejected:
         assert answer is not None
         assert (answer.status, answer.error['code']) == (503, 'platform_unavailable')
         assert answer.error['run'] == 'not_run'
@@ -55,21 +55,21 @@
         answer = order(fleet.caller('instance-1'), 'k0')
         return answer is not None and answer.status == 200
 
-    wait_until(accepted, 'orders to be taken again')
+    wait_until(accepted, 'orders to be accepted again')
     time.sleep(1.5)
     assert fleet.runs('orders-server') == {'k0': 1}
 
 
 @pytest.mark.fleet(instances=2, engines=0)
 def test_lost_replies_around_intent_and_outcome(fleet: Fleet) -> None:
-    # Replies of the table service are lost while orders come in. Whatever each caller hears,
-    # resends through another instance never run an order twice, and "not run" stays true.
+    # Replies of the table service are lost while orders arrive. Resends through another instance
+    # must never run an order twice, and an order reported as "not run" must not have run.
     first, second = fleet.caller('instance-0'), fleet.caller('instance-1')
     for n in range(12):
         fleet.fault('table', 'lost_reply', calls_left=n % 4 + 1)
-        heard = order(first, f'k{n}')
+        received = order(first, f'k{n}')
         fleet.fault('table', 'none')
-        if heard is not None and heard.status != 200 and heard.error['run'] == 'not_run':
+        if received is not None and received.status != 200 and received.error['run'] == 'not_run':
             assert fleet.runs('orders-server').get(f'k{n}', 0) == 0
 
         def settled(key: str = f'k{n}') -> bool:
@@ -83,10 +83,10 @@
 
 @pytest.mark.parametrize('is_frozen', [False, True])
 @pytest.mark.fleet(instances=2, engines=0, services=())
-def test_owner_gone_in_the_middle_is_unknown_for_good(fleet: Fleet, is_frozen: bool) -> None:
+def test_order_of_a_dead_owner_stays_unknown(fleet: Fleet, is_frozen: bool) -> None:
     # The owner of an order is killed (or frozen past its lease) after the dispatch. A resend
-    # through the other instance is told "unknown, will not be repeated"; that answer stands
-    # when asked again, and when a frozen owner wakes up with the real answer in its hands.
+    # through the other instance gets "outcome unknown". Later resends get the same, also after a
+    # frozen owner wakes up with the real response.
     fleet.start_service('orders-server', 'orders', run_ms=3000)
     fleet.wait_ready('instance-0')
     for name in ('instance-0', 'instance-1'):
@@ -102,18 +102,18 @@
         victim.freeze() if is_frozen else victim.kill()
         second = fleet.caller('instance-1')
 
-        def told() -> Answer | None:
+        def closed() -> Answer | None:
             answer = order(second, 'k')
             return answer if answer and answer.error['code'] != 'in_progress' else None
 
-        answer = wait_until(told, 'the order to be closed')
+        answer = wait_until(closed, 'the order to be closed')
         assert (answer.status, answer.error['code']) == (502, 'outcome_unknown')
         assert answer.error['run'] == 'unknown'
         if is_frozen:
             victim.wake()
-            heard = first.result()
-            assert heard is not None
-            assert heard.error['code'] == 'outcome_unknown'
+            received = first.result()
+            assert received is not None
+            assert received.error['code'] == 'outcome_unknown'
         else:
             assert first.result() is None
     again = order(second, 'k')
@@ -125,8 +125,8 @@
 
 @pytest.mark.fleet(instances=1, engines=0)
 def test_cut_answer_is_unknown_and_not_sent_again(fleet: Fleet) -> None:
-    # The service runs the order and its connection is cut before the first byte of the answer.
-    # Nobody can know that from outside, so the caller hears "unknown" and nothing is resent.
+    # The service runs the order and its connection breaks before the first byte of the response.
+    # The instance cannot know whether it ran, so it reports "unknown" and does not resend.
     fleet.server_faults('orders-server', cut_before_answer_left=1)
     answer = order(fleet.caller(), 'k')
     assert answer is not None
@@ -139,8 +139,8 @@
 
 @pytest.mark.fleet(instances=3, engines=0)
 def test_orders_inside_a_job_run_at_most_once(fleet: Fleet) -> None:
-    # A job of orders loses two holders, one after the other. Orders that may have been sent are
-    # told "unknown", all others run once; none runs twice and none is without an outcome.
+    # Two holders of a job of orders are killed, one after the other. Orders that may have been sent
+    # are reported as "unknown" and all others run once; none runs twice or lacks an outcome.
     fleet.server_faults('orders-server', slow_ms=60)
     caller = fleet.caller('instance-2')
     job_id = fleet.submit(caller, service_lines(150), '/services/orders/place')
@@ -166,7 +166,7 @@
 
 @pytest.mark.fleet(instances=1, engines=0, intent_pace=55)
 def test_many_orders_share_few_transactions(fleet: Fleet) -> None:
-    # Intents and outcomes of calls that arrive together travel in common transactions.
+    # Intents and outcomes of concurrent calls are committed in shared transactions.
     caller = fleet.caller()
     before = fleet.counts()['transactions_count']
     with ThreadPoolExecutor(32) as pool:
@@ -174,4 +174,4 @@
     spent = fleet.counts()['transactions_count'] - before
     assert {answer.status for answer in answers if answer} == {200}
     assert set(fleet.runs('orders-server').values()) == {1}
-    assert spent < 320, 'without grouping it takes two for each call'
+    assert spent < 320, 'without grouping each call takes two'
