--- a/benchmarks/kept_admission.py
+++ b/benchmarks/kept_admission.py
@@ -38,14 +38,14 @@
         """Choose for a request that may come back to its place."""
         now_ms = self.context.now_ms()
         self._places.expire(now_ms)
-        state = self.book.choose(SERVICE, (), '')
+        state = self.book.choose_server(SERVICE, (), '')
         assert state is not None
-        slots = sum(each.listed.slots_count for each in self.book.usable(SERVICE))
+        slots = sum(each.listed.slots_count for each in self.book.eligible_servers(SERVICE))
         if self._places.due_ms_of(key) is not None:
             self._places.consume(key)
             return state.listed.id
         answer = self.decide(state)
-        gap_ms = STAY_MS / slots * self.book.neighbours.instances_count / self.share
+        gap_ms = STAY_MS / slots * self.book.topology.instances_count / self.share
         # Places that are due are not given to who comes now.
         kept_ms = self._places.count_due(now_ms) * gap_ms * self.share
         if not isinstance(answer, Rejected):
--- a/citrondyke/decisions/servers/few_candidates.py
+++ b/citrondyke/decisions/servers/candidate_sampling.py
@@ -10,15 +10,15 @@
 
     from citrondyke.decisions.forwarding.server_state import ServerState
 
-__all__ = ('CANDIDATES', 'few_candidates')
+__all__ = ('DRAWN_CANDIDATES_COUNT', 'sample_candidates')
 
 #: Servers that are drawn. With fewer, slow ones are too often the only choice; with more, all
 #: instances choose the same one where counts are a tenth of a second old.
-CANDIDATES = 4
+DRAWN_CANDIDATES_COUNT = 4
 
 
-def few_candidates(
-    states: list[ServerState], random: Random, now_ms: float, count: int = CANDIDATES
+def sample_candidates(
+    states: list[ServerState], random: Random, now_ms: float, count: int = DRAWN_CANDIDATES_COUNT
 ) -> list[ServerState]:
     """Draw servers, a quick one more often than a slow one.
 
@@ -28,5 +28,7 @@
     if len(states) <= count:
         return states
     # The largest of random numbers to the power of 1 / weight are a draw by weight.
-    drawn = {state.life: random.random() ** state.slowness(now_ms) for state in states}
-    return nlargest(count, states, key=lambda state: drawn[state.life])
+    drawn = {
+        state.incarnation: random.random() ** state.expected_slowdown(now_ms) for state in states
+    }
+    return nlargest(count, states, key=lambda state: drawn[state.incarnation])
--- a/citrondyke/decisions/servers/health_routing.py
+++ b/citrondyke/decisions/servers/health_policy.py
@@ -17,57 +17,59 @@
     from citrondyke.decisions.servers.server_health import HealthChange
     from citrondyke.ids import ServiceName
 
-__all__ = ('HealthRouting',)
+__all__ = ('HealthPolicy',)
 
 #: Between two judgements of a service: with all of 65 instances telling of all of 45 servers one
 #: takes some ms of processor time, and within it a failing server gets a request at the most.
-JUDGE_EVERY_MS = 40.0
+EVALUATE_EVERY_MS = 40.0
 
 
-class HealthRouting:
+class HealthPolicy:
     """Judges servers, chooses those for what may run once only, and those to be tried."""
 
     def __init__(self, context: Context, neighbours: PeerTopology) -> None:
         """Start with nobody told of changes."""
         self._context = context
         self._due_ms: dict[ServiceName, float] = {}
-        self._judge = HealthEvaluator(context, neighbours)
-        self._turns = ProbeSchedule(context, neighbours)
-        self.on_change: Callable[[HealthChange], None] = _nobody
-        self.on_trial: Callable[[ServerState], None] = _nobody
+        self._evaluator = HealthEvaluator(context, neighbours)
+        self._probes = ProbeSchedule(context, neighbours)
+        self.on_change: Callable[[HealthChange], None] = _no_listener
+        self.on_probe: Callable[[ServerState], None] = _no_listener
 
-    def judge(self, states: Sequence[ServerState]) -> None:
+    def evaluate(self, states: Sequence[ServerState]) -> None:
         """Bring the standing of one service's servers up to date, some times a second."""
         now_ms = self._context.now_ms()
         service = states[0].listed.service if states else None
         if service is None or now_ms < self._due_ms.get(service, 0.0):
             return
-        if not any(state.record.needs_judging(now_ms) for state in states):
+        if not any(state.health_record.needs_evaluation(now_ms) for state in states):
             return
-        self._due_ms[service] = now_ms + JUDGE_EVERY_MS
-        for change in self._judge.judge(states):
+        self._due_ms[service] = now_ms + EVALUATE_EVERY_MS
+        for change in self._evaluator.evaluate(states):
             self.on_change(change)
 
-    def servers_to_probe(self, states: Iterable[ServerState]) -> ServerState | None:
+    def server_to_probe(self, states: Iterable[ServerState]) -> ServerState | None:
         """Give a server in doubt that is to be tried by this instance now.
 
         One that is dear would otherwise stay in doubt for want of requests.
         """
         for state in states:
-            if state.record.standing is not ServerHealth.SOUND and self._turns.take(state):
-                self.on_trial(state)
+            if state.health_record.health is not ServerHealth.HEALTHY and self._probes.try_claim(
+                state
+            ):
+                self.on_probe(state)
                 return state
         return None
 
     @staticmethod
-    def servers_for_single_run(
+    def servers_for_at_most_once(
         usable: list[ServerState], expected_to_wait: Callable[[ServerState], bool], now_ms: float
     ) -> list[ServerState]:
         """Choose the servers for what may run once only: a failure there cannot be made good."""
-        sound = [state for state in usable if state.record.standing is ServerHealth.SOUND]
-        proven = [state for state in sound if state.record.has_recent_success_at(now_ms)]
+        sound = [state for state in usable if state.health_record.health is ServerHealth.HEALTHY]
+        proven = [state for state in sound if state.health_record.is_past_confirmation(now_ms)]
         return proven if not all(map(expected_to_wait, proven)) else sound or usable
 
 
-def _nobody(_: object) -> None:
+def _no_listener(_: object) -> None:
     """Stand where nobody is told."""
--- a/citrondyke/gateway/callers/admission_controller.py
+++ b/citrondyke/gateway/callers/admission_controller.py
@@ -18,7 +18,7 @@
     from citrondyke.decisions.accounts.fleet_rate_limiter import LimitVerdict
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.forwarding.admission_rule import AdmissionRule
-    from citrondyke.decisions.forwarding.current_config import CurrentConfig
+    from citrondyke.decisions.forwarding.replicated_config import ReplicatedConfig
     from citrondyke.decisions.forwarding.server_registry import ServerRegistry
     from citrondyke.gateway.accounts.limit_exchange import LimitExchange
     from citrondyke.gateway.callers.caller_connection import CallerConnection
@@ -53,7 +53,7 @@
         context: Context,
         book: ServerRegistry,
         rule: AdmissionRule,
-        config: CurrentConfig,
+        config: ReplicatedConfig,
         limits: LimitExchange,
         answers: ErrorResponder,
         log: RequestLog,
@@ -167,7 +167,7 @@
             return True
         is_public = forwarded.route.is_public
         digest = forwarded.facts.key_digest
-        return bool(self._config.current.account_of(digest, is_public=is_public))
+        return bool(self._config.table.authenticate(digest, is_public=is_public))
 
     def _choose(
         self, forwarded: ForwardedRequest, suspect_status: SuspectStatus
@@ -175,10 +175,10 @@
         service = forwarded.route.pick_service(self._context.random)
         if suspect_status is not SuspectStatus.FREE:
             digest = forwarded.fingerprint.digest
-            return self._book.choose_excluding(service, forwarded.course.avoid, digest)
-        return self._book.choose(
+            return self._book.choose_for_suspect(service, forwarded.course.excluded, digest)
+        return self._book.choose_server(
             service,
-            forwarded.course.avoid,
+            forwarded.course.excluded,
             forwarded.facts.prefix,
             is_once=not forwarded.route.may_run_again,
         )
--- a/citrondyke/gateway/peers/server_list_readers.py
+++ b/citrondyke/gateway/peers/server_list_readers.py
@@ -198,11 +198,11 @@
         """Name the readers of the own zone; none where everybody reads."""
         if not self._membership.is_known:
             return []
-        if not self._rule.pays(self._list_bytes(), self._membership.count):
+        if not self._rule.is_worthwhile(self._list_bytes(), self._membership.count):
             return []
         gone = set(self._live.unresponsive(SILENT_MS * self._live.timeout_factor))
         members = [each for each in self._audience() if each not in gone]
-        return self._rule.readers([*members, self._context.instance_id])
+        return self._rule.elect_readers([*members, self._context.instance_id])
 
     def _audience(self) -> list[InstanceId]:
         """List the other instances of the zone that can be told."""
--- a/citrondyke/gateway/peers/server_list_subscriber.py
+++ b/citrondyke/gateway/peers/server_list_subscriber.py
@@ -17,7 +17,7 @@
 
     from citrondyke.decisions.core.context import Context
     from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
-    from citrondyke.decisions.server_list.server_list_delta import ServerListDelta
+    from citrondyke.decisions.server_list.server_list_update import ServerListUpdate
     from citrondyke.gateway.metrics import Metrics
     from citrondyke.gateway.peers.peer_codec import PeerMessage, PeerText
     from citrondyke.gateway.replication.replicated_state import ReplicatedState
@@ -83,21 +83,21 @@
         self._is_asking = True
         self._metrics.counters['list_asks'] += 1
         try:
-            message = self._exchange(ip, ListTold(self.watch.known(reader)))
+            message = self._exchange(ip, ListTold(self.watch.cursor_of(reader)))
             if not isinstance(message.text, ListOffered):
                 return False
             offered = message.text
             self._metrics.counters['list_bytes_from_peers'] += len(offered.data)
             offer = decode_offer(offered.data)
         except (BrokenReplyError, UnreadableBytesError, OSError, ValueError) as error:
-            self.watch.note_failure(reader)
+            self.watch.record_failure(reader)
             log.info('list.reader_silent', extra={'ip': ip, 'detail': str(error)[:200]})
             return False
         finally:
             self._is_asking = False
         self._take_offer(message.sender, offer)
         self._note(message.sender, offered.position)
-        if message.config_version == self._replicated.config.current.version:
+        if message.config_version == self._replicated.config.table.version:
             self._adopt_config(offered.position)
         log.info(
             'list.offer_taken',
@@ -129,7 +129,7 @@
             extra={'reader': self.watch.source, 'is_heard': self.watch.has_reader},
         )
 
-    def _take_offer(self, reader: InstanceId, offer: ServerListDelta) -> None:
+    def _take_offer(self, reader: InstanceId, offer: ServerListUpdate) -> None:
         if offer.table is not None:
             self._replicated.apply_route_table(offer.table, f'reader {reader}')
         whole_version = offer.listing_version
@@ -149,7 +149,7 @@
         lack = self.watch.record_cursor(reader, told, self._replicated.list_digest)
         if (
             lack is MissingRows.NOTHING
-            and self.watch.is_level(reader)
+            and self.watch.is_up_to_date(reader)
             and self._follower is not None
         ):
             self._follower.adopt(told.store_version, told.size_bytes)
--- a/citrondyke/gateway/servers/server_sends.py
+++ b/citrondyke/gateway/servers/server_sends.py
@@ -8,7 +8,7 @@
 import logbook
 import msgspec
 
-from citrondyke.decisions.forwarding.failover_timeouts import CONNECT_MS
+from citrondyke.decisions.forwarding.failover_timeouts import CONNECT_TIMEOUT_MS
 from citrondyke.decisions.servers.outcomes import Outcome
 from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
 from citrondyke.gateway.servers.connection_pool import ConnectionPool
@@ -100,33 +100,33 @@
             not run twice cannot be sent again after it is cut.
         :raises BrokenReplyError: of kind ``NO_CONNECTION``; nothing was sent.
         """
-        connection = None if only_new else self._idle.acquire(state.life)
+        connection = None if only_new else self._idle.acquire(state.incarnation)
         if connection is None:
-            left_ms = min(CONNECT_MS, until_ms - self._clock.now_ms())
+            left_ms = min(CONNECT_TIMEOUT_MS, until_ms - self._clock.now_ms())
             listed = state.listed
             try:
                 connection = open_connection(self._clock, listed.ip, listed.port, left_ms)
             except BrokenReplyError:
                 state.record_unreachable(self._clock.now_ms())
                 raise
-        self._in_use.setdefault(state.life, set()).add(connection)
+        self._in_use.setdefault(state.incarnation, set()).add(connection)
         return connection
 
     def release(self, state: ServerState, connection: ServerConnection) -> None:
         """Return a connection to the pool if it may be reused, else close it."""
-        in_use = self._in_use.get(state.life, set())
+        in_use = self._in_use.get(state.incarnation, set())
         in_use.discard(connection)
         if not in_use:
-            self._in_use.pop(state.life, None)
-        if state.is_gone:
+            self._in_use.pop(state.incarnation, None)
+        if state.is_delisted:
             connection.close()
         else:
-            self._idle.release(state.life, connection)
+            self._idle.release(state.incarnation, connection)
 
     def close_idle(self, state: ServerState) -> None:
         """Close the idle connections to a removed server; requests in flight may still finish."""
-        self._idle.drop(state.life)
-        self._invalid_load_logged.discard(state.life)
+        self._idle.drop(state.incarnation)
+        self._invalid_load_logged.discard(state.incarnation)
 
     def abort_incarnation(self, state: ServerState) -> None:
         """Abort the requests in flight at an incarnation that has ended.
@@ -134,8 +134,8 @@
         If the server crashed while it was partitioned, its connections show no sign of it. Without
         this, callers would wait for a response until their own timeouts.
         """
-        self._idle.drop(state.life)
-        for connection in self._in_use.get(state.life, ()):
+        self._idle.drop(state.incarnation)
+        for connection in self._in_use.get(state.incarnation, ()):
             connection.shut_down()
 
     def read_reply(
@@ -173,16 +173,16 @@
         else:
             # The request may have had too little time left: a 504 counts as unanswered, not failed.
             is_late = status == GATEWAY_TIMEOUT
-            state.note_failure(now_ms, Outcome.UNANSWERED if is_late else Outcome.FAILED)
+            state.record_failure(now_ms, Outcome.UNANSWERED if is_late else Outcome.FAILED)
         self._on_outcome(state)
 
     def _record_load(self, state: ServerState, metadata: ReplyMetadata, now_ms: float) -> None:
         if metadata.load is not None:
             state.record_reported_load(*metadata.load, now_ms)
-        if metadata.pace is None or state.pace.note(metadata.pace, now_ms):
+        if metadata.pace is None or state.reported_slowdown.record(metadata.pace, now_ms):
             return
-        if state.life not in self._invalid_load_logged:
-            self._invalid_load_logged.add(state.life)
+        if state.incarnation not in self._invalid_load_logged:
+            self._invalid_load_logged.add(state.incarnation)
             log.info(
                 'server.odd_load', extra={'server_id': state.listed.id, 'pace': str(metadata.pace)}
             )
--- a/tests/test_forwarding/test_forwarding_admission.py
+++ b/tests/test_forwarding/test_forwarding_admission.py
@@ -15,7 +15,7 @@
 from citrondyke.ids import ServiceName
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import listed_server, other_instances
-from tests.test_forwarding.test_forwarding_course import route
+from tests.test_forwarding.test_forwarding_send_history import route
 
 STAY_MS = 800.0
 SLOTS = 8
@@ -30,12 +30,12 @@
         self.book = ServerRegistry(context)
         self.book.replace(listed_server(name, 's', SLOTS) for name in ('a', 'b'))
         self.rule = AdmissionRule(context, self.book)
-        self.book.neighbours.replace(other_instances(9))
+        self.book.topology.replace(other_instances(9))
         self.route = route(RouteKind.STREAM)
         self.rule.record_service_time(self.route, STAY_MS)
 
     def best(self) -> ServerState:
-        state = self.book.choose(ServiceName('s'), (), '')
+        state = self.book.choose_server(ServiceName('s'), (), '')
         assert state is not None
         return state
 
