--- a/citrondyke/decisions/at_most_once/__init__.py
+++ b/citrondyke/decisions/at_most_once/__init__.py
@@ -1,3 +1,3 @@
-"""At-most-once execution of requests that must not be repeated."""
+"""Requests that run at most once."""
 
 from __future__ import annotations
