--- a/citrondyke/decisions/core/__init__.py
+++ b/citrondyke/decisions/core/__init__.py
@@ -1,3 +1,3 @@
-"""What all decisions stand on: operations, workflows, signals, commits."""
+"""Foundations of the decision logic: operations, workflows, signals and commits."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/core/commit.py
+++ b/citrondyke/decisions/core/commit.py
@@ -1,4 +1,4 @@
-"""Commit a transaction though its reply may be lost."""
+"""Commit a transaction whose reply may be lost."""
 
 from __future__ import annotations
 
@@ -35,21 +35,21 @@
 
 
 class CommitFailureReason(Enum):
-    """Why there is no verdict."""
+    """Why a commit failed."""
 
     #: Nothing was written and nothing will be.
     NOT_WRITTEN = 'not_written'
-    #: It may have been written, or may still be.
+    #: It may have been written, or may still be written.
     MAYBE_WRITTEN = 'maybe_written'
 
 
 class CommitFailure(msgspec.Struct, frozen=True):
-    """Stands in the place of a verdict that the table service did not give."""
+    """Returned instead of a result that the table service did not give."""
 
     reason: CommitFailureReason
 
     def __bool__(self) -> bool:
-        """Count as no verdict."""
+        """Return ``False``, as nothing is known to be committed."""
         return False
 
 
@@ -58,7 +58,7 @@
 
 
 def encode_row(value: msgspec.Struct | None) -> msgspec.Raw:
-    """Encode a row's value; ``None`` stands for no row."""
+    """Encode a row's value; ``None`` deletes the row."""
     return msgspec.Raw(msgspec.json.encode(value))
 
 
@@ -67,10 +67,10 @@
     checks: Iterable[tuple[RowKey, int | None]],
     writes: Iterable[tuple[RowKey, msgspec.Struct | None]],
 ) -> Transaction:
-    """Build a transaction with a write id of its own.
+    """Build a transaction with a unique write id.
 
-    :param checks: rows and the versions they must have, ``None`` for no such row.
-    :param writes: rows and their new values, ``None`` to delete.
+    :param checks: rows and their required versions, ``None`` if the row must not exist.
+    :param writes: rows and their new values, ``None`` to delete a row.
     """
     return Transaction(
         context.new_write_id(),
@@ -80,7 +80,7 @@
 
 
 def commit_once(wanted: Transaction) -> Workflow[Committed | Conflict | CommitFailure]:
-    """Try a transaction once and sort the answer."""
+    """Try a transaction once and classify the reply."""
     result = yield from transact_once(wanted)
     if isinstance(result, Committed):
         return result
@@ -94,11 +94,13 @@
 def commit(
     context: Context, wanted: Transaction, until_ms: float
 ) -> Workflow[Committed | Conflict | CommitFailure]:
-    """Try a transaction until there is a verdict or the time is up.
+    """Retry a transaction until there is a result or the time limit is reached.
 
-    A reply can be lost after the write took effect. Trying the same transaction again is safe:
-    its checks name versions, which the first write moved on, so it cannot take effect twice; and
-    the conflict then shows this write's own id, which is the lost reply.
+    A reply can be lost after the write took effect. Retrying the same transaction is safe: the
+    first write changed the versions that its checks require, so it cannot take effect twice. The
+    conflict then contains this transaction's own write id, which proves that it was committed.
+
+    :param until_ms: monotonic time after which no retry starts.
     """
     pause_ms = FIRST_PAUSE_MS
     reason = CommitFailureReason.NOT_WRITTEN
--- a/citrondyke/decisions/core/context.py
+++ b/citrondyke/decisions/core/context.py
@@ -1,4 +1,4 @@
-"""What every decision is handed: who it is, the time, and chance."""
+"""Context of all decisions: the instance's identity, its clock and its randomness."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Context:
-    """The surroundings of one life of one instance."""
+    """Identity, clock and random generator of one incarnation of an instance."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         clock: Clock,
         random: Random,
     ) -> None:
-        """Take what is handed in.
+        """Create a context.
 
         :param random: seeded by the host; the same seed gives the same decisions.
         """
@@ -35,18 +35,21 @@
         self._writes_count = 0
 
     def now_ms(self) -> float:
-        """Give the monotonic time, in milliseconds."""
+        """Return the monotonic time, in milliseconds."""
         return self.clock.now_ms()
 
     def epoch_ms(self) -> float:
-        """Give the wall clock's time, in milliseconds since 1970."""
+        """Return the wall-clock time, in milliseconds since 1970."""
         return self.clock.epoch_ms()
 
     def new_write_id(self) -> WriteId:
-        """Give a write id that no other life of any instance gives."""
+        """Return a write id that is unique over all incarnations of all instances."""
         self._writes_count += 1
         return WriteId(f'{self.instance_id}.{self._incarnation}.{self._writes_count}')
 
     def jittered_ms(self, base_ms: float, share: float = 0.2) -> float:
-        """Spread a pause, so that many instances do not act at the same moment."""
+        """Return a pause with random jitter, so that instances do not act in lockstep.
+
+        :param share: largest deviation, as a share of the pause.
+        """
         return base_ms * (1 + share * (2 * self.random.random() - 1))
--- a/citrondyke/decisions/core/ops.py
+++ b/citrondyke/decisions/core/ops.py
@@ -1,7 +1,7 @@
-"""What a workflow can ask of the world.
+"""Operations that a workflow can request from its driver.
 
-A workflow is a generator: it yields an operation and is resumed with its result. Failures come
-back as sentinel values with a reason, never as exceptions.
+A workflow is a generator: it yields an operation and is resumed with its result. Failures are
+returned as sentinel values with a reason, never raised as exceptions.
 """
 
 from __future__ import annotations
@@ -55,26 +55,26 @@
 
 
 class Op(msgspec.Struct, frozen=True):
-    """Something that only a driver can do."""
+    """An operation that a driver carries out."""
 
 
 Workflow: TypeAlias = Generator[Op, Any, T]
 
 
 class Transact(Op, frozen=True):
-    """Try one transaction, once; gives ``Committed | Conflict | PlatformFailure``."""
+    """Try one transaction once; results in ``Committed | Conflict | PlatformFailure``."""
 
     transaction: Transaction
 
 
 class ReadRows(Op, frozen=True):
-    """Read rows; gives ``dict[RowKey, Row] | PlatformFailure``."""
+    """Read rows; results in ``dict[RowKey, Row] | PlatformFailure``."""
 
     keys: tuple[RowKey, ...]
 
 
 class ScanRows(Op, frozen=True):
-    """Read rows in order; gives ``list[Row] | PlatformFailure``."""
+    """Read rows in key order; results in ``list[Row] | PlatformFailure``."""
 
     prefix: str
     after: str
@@ -82,26 +82,26 @@
 
 
 class PutObject(Op, frozen=True):
-    """Store an object; gives ``None | PlatformFailure``."""
+    """Store an object; results in ``None | PlatformFailure``."""
 
     key: ObjectKey
     body: bytes
 
 
 class GetObject(Op, frozen=True):
-    """Fetch an object; gives ``bytes | PlatformFailure``."""
+    """Fetch an object; results in ``bytes | PlatformFailure``."""
 
     key: ObjectKey
 
 
 class ListObjects(Op, frozen=True):
-    """List the keys below a prefix; gives ``list[ObjectKey] | PlatformFailure``."""
+    """List the keys below a prefix; results in ``list[ObjectKey] | PlatformFailure``."""
 
     prefix: str
 
 
 class ReadLists(Op, frozen=True):
-    """Read the platform's lists; gives ``FleetSnapshot | PlatformFailure``."""
+    """Read the platform's lists; results in ``FleetSnapshot | PlatformFailure``."""
 
 
 class Sleep(Op, frozen=True):
@@ -111,28 +111,28 @@
 
 
 class Wait(Op, frozen=True):
-    """Resume when the signal fires or at a monotonic time; gives whether it fired."""
+    """Resume when the signal fires or at a monotonic time; results in whether it fired."""
 
     signal: Signal[Any]
     until_ms: float | None
 
 
 class Spawn(Op, frozen=True):
-    """Run another workflow beside this one."""
+    """Run another workflow concurrently."""
 
     workflow: Workflow[Any]
-    #: Whether the instance is of no use without it: if it fails, the whole instance ends.
+    #: Whether the instance cannot work without it: if it fails, the instance terminates.
     is_essential: bool = False
 
 
 class CallServer(Op, frozen=True):
-    """Send one request to one backend server; gives ``ServerReply``."""
+    """Send one request to one backend server; results in ``ServerReply``."""
 
     call: ServerCall
 
 
 class ServerLoad(msgspec.Struct, frozen=True):
-    """What a backend server says of itself, with a lag."""
+    """Load as reported by a backend server, with a delay."""
 
     running: int
     waiting: int
@@ -141,28 +141,28 @@
 
 
 class PollLoad(Op, frozen=True):
-    """Ask a backend server for its load; gives ``ServerLoad | None``."""
+    """Request the load of a backend server; results in ``ServerLoad | None``."""
 
     server_id: ServerId
     until_ms: float
 
 
 class SendPeer(Op, frozen=True):
-    """Send a message to another instance, with no promise that it arrives."""
+    """Send a message to another instance, without a delivery guarantee."""
 
     instance_id: InstanceId
     message: msgspec.Struct
 
 
 class PullConfig(Op, frozen=True):
-    """Ask a peer for changes behind a version; gives ``list[ConfigChange]``."""
+    """Request the changes after a version from a peer; results in ``list[ConfigChange]``."""
 
     instance_id: InstanceId
     after_version: ConfigVersion
 
 
 def read_rows(*keys: RowKey) -> Workflow[dict[RowKey, Row] | PlatformFailure]:
-    """Read rows; missing ones are left out."""
+    """Read rows; missing ones are omitted."""
     result = yield ReadRows(keys)
     return cast('dict[RowKey, Row] | PlatformFailure', result)
 
@@ -198,18 +198,18 @@
 
 
 def transact_once(transaction: Transaction) -> Workflow[Committed | Conflict | PlatformFailure]:
-    """Try one transaction, once."""
+    """Try one transaction once."""
     result = yield Transact(transaction)
     return cast('Committed | Conflict | PlatformFailure', result)
 
 
 def sleep_until(until_ms: float) -> Workflow[None]:
-    """Pause."""
+    """Pause until a monotonic time."""
     yield Sleep(until_ms)
 
 
 def wait_for(signal: Signal[Any], until_ms: float | None) -> Workflow[bool]:
-    """Pause until the signal fires; tell whether it did."""
+    """Wait for a signal until a monotonic time; return whether it fired."""
     fired = yield Wait(signal, until_ms)
     return cast('bool', fired)
 
@@ -223,12 +223,12 @@
 def pull_config(
     instance_id: InstanceId, after_version: ConfigVersion
 ) -> Workflow[list[ConfigChange]]:
-    """Ask a peer for the configuration changes behind a version; empty where it fails."""
+    """Request the configuration changes after a version from a peer; empty on failure."""
     result = yield PullConfig(instance_id, after_version)
     return cast('list[ConfigChange]', result)
 
 
 def poll_load(server_id: ServerId, until_ms: float) -> Workflow[ServerLoad | None]:
-    """Ask a backend server for its load."""
+    """Request the load of a backend server; ``None`` on failure."""
     result = yield PollLoad(server_id, until_ms)
     return cast('ServerLoad | None', result)
--- a/citrondyke/decisions/core/runner.py
+++ b/citrondyke/decisions/core/runner.py
@@ -1,4 +1,4 @@
-"""Hosts workflows as one state machine: an event and a time in, typed effects out."""
+"""Runs workflows as a state machine that takes events and returns typed effects."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 __all__ = ('Effect', 'OpToken', 'Perform', 'Runner', 'StartTimer', 'WorkflowEnded')
 
-#: Names one outstanding operation of one runner.
+#: Identifies one outstanding operation of a runner.
 OpToken = NewType('OpToken', int)
 
 
 class Effect(msgspec.Struct, frozen=True):
-    """Something for the host to do."""
+    """An action for the host."""
 
 
 class Perform(Effect, frozen=True):
-    """Carry out an operation and hand its result to ``Runner.resume``."""
+    """Carry out an operation and pass its result to ``Runner.resume``."""
 
     token: OpToken
     op: Op
@@ -39,21 +39,21 @@
 
 
 class WorkflowEnded(Effect, frozen=True):
-    """A workflow that the host started has given its result."""
+    """A workflow that the host started has returned its result."""
 
     token: OpToken
     result: Any
 
 
 class Runner:
-    """Runs workflows without any I/O; the host owns the clock that they were handed.
+    """Runs workflows without any I/O; the host owns their clock.
 
-    A crash of the instance is a runner that is dropped: every point between two effects is a
-    point at which a host can do that.
+    To simulate a crash of the instance, a host drops the runner, which is possible between any two
+    effects.
     """
 
     def __init__(self) -> None:
-        """Start with nothing running."""
+        """Start without workflows."""
         self._next = 0
         self._waiting: dict[OpToken, tuple[Workflow[Any], OpToken | None]] = {}
         self._subscriptions: dict[OpToken, tuple[Signal[Any], Callable[[], None]]] = {}
@@ -62,13 +62,13 @@
         self._ready: list[tuple[Workflow[Any], OpToken | None, Any]] = []
 
     def start(self, workflow: Workflow[Any]) -> tuple[OpToken, list[Effect]]:
-        """Start a workflow; its end comes as ``WorkflowEnded`` with the token given here."""
+        """Start a workflow; its result arrives as ``WorkflowEnded`` with the returned token."""
         token = self._new_token()
         self._ready.append((workflow, token, None))
         return token, self._drain()
 
     def resume(self, token: OpToken, result: Any) -> list[Effect]:
-        """Hand in the result of an operation; one that is not awaited any more is dropped."""
+        """Resume the workflow that awaits an operation; a stale result is dropped."""
         waiter = self._waiting.pop(token, None)
         subscription = self._subscriptions.pop(token, None)
         if subscription is not None:
@@ -78,7 +78,7 @@
         return self._drain()
 
     def _drain(self) -> list[Effect]:
-        """Step whatever is ready; signals fired on the way make more ready."""
+        """Step all ready workflows, including those that become ready meanwhile."""
         if self._is_stepping:
             return []
         self._is_stepping = True
@@ -127,7 +127,7 @@
             self._ready.append((*waiter, True))
 
     def take_effects(self) -> list[Effect]:
-        """Collect the effects of signals that were fired from outside a workflow."""
+        """Return the effects of signals that were fired outside a workflow."""
         return self._drain()
 
     def _new_token(self) -> OpToken:
--- a/citrondyke/decisions/core/server_call.py
+++ b/citrondyke/decisions/core/server_call.py
@@ -1,4 +1,4 @@
-"""One request to one backend server, and how it ended."""
+"""One request to one backend server, and its reply."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class ServerCall(msgspec.Struct, frozen=True, kw_only=True):
-    """What to send and where."""
+    """A request and the server to send it to."""
 
     server_id: ServerId
     request_id: RequestId
@@ -22,58 +22,58 @@
     path: str
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes
-    #: Whether the answer comes as server-sent events that are passed on as they come.
+    #: Whether the response is a stream of server-sent events that are forwarded as they arrive.
     is_streamed: bool = False
-    #: Whether 429 and 503 mean that the request was not taken, as with model engines. A plain
-    #: service's 503 can come after it ran, so there it is an answer like any other.
+    #: Whether 429 and 503 mean that the server rejected the request, as model engines do. A plain
+    #: service can return 503 after the request ran, so there it is an ordinary response.
     refuses_by_status: bool = False
-    #: Frames of the same answer that the caller has already.
+    #: Frames of the same response that the caller has already received.
     resume_from_frame: int = 0
-    #: Monotonic time after which the answer is of no use.
+    #: Monotonic time after which the response is of no use.
     deadline_ms: float
-    #: Firing it cuts the request at the backend server.
+    #: Firing it aborts the request at the backend server.
     cancel: Signal[Any]
-    #: Called as ``on_frame(now_ms)`` for each frame, where someone learns from them.
+    #: Called as ``on_frame(now_ms)`` for each frame, unless ``None``.
     on_frame: Any = None
 
 
 class ReplyKind(Enum):
-    """What is known of the request after one attempt."""
+    """How one attempt ended."""
 
-    #: The whole answer is there, whatever its status.
+    #: A complete response arrived, with any status.
     COMPLETE = 'complete'
-    #: No connection was made, so nothing was sent.
+    #: The connection failed, so nothing was sent.
     UNREACHABLE = 'unreachable'
-    #: The backend server said that it did not take the request.
+    #: The backend server rejected the request without running it.
     REFUSED = 'refused'
-    #: The request was sent, wholly or in part, and the answer is not whole.
+    #: The request was sent, completely or in part, and the response is incomplete.
     CUT = 'cut'
-    #: The same, and it was ``ServerCall.cancel`` that cut it.
+    #: The same, because ``ServerCall.cancel`` fired.
     CANCELLED = 'cancelled'
     #: The same, because the deadline passed.
     LATE = 'late'
-    #: The caller went away.
+    #: The caller disconnected.
     CALLER_GONE = 'caller_gone'
 
 
 class ServerReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The end of one attempt."""
+    """The result of one attempt."""
 
     kind: ReplyKind
     status: int = 0
     content_type: str = ''
-    #: The whole body of a plain answer; empty for a streamed one.
+    #: The body of a plain response; empty for a streamed one.
     body: bytes = b''
-    #: Frames that arrived in this attempt, where the answer is kept and not passed on.
+    #: Frames that arrived in this attempt, if the response is buffered and not forwarded.
     frames: tuple[bytes, ...] = ()
     #: How many frames arrived in this attempt.
     frames_count: int = 0
-    #: From the send to the first frame or byte of the answer.
+    #: Time from the send to the first frame or byte of the response.
     first_frame_ms: float | None = None
-    #: When the server asks to be called again, in milliseconds from now.
+    #: Retry time stated by the server, in milliseconds from now.
     retry_in_ms: float | None = None
 
     @property
     def was_not_run(self) -> bool:
-        """Tell whether the request provably never ran in this attempt."""
+        """Return whether the request certainly did not run in this attempt."""
         return self.kind in (ReplyKind.UNREACHABLE, ReplyKind.REFUSED)
--- a/citrondyke/decisions/core/signal.py
+++ b/citrondyke/decisions/core/signal.py
@@ -1,4 +1,4 @@
-"""A value that is not there yet."""
+"""A one-shot event that carries a value."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class Signal(Generic[T]):
-    """Fires once with a value; whoever subscribes after that is called at once."""
+    """Fires once with a value; later subscribers are called immediately."""
 
     __slots__ = ('_callbacks', '_value', 'is_fired')
 
     def __init__(self) -> None:
-        """Start unfired."""
+        """Create a signal that has not fired."""
         self.is_fired = False
         self._value: T | None = None
         self._callbacks: list[Callable[[], None]] = []
 
     @property
     def value(self) -> T:
-        """Give the value it fired with.
+        """Return the value that the signal fired with.
 
-        :raises LookupError: when it has not fired.
+        :raises LookupError: if it has not fired.
         """
         if not self.is_fired:
             raise LookupError
         return self._value  # type: ignore[return-value]
 
     def fire(self, value: T) -> None:
-        """Set the value and call every subscriber; a second call changes nothing."""
+        """Set the value and call every subscriber; later calls have no effect."""
         if self.is_fired:
             return
         self.is_fired = True
@@ -42,13 +42,13 @@
             callback()
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` when it fires."""
+        """Call ``callback`` when the signal fires."""
         if self.is_fired:
             callback()
             return
         self._callbacks.append(callback)
 
     def unsubscribe(self, callback: Callable[[], None]) -> None:
-        """Forget ``callback``; a waiter that gave up must not pile up here."""
+        """Remove ``callback``, so that abandoned waits do not accumulate."""
         if callback in self._callbacks:
             self._callbacks.remove(callback)
--- a/tests/test_decisions/__init__.py
+++ b/tests/test_decisions/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the decisions, with no process and no wall clock."""
+"""Tests of the decision logic, without processes and wall-clock time."""
 
 from __future__ import annotations
--- a/tests/test_decisions/test_decisions_crash_points.py
+++ b/tests/test_decisions/test_decisions_crash_points.py
@@ -1,4 +1,4 @@
-"""An instance is killed between any two of its effects; the promises hold every time."""
+"""Guarantees hold if an instance is killed or frozen between any two of its effects."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
     wait_for_job,
 )
 
-#: Effects between two crash points that are tried; each start shifts them by one.
+#: Effects between two tested crash points; each start shifts them by one.
 STRIDE = 7
-#: Enough that the job goes on while an instance is frozen past its lease.
+#: Enough that the job is still running when an instance is frozen past its lease.
 ORDERS = 400
 
 
 def kill_at(fleet: VirtualFleet, victim: VirtualInstance, effect_number: int) -> None:
-    """Kill an instance right before its n-th effect from now."""
+    """Kill an instance immediately before its n-th effect from now."""
     first = victim.effects_count
 
     def crash(host: VirtualInstance, effect: Effect) -> None:
@@ -42,9 +42,9 @@
 
 @pytest.mark.parametrize('start', range(4))
 def test_job_outcomes_at_every_crash_point(start: int) -> None:
-    # The caller hears that a job is accepted; one of two instances dies at the n-th thing it
-    # does after that: around a claim, an object, a commit, a renewal. The other one finishes the
-    # job, and every item has one outcome.
+    # After a job is accepted, one of two instances dies at its n-th effect: around a claim, an
+    # object write, a commit or a lease renewal. The other one finishes the job, and every item has
+    # one outcome.
     for point in range(1 + start, 200, STRIDE * 4):
         fleet = make_fleet(seed=point)
         victim, other = fleet.instances.values()
@@ -57,8 +57,8 @@
 
 @pytest.mark.parametrize('start', range(4))
 def test_cancel_at_every_crash_point(start: int) -> None:
-    # The same with a cancellation in the middle: what was visible stays, the rest is told
-    # "cancelled", and nothing is left open.
+    # The same with a cancellation in between: visible outcomes stay, all other items are reported
+    # as "cancelled", and no item is left without an outcome.
     for point in range(1 + start, 160, STRIDE * 4):
         fleet = make_fleet(seed=point)
         victim, other = fleet.instances.values()
@@ -73,9 +73,9 @@
 
 
 def test_order_runs_once_at_every_crash_point() -> None:
-    # An instance dies at the n-th thing it does after an order came in: around the intent, the
-    # dispatch, the answer, the outcome. Resends through the other one never run it again, and
-    # an answer that the first caller got is the answer of all.
+    # An instance dies at its n-th effect after an order arrived: around the intent, the dispatch,
+    # the response or the outcome. Resends through the other instance never run the order again,
+    # and they get the response that the first caller got.
     for point in range(40):
         fleet = make_fleet(seed=point)
         victim, other = fleet.instances.values()
@@ -101,9 +101,9 @@
 
 @pytest.mark.parametrize('start', range(3))
 def test_orders_of_a_job_with_a_freeze_at_every_point(start: int) -> None:
-    # An instance freezes at the n-th thing it does for a job of orders, past its lease; the other
-    # one takes over and finishes. The first wakes up and goes on with what it had in mind: marks
-    # and commits that the fence must stop. Each order has one outcome and ran at most once.
+    # An instance freezes past its lease at its n-th effect for a job of orders; the other one takes
+    # over and finishes. The first one wakes up and continues with stale dispatch markers and
+    # commits, which the fence must reject. Each order has one outcome and ran at most once.
     for point in range(1 + start, 120, STRIDE * 3):
         fleet = make_fleet(seed=point, engines=0)
         victim, other = fleet.instances.values()
@@ -127,10 +127,10 @@
 
 
 @pytest.mark.parametrize('number', range(1, 7))
-def test_mark_of_a_frozen_holder_changes_nothing(number: int) -> None:
-    # An instance freezes right before it writes that it is about to dispatch the n-th lot of
-    # orders. The other one takes the segment over and runs them. The first wakes up and sends its
-    # mark: the fence must refuse it, or it would dispatch the same orders a second time.
+def test_stale_dispatch_marker_of_a_frozen_holder_is_fenced(number: int) -> None:
+    # An instance freezes immediately before it writes the marker that it is about to dispatch the
+    # n-th group of orders. The other one takes over the segment and runs them. The first one wakes
+    # up and writes its marker: the fence must reject it, or the orders would be dispatched twice.
     fleet = make_fleet(seed=number, engines=0, run_ms=150.0)
     victim, other = fleet.instances.values()
     job = fleet.accept_job(other, 'coastal', 'nightly', order_lines(ORDERS))
@@ -162,9 +162,9 @@
 
 
 def test_item_that_kills_its_holder_is_found() -> None:
-    # Whichever instance dispatches one certain item dies on the spot, again and again, and is
-    # started anew. After some deaths the item is alone at work when its holder dies, is set
-    # aside with its own code, and all other items are answered.
+    # Every instance that dispatches one certain item dies at once and is restarted. After some
+    # deaths the item runs in isolation; when its holder dies again, the item fails with its own
+    # error code, and all other items succeed.
     fleet = make_fleet(seed=5)
     deaths = 0
 
--- a/tests/test_decisions/test_decisions_evidence.py
+++ b/tests/test_decisions/test_decisions_evidence.py
@@ -1,4 +1,4 @@
-"""Sealing outcome records, with overlaps and lost replies."""
+"""Sealing of audit records with concurrent seals and lost replies."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def with_records(seed: int) -> tuple[VirtualFleet, VirtualInstance]:
-    """Give an instance whose journal holds some records."""
+    """Return an instance whose journal holds some records."""
     fleet = make_fleet(seed, instances=1)
     host = next(iter(fleet.instances.values()))
     for number in range(RECORDS):
@@ -45,20 +45,20 @@
 
 
 def test_two_seals_at_once_store_the_records_once() -> None:
-    # A planned stop seals while the seal of the minute is on its way to the object store. Both
-    # took the same records under the same number, and the second stumbled over an empty journal.
+    # A graceful shutdown seals while a periodic seal is being stored. Without a guard both write
+    # the same records under the same number, and the second one fails on an empty journal.
     fleet, host = with_records(seed=1)
-    ends: list[Any] = []
+    results: list[Any] = []
     for _ in range(2):
-        host.start(host.instance.journal.seal(), ends.append)
+        host.start(host.instance.journal.seal(), results.append)
     fleet.time.run_until(fleet.time.now_ms() + 5000.0)
-    assert True in ends
+    assert True in results
     check_sealed_once(fleet, host)
 
 
 def test_lost_reply_stores_the_records_once() -> None:
-    # The object is stored and the reply is lost. The next try must be the same object again, not
-    # the same records under another name, or they would be counted twice.
+    # The object is stored and the reply is lost. The retry must write the same object again; the
+    # same records under another key would be counted twice.
     fleet, host = with_records(seed=2)
     fleet.platform.objects_fault.mode = FaultMode.LOST_REPLY
     fleet.platform.objects_fault.calls_left = 1
--- a/tests/test_decisions/test_decisions_lost_replies.py
+++ b/tests/test_decisions/test_decisions_lost_replies.py
@@ -1,4 +1,4 @@
-"""A reply of the table service is lost after its write took effect, at each write in turn."""
+"""The reply to each write in turn is lost after the write took effect."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 def lose_all_replies(fleet: VirtualFleet, until_ms: float) -> None:
-    """Lose the reply of every transaction up to a time, though all take effect."""
+    """Lose the replies of all transactions until a time; the transactions take effect."""
     perform = fleet.platform.perform
 
     def losing(op: ops.Op, answer: Any) -> bool:
@@ -46,22 +46,22 @@
 
 
 @pytest.mark.parametrize('number', range(1, 5))
-def test_order_is_answered_though_a_reply_is_lost(number: int) -> None:
+def test_order_gets_its_response_despite_a_lost_reply(number: int) -> None:
     # The write of the intent or of the outcome takes effect and its reply is lost. The writer
-    # knows its own write again; the caller gets its answer and the order ran once.
+    # recognises its own write; the caller gets its response and the order ran once.
     fleet = make_fleet(seed=number, instances=1)
     host = next(iter(fleet.instances.values()))
-    ends: list[Any] = []
+    results: list[Any] = []
     lose_reply(fleet, number)
-    order(host, fleet, 'key', ends)
+    order(host, fleet, 'key', results)
     fleet.time.run_until(fleet.time.now_ms() + 10_000.0)
-    assert [end.kind for end in ends] == [OnceResultKind.ANSWERED]
+    assert [end.kind for end in results] == [OnceResultKind.ANSWERED]
     assert list(fleet.servers['orders'].runs.values()) == [1]  # type: ignore[index]
 
 
-def test_accepted_change_is_told_as_accepted() -> None:
-    # The row of the next version is written and the reply is lost: the operator must not hear
-    # "conflict" about a change that is in force.
+def test_accepted_change_is_reported_despite_a_lost_reply() -> None:
+    # The row of the next version is written and the reply is lost: the operator must not get a
+    # conflict for a change that is in force.
     fleet = make_fleet(seed=1, instances=1)
     host = next(iter(fleet.instances.values()))
     entry = entries()[0]
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize('number', range(1, 12))
-def test_job_goes_on_though_a_reply_is_lost(number: int) -> None:
+def test_job_continues_despite_a_lost_reply(number: int) -> None:
     fleet = make_fleet(seed=number, instances=1)
     host = next(iter(fleet.instances.values()))
     job = fleet.accept_job(host, 'coastal', 'nightly', model_lines(20))
@@ -86,8 +86,8 @@
 
 @pytest.mark.parametrize('delay_ms', [0.0, 3.0, 8.0, 15.0, 30.0])
 def test_nothing_becomes_visible_after_a_cancellation(delay_ms: float) -> None:
-    # The caller cancels; the notices that would cut the streams are lost, so holders go on and
-    # try to commit. What was visible at the cancellation stays, and no answer is added to it.
+    # A job is cancelled and the messages that abort its streams are lost, so holders continue and
+    # try to commit. Outcomes visible at the cancellation stay, and no success is added.
     fleet = make_fleet(seed=7)
     fleet.send_peer = lambda *_: None  # type: ignore[method-assign]
     host = next(iter(fleet.instances.values()))
@@ -103,10 +103,10 @@
     assert len(after) == 60
 
 
-def test_claim_whose_fate_was_open_is_taken_up_again() -> None:
-    # A segment's claim takes effect while every reply is lost for longer than a claim is followed
-    # up. The instance does not hold the segment and nobody else may take it, as its owner lives;
-    # it has to find its own name there and take the segment up.
+def test_uncertain_claim_is_recovered() -> None:
+    # A segment's claim takes effect while all replies are lost for longer than a claim is retried.
+    # The instance does not know that it holds the segment, and no other one may take it, as its
+    # owner is alive. The instance has to find its own claim and resume the segment.
     fleet = make_fleet(seed=3, instances=1)
     host = next(iter(fleet.instances.values()))
     job = fleet.accept_job(host, 'coastal', 'nightly', model_lines(8))
@@ -115,25 +115,25 @@
     assert job_outcomes(fleet, job) == {f'item-{n}': 'ok' for n in range(8)}
 
 
-def test_refused_order_can_be_sent_again_elsewhere() -> None:
-    # An intent takes effect while every reply is lost; its caller is told "not run" and to come
-    # back. The intent must not stand in the way of the next try for good.
+def test_rejected_order_can_be_resent_through_another_instance() -> None:
+    # An intent takes effect while all replies are lost; its caller gets "not run" and a retry time.
+    # The intent must not block the retry forever.
     fleet = make_fleet(seed=4)
     first, second = fleet.instances.values()
     lose_all_replies(fleet, fleet.time.now_ms() + 6000.0)
-    refused: list[Any] = []
-    order(first, fleet, 'key', refused)
+    rejected: list[Any] = []
+    order(first, fleet, 'key', rejected)
     fleet.time.run_until(fleet.time.now_ms() + 9000.0)
-    assert [end.kind for end in refused] == [OnceResultKind.PLATFORM_DOWN]
+    assert [end.kind for end in rejected] == [OnceResultKind.PLATFORM_DOWN]
     assert not fleet.servers['orders'].runs  # type: ignore[index]
-    ends: list[Any] = []
-    order(second, fleet, 'key', ends)
+    results: list[Any] = []
+    order(second, fleet, 'key', results)
     fleet.time.run_until(fleet.time.now_ms() + 10_000.0)
-    assert [end.kind for end in ends] == [OnceResultKind.ANSWERED]
+    assert [end.kind for end in results] == [OnceResultKind.ANSWERED]
     assert list(fleet.servers['orders'].runs.values()) == [1]  # type: ignore[index]
 
 
-def test_changes_out_of_order_wait_for_their_predecessors() -> None:
+def test_out_of_order_changes_wait_for_their_predecessors() -> None:
     fleet = make_fleet(seed=5, instances=1)
     config_replica = next(iter(fleet.instances.values())).instance.config_replica
     later = [
--- a/tests/test_decisions/test_decisions_machine.py
+++ b/tests/test_decisions/test_decisions_machine.py
@@ -1,4 +1,4 @@
-"""Hypothesis drives a fleet in virtual time through faults of its own choice."""
+"""Hypothesis drives a fleet in virtual time through generated faults."""
 
 from __future__ import annotations
 
@@ -93,7 +93,7 @@
                 assert all(count == 1 for count in server.runs.values()), server.runs
 
     @invariant()
-    def no_version_goes_back(self) -> None:
+    def versions_never_decrease(self) -> None:
         for host in (getattr(self, 'fleet', None) and self.fleet.instances.values()) or ():
             found = host.instance.config_replica.current.version
             assert found >= self.versions.get(id(host), 0)
@@ -110,8 +110,8 @@
             assert len(outcomes) == job.row.items_count
         self.no_order_runs_twice()
         for ends in self.ends.values():
-            told = {end.kind for end in ends}
-            assert not {OnceResultKind.ANSWERED, OnceResultKind.UNKNOWN} <= told, told
+            kinds = {end.kind for end in ends}
+            assert not {OnceResultKind.ANSWERED, OnceResultKind.UNKNOWN} <= kinds, kinds
 
 
 FleetMachine.TestCase.settings = settings(
--- a/tests/test_decisions/test_decisions_online.py
+++ b/tests/test_decisions/test_decisions_online.py
@@ -1,4 +1,4 @@
-"""Routing and admission, without any fleet around them."""
+"""Routing and admission in isolation."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Parts:
-    """A fleet of servers with limits of 10, and the clock that all share."""
+    """A fleet of servers with limits of 10, and its clock."""
 
     def __init__(self, servers: int) -> None:
         self.time = VirtualTime()
@@ -50,9 +50,9 @@
     return Parts(servers=2)
 
 
-def test_server_said_to_be_full_is_not_avoided_for_good(parts: Parts) -> None:
-    # A steward said once that a server is full. Nothing is sent there, so nothing is heard of it
-    # again; after a while the old word must not count any more.
+def test_server_reported_as_full_is_not_avoided_forever(parts: Parts) -> None:
+    # A steward reported a server as full. No requests are sent there, so no further reports arrive;
+    # after a while the old report must expire.
     full = ServerState(ServerId('s0'), 9, 10, 10, False)
     parts.view(0).apply_report(full, parts.time.now_ms())
     assert {parts.router.choose(MODEL, None) for _ in range(20)} == {parts.view(1)}
@@ -72,7 +72,7 @@
     assert not parts.view(0).is_on_probation
 
 
-def test_leaving_server_gets_nothing_though_the_list_says_live(parts: Parts) -> None:
+def test_leaving_server_gets_no_requests_despite_a_stale_list(parts: Parts) -> None:
     parts.fleet.mark_leaving(ServerId('s0'))
     parts.fleet.update_list([parts.view(0).listed, parts.view(1).listed])
     assert {parts.router.choose(MODEL, None) for _ in range(20)} == {parts.view(1)}
@@ -82,9 +82,10 @@
     assert rejected.reason is RejectionReason.NO_SERVER
 
 
-def test_flooding_tenant_leaves_places_for_others(parts: Parts) -> None:
-    # One tenant asks for everything while another has one request in. From a part of the places
-    # on the first is held to its share; the other's next requests find room.
+def test_burst_of_one_tenant_leaves_permits_for_others(parts: Parts) -> None:
+    # One tenant requests all permits while another one has a single request in flight. Above the
+    # fair-share threshold the first is limited to its share, and the other one's requests are
+    # admitted.
     assert isinstance(parts.acquire('calm'), Permit)
     answers = [parts.acquire('flood') for _ in range(40)]
     assert sum(isinstance(answer, Permit) for answer in answers) < 20
@@ -93,7 +94,7 @@
         assert isinstance(parts.acquire('calm'), Permit)
 
 
-def test_queue_is_bounded_and_served_in_turns(parts: Parts) -> None:
+def test_queue_is_bounded_and_served_round_robin(parts: Parts) -> None:
     permits = [parts.acquire('a') for _ in range(20)]
     assert all(isinstance(permit, Permit) for permit in permits)
     waiting = parts.acquire('b')
@@ -106,8 +107,8 @@
     assert isinstance(waiting.outcome.value, Permit)
 
 
-def test_place_given_to_one_who_left_comes_back(parts: Parts) -> None:
-    # A caller goes away in the queue at the moment it is given a place; the place is not lost.
+def test_permit_granted_to_a_disconnected_caller_is_released(parts: Parts) -> None:
+    # A queued caller disconnects just as it is granted a permit; the permit must not be lost.
     permits = [parts.acquire('a') for _ in range(20)]
     waiting = parts.acquire('b')
     assert isinstance(waiting, QueuedRequest)
--- a/tests/test_decisions/test_decisions_rows.py
+++ b/tests/test_decisions/test_decisions_rows.py
@@ -1,4 +1,4 @@
-"""Rows written by another version, or by nobody we know."""
+"""Rows written by another version of the software, and unreadable rows."""
 
 from __future__ import annotations
 
@@ -63,8 +63,8 @@
 
 @pytest.mark.parametrize('value', [b'{"tenant_id": 7}', b'[]', b'"x"', b'{"segments_count": {}}'])
 def test_unreadable_row_does_not_stop_the_jobs_behind_it(value: bytes) -> None:
-    # A row that cannot be read stands first in the order of deadlines. It is passed over, and the
-    # job behind it is done.
+    # An unreadable row comes first in deadline order. It is skipped, and the job after it is
+    # completed.
     fleet = make_fleet(seed=2)
     key = open_row_key(TargetName('demo-model'), 1.0, JobId('nonsense'))
     write = Write(RowKey(key), msgspec.Raw(value))
@@ -76,10 +76,10 @@
     assert isinstance(job.row, JobRow)
 
 
-def test_change_of_a_newer_version_takes_nobody_down() -> None:
-    # A newer instance accepts a change with a kind of entry that this version does not know.
-    # Instances that run stay at the version before it and serve on; one that starts is not ready,
-    # as it cannot have all that was accepted in force.
+def test_change_of_a_newer_version_stops_no_instance() -> None:
+    # A newer instance accepts a change with an entry type that this version does not know. Running
+    # instances stay at the previous configuration and continue to serve; a starting one is not
+    # ready, as it cannot apply all accepted changes.
     fleet = make_fleet(seed=6)
     value = b'{"version":2,"edits":[{"name":"x/y","before":null,"after":{"entry":"x"}}],"who":"o"}'
     write = Write(RowKey('config/log/000000000002'), msgspec.Raw(value))
@@ -93,9 +93,9 @@
     assert not started.instance.is_ready
 
 
-def test_job_is_cut_as_its_file_was_though_the_setting_changed() -> None:
-    # A file was cut into segments of 8 items by an instance with one setting; the job is accepted
-    # and worked on by an instance whose setting is another. Each item is done once all the same.
+def test_job_keeps_its_segmentation_after_a_settings_change() -> None:
+    # An instance split a file into segments of 8 items; the job is accepted and run by an instance
+    # with another segment size. Each item must still be processed exactly once.
     fleet = make_fleet(seed=9, instances=1)
     old = next(iter(fleet.instances.values()))
     lines = model_lines(30)
@@ -111,12 +111,12 @@
     changed = msgspec.structs.replace(LIMITS, segment_items=13)
     new = fleet.add_instance('i7', 'z', changed)
     fleet.time.run_until(fleet.time.now_ms() + 500.0)
-    wish = JobRequest(
+    request = JobRequest(
         tenant_id=tenant,
         file_id=recorded[0],
         endpoint='/v1/completions',
         class_name=ClassName('nightly'),
     )
-    job = fleet.complete(new, new.instance.acceptance.accept(wish))
+    job = fleet.complete(new, new.instance.acceptance.accept(request))
     wait_for_job(fleet, job)
     assert job_outcomes(fleet, job) == {f'item-{n}': 'ok' for n in range(30)}
--- a/tests/test_decisions/test_decisions_steward.py
+++ b/tests/test_decisions/test_decisions_steward.py
@@ -1,4 +1,4 @@
-"""What stewards know of others' requests."""
+"""Stewards' counts of other instances' requests."""
 
 from __future__ import annotations
 
@@ -35,9 +35,9 @@
     host.start(host.instance.online.serve(request), ends.append)
 
 
-def test_requests_of_a_dead_instance_do_not_keep_batch_work_off() -> None:
-    # An entry instance dies with requests on an engine. It never says that they ended; the
-    # engine's steward stops counting them once the instance does not answer pings.
+def test_requests_of_a_dead_instance_do_not_block_batch_work() -> None:
+    # An entry instance dies with requests on an engine, so it never reports that they ended. The
+    # engine's steward stops counting them once the instance does not reply to pings.
     fleet = make_fleet(seed=3, instances=3)
     hosts = list(fleet.instances.values())
     steward = next(host for host in hosts if host.instance.steward.is_steward_for(ENGINE))
