--- a/citrondyke/gateway/accounts/limit_exchange.py
+++ b/citrondyke/gateway/accounts/limit_exchange.py
@@ -106,15 +106,15 @@
         """Bind the socket, and start to receive messages and request leases."""
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._socket.bind((ip, self._limit_port))
-        self._tasks.keep(self._run_receive)
-        self._tasks.keep(self._run_leases)
+        self._tasks.supervise(self._run_receive)
+        self._tasks.supervise(self._run_leases)
 
     def stop(self) -> None:
         """Close the socket."""
         if self._socket is not None:
             self._socket.close()
 
-    def use(self, account: Account, need: UseNeed) -> LimitVerdict:
+    def acquire_use(self, account: Account, need: UseNeed) -> LimitVerdict:
         """Return whether an account may send one more request; wait until it may begin.
 
         A grant that wasn't used in time is requested again, because the window in which it was
