--- a/citrondyke/gateway/replication/__init__.py
+++ b/citrondyke/gateway/replication/__init__.py
@@ -1,1 +1,1 @@
-"""What an instance believes of the configuration and the backend servers."""
+"""Replication of the configuration and the server list from the store to an instance."""
--- a/tests/test_gateway/test_replication/__init__.py
+++ b/tests/test_gateway/test_replication/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway's beliefs."""
+"""Tests of the gateway's replication."""
