--- a/citrondyke/decisions/reservations/__init__.py
+++ b/citrondyke/decisions/reservations/__init__.py
@@ -1,1 +1,1 @@
-"""Places in the future: who may come back when, and that it is served then."""
+"""Reservations: due times at which returning callers are served."""
--- a/citrondyke/gateway/accounts/limit_exchange.py
+++ b/citrondyke/gateway/accounts/limit_exchange.py
@@ -49,7 +49,7 @@
 #: A replica that hasn't answered within this time counts as unresponsive. That is some tens of
 #: round trips between availability zones, and a tenth of the time in which a caller expects an
 #: answer.
-ANSWER_MS = 40.0
+QUERY_TIMEOUT_MS = 40.0
 #: Datagrams may be lost, so unresponsive replicas are queried once more before the verdict is
 #: "unknown".
 QUERY_ROUNDS = 2
@@ -64,7 +64,7 @@
 RESERVATIONS_LOG_MS = 1_000.0
 #: Offset from the port for other messages between instances. In a large fleet those may stay unread
 #: for a while, but a caller is waiting for the messages on this port.
-PORT_AFTER_PEERS = 1
+LIMIT_PORT_OFFSET = 1
 
 
 class LimitExchange:
@@ -87,7 +87,7 @@
         self._config = config
         self._membership = membership
         self._metrics = metrics
-        self._limit_port = peer_port + PORT_AFTER_PEERS
+        self._limit_port = peer_port + LIMIT_PORT_OFFSET
         self._tasks = tasks
         self._socket: socket.socket | None = None
         self._pending_queries: dict[int, AsyncResult] = {}
@@ -195,7 +195,7 @@
         try:
             if not self._send(query.receiver, query.message):
                 return None
-            answer = result.get(timeout=ANSWER_MS / 1e3)
+            answer = result.get(timeout=QUERY_TIMEOUT_MS / 1e3)
         except gevent.Timeout:
             return None
         finally:
@@ -264,7 +264,7 @@
         version = self._config.table.version
         text = PeerMessage(self._context.instance_id, version, LimitText(message))
         try:
-            self._socket.sendto(encode_message(text), (peer.ip, peer.peer_port + PORT_AFTER_PEERS))
+            self._socket.sendto(encode_message(text), (peer.ip, peer.peer_port + LIMIT_PORT_OFFSET))
         except OSError as error:
             log.info('peer.send_failed', extra={'peer': receiver, 'detail': type(error).__name__})
             return False
--- a/tests/test_accounts/test_accounts_window.py
+++ b/tests/test_accounts/test_accounts_window.py
@@ -171,14 +171,14 @@
         self.node = steward(self.fleet)
         self.slot = limits_of(self.node)._slot_stewards[slot_of(LARGE.id)]
 
-    def ask(
+    def query(
         self, work: int, account: Account = LARGE, left_ms: float = 5_000.0, wait_ms: float = 0.0
     ) -> msgspec.Struct:
         return self.slot.answer(InstanceId('asker'), 1, account, UseNeed(work, left_ms, wait_ms))
 
     def use_up(self) -> None:
         work = 10_000
-        while self.ask(work, left_ms=0.0).outcome is UseOutcome.GRANTED:  # type: ignore[attr-defined]
+        while self.query(work, left_ms=0.0).outcome is UseOutcome.GRANTED:  # type: ignore[attr-defined]
             work += 1
             self.fleet._send(self.node, self.slot.pending_floor_messages())
             self.fleet.run(6.0)
@@ -193,7 +193,7 @@
 
 
 def test_use_within_the_target_is_granted_for_its_start(client: StewardClient) -> None:
-    starts = [client.ask(0, wait_ms=200.0) for _ in range(3)]
+    starts = [client.query(0, wait_ms=200.0) for _ in range(3)]
     assert all(each.outcome is UseOutcome.GRANTED for each in starts)  # type: ignore[attr-defined]
     waits = [each.start_in_ms for each in starts]  # type: ignore[attr-defined]
     assert all(wait <= 200.0 for wait in waits)
@@ -201,64 +201,64 @@
 
 
 def test_reservation_serves_its_caller_once(client: StewardClient) -> None:
-    rejection = client.ask(7)
+    rejection = client.query(7)
     assert rejection.is_kept and rejection.retry_in_ms > 0  # type: ignore[attr-defined]
     client.fleet.run(rejection.retry_in_ms)  # type: ignore[attr-defined]
-    assert client.ask(7).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
-    again = client.ask(7)
+    assert client.query(7).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
+    again = client.query(7)
     assert again.outcome is UseOutcome.REFUSED  # type: ignore[attr-defined]
     count = client.slot.count(LARGE.id)
     assert count.places_taken == 1
 
 
 def test_reservation_serves_no_other_work_or_account(client: StewardClient) -> None:
-    rejection = client.ask(7)
+    rejection = client.query(7)
     other = Account(id=TenantId('large-2'), rate_per_s=0.001, burst=0.0)
     client.fleet.run(rejection.retry_in_ms)  # type: ignore[attr-defined]
-    assert client.ask(8).outcome is UseOutcome.REFUSED  # type: ignore[attr-defined]
+    assert client.query(8).outcome is UseOutcome.REFUSED  # type: ignore[attr-defined]
     client.slot._quota_of(other).credit(-1e3)
-    assert client.ask(7, other).outcome is UseOutcome.REFUSED  # type: ignore[attr-defined]
-    assert client.ask(7).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
+    assert client.query(7, other).outcome is UseOutcome.REFUSED  # type: ignore[attr-defined]
+    assert client.query(7).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
 
 
 def test_unused_reservation_goes_to_the_next_request(client: StewardClient) -> None:
-    rejection = client.ask(7)
+    rejection = client.query(7)
     client.fleet.run(rejection.retry_in_ms + 500.0)  # type: ignore[attr-defined]
-    assert client.ask(8).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
+    assert client.query(8).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
     assert client.slot.count(LARGE.id).places_lapsed == 1
 
 
 def test_no_reservation_is_made_out_of_reach(client: StewardClient) -> None:
-    answers = [client.ask(100 + number) for number in range(80)]
+    answers = [client.query(100 + number) for number in range(80)]
     kept = [each for each in answers if each.is_kept]  # type: ignore[attr-defined]
     rest = [each for each in answers if not each.is_kept]  # type: ignore[attr-defined]
     assert kept and rest
     assert all(each.retry_in_ms <= 5_000.0 / 3 for each in kept)  # type: ignore[attr-defined]
     assert all(each.retry_in_ms > 5_000.0 / 3 - 60 for each in rest)  # type: ignore[attr-defined]
-    assert not client.ask(6, left_ms=20.0).is_kept  # type: ignore[attr-defined]
+    assert not client.query(6, left_ms=20.0).is_kept  # type: ignore[attr-defined]
 
 
 def test_retry_without_reservation_yields_while_new_work_is_rejected(
     client: StewardClient,
 ) -> None:
     # In a burst each rejected caller retries, and has missed its target by then.
-    refused = [100 + number for number in range(80)]
-    late = [work for work in refused if not client.ask(work).is_kept]  # type: ignore[attr-defined]
+    rejected_work_ids = [100 + number for number in range(80)]
+    late = [work for work in rejected_work_ids if not client.query(work).is_kept]  # type: ignore[attr-defined]
     client.fleet.run(250.0)
-    assert client.ask(late[0]).outcome is UseOutcome.REFUSED  # type: ignore[attr-defined]
-    assert client.ask(1).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
+    assert client.query(late[0]).outcome is UseOutcome.REFUSED  # type: ignore[attr-defined]
+    assert client.query(1).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
     client.fleet.run(400.0)
-    assert client.ask(late[0]).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
+    assert client.query(late[0]).outcome is UseOutcome.GRANTED  # type: ignore[attr-defined]
 
 
 def test_lowered_limit_holds_for_existing_reservations(client: StewardClient) -> None:
     for number in range(20):
-        client.ask(100 + number)
+        client.query(100 + number)
     lowered = msgspec.structs.replace(LARGE, rate_per_s=1.0, burst=1.0)
     client.node.accounts[LARGE.id] = lowered
     before = client.slot.count(LARGE.id).uses
     client.fleet.run(1_000.0)
-    granted = [client.ask(100 + number, lowered) for number in range(20)]
+    granted = [client.query(100 + number, lowered) for number in range(20)]
     assert sum(each.outcome is UseOutcome.GRANTED for each in granted) <= 2  # type: ignore[attr-defined]
     assert client.slot.count(LARGE.id).uses <= before + 2
 
--- a/tests/test_gateway/test_callers/test_callers_limits.py
+++ b/tests/test_gateway/test_callers/test_callers_limits.py
@@ -30,7 +30,7 @@
     All instances share one process here, so on a busy machine each replica holder would look
     unresponsive with the usual timeout.
     """
-    monkeypatch.setattr(limit_exchange, 'ANSWER_MS', 2_000.0)
+    monkeypatch.setattr(limit_exchange, 'QUERY_TIMEOUT_MS', 2_000.0)
     accounts = [account('acme', KEY, rate_per_s=0.5, burst=10), account('other', OTHER)]
     fleet.configure(2, ROUTES, accounts)
     fleet.wait_version(2)
