--- a/citrondyke/decisions/audit/journal.py
+++ b/citrondyke/decisions/audit/journal.py
@@ -1,4 +1,4 @@
-"""Collects outcome records and seals them into objects, each naming the one before."""
+"""Collects audit records and seals them into a hash chain of stored segments."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def evidence_key(epoch_ms: float, instance_id: str, number: int) -> ObjectKey:
-    """Name an object of records; the names sort by time."""
+    """Return the object key of a segment; keys sort by time."""
     return ObjectKey(f'{EVIDENCE_PREFIX}{int(epoch_ms):015d}/{instance_id}/{number:08d}')
 
 
@@ -38,18 +38,18 @@
 
 
 class AuditJournal:
-    """One object in a while, with a bound on what waits during an outage.
+    """Seals a segment periodically; the records that wait during an outage are bounded.
 
-    The number and digest of the newest object also go into the instance's lease row, so that
-    even the removal of the newest object shows.
+    The number and digest of the newest segment are also stored in the instance's lease row, so
+    that the removal of the newest segment is detected as well.
     """
 
     def __init__(
         self, context: Context, session: SessionLease, every_ms: float, records_limit: int
     ) -> None:
-        """Start with no records.
+        """Start without records.
 
-        :param every_ms: pause between two objects.
+        :param every_ms: pause between two segments.
         :param records_limit: records that may wait for the object store.
         """
         self.dropped_count = 0
@@ -60,11 +60,11 @@
         self._records: deque[bytes] = deque()
         self._dropped_since_seal = 0
         self._is_sealing = False
-        #: An object that may be stored already, as its reply is not there.
+        #: Segment whose write is not confirmed; it may already be stored.
         self._pending: _SealedSegment | None = None
 
     def add(self, record: OutcomeRecord) -> None:
-        """Take in a record; one that does not fit is counted, and the count is shown."""
+        """Add a record; if the buffer is full, drop it and report it in the next header."""
         if len(self._records) >= self._records_limit:
             self.dropped_count += 1
             self._dropped_since_seal += 1
@@ -72,16 +72,16 @@
         self._records.append(msgspec.json.encode(record))
 
     def run(self) -> Workflow[None]:
-        """Seal what there is, again and again."""
+        """Seal a segment periodically."""
         yield from wait_for(self._session.began, None)
         while True:
             yield from sleep_until(self._context.now_ms() + self._every_ms)
             yield from self.seal()
 
     def seal(self) -> Workflow[bool]:
-        """Write an object of all records that wait; tell whether none are left.
+        """Store all waiting records as a segment; return whether none are left.
 
-        One at a time: a second seal beside the first would take the same records and number.
+        Only one seal runs at a time: a concurrent one would use the same records and number.
         """
         if not self._session.began.is_fired:
             return False
@@ -95,10 +95,10 @@
             self._is_sealing = False
 
     def _store_segment(self) -> Workflow[bool]:
-        """Store the object under way, or the next one.
+        """Store the unconfirmed segment, or the next one.
 
-        After a lost reply the very same object is stored again. Made anew it would have another
-        name, and its records would be there twice.
+        After a lost reply the same segment is stored again. A newly built one would have another
+        key, and its records would be stored twice.
         """
         self._pending = self._pending or self._next_segment()
         pending = self._pending
--- a/citrondyke/decisions/audit/record.py
+++ b/citrondyke/decisions/audit/record.py
@@ -1,4 +1,4 @@
-"""One outcome, as it is shown to a regulator."""
+"""Audit records of outcomes, for regulators."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 
 
 class RecordKind(Enum):
-    """What a record is about."""
+    """What a record describes."""
 
     ONLINE = 'online'
-    #: A request that runs at most once.
+    #: An at-most-once request.
     ONCE = 'once'
     JOB_ACCEPTED = 'job_accepted'
     JOB_ENDED = 'job_ended'
 
 
 class OutcomeRecord(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One request or job; also a line of a trace that can be replayed."""
+    """Outcome of one request or job; also a line of a replayable trace."""
 
     at_epoch_ms: float
     kind: RecordKind
@@ -32,13 +32,13 @@
     request_id: RequestId | str
     #: ``ok``, or the code of the failure.
     outcome: str
-    #: Whether the class's target was met; ``None`` where it does not apply.
+    #: Whether the class's target was met; ``None`` if it does not apply.
     is_kept: bool | None = None
     first_token_ms: float | None = None
     total_ms: float = 0.0
     prompt_bytes: int = 0
     tokens_count: int = 0
-    #: Time that the request had, from its arrival.
+    #: Time from the request's arrival to its deadline.
     within_ms: float = 0.0
     #: Jobs only.
     items_count: int = 0
@@ -48,16 +48,16 @@
 
 
 class SealHeader(msgspec.Struct, frozen=True, kw_only=True):
-    """First line of an object of records."""
+    """First line of a sealed segment."""
 
     instance_id: str
-    #: Counts the objects of this instance over all its lives, from 1.
+    #: Number of the segment over all incarnations of this instance, from 1.
     number: int
-    #: Digest of the object before; empty for the first.
+    #: Digest of the previous segment; empty for the first one.
     previous_digest: str
     records_count: int
-    #: Records that did not fit the buffer during an outage and are missing here.
+    #: Records that were dropped because the buffer was full during an outage.
     dropped_count: int = 0
-    #: Whether the life before this one ended without a planned stop: its last records, at most
-    #: as old as the pause between two objects, are missing.
+    #: Whether the previous incarnation ended without a graceful shutdown: its last records, from at
+    #: most the pause between two segments, are missing.
     is_after_crash: bool = False
--- a/citrondyke/decisions/audit/report.py
+++ b/citrondyke/decisions/audit/report.py
@@ -1,4 +1,4 @@
-"""Reads sealed records and says what was kept, what was not, and whether all is there."""
+"""Report on met and missed targets from sealed records, with a check for tampering."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 __all__ = ('AuditFault', 'AuditReport', 'ClassReport', 'build_report', 'read_records')
 
 SCAN_LIMIT = 1000
-#: Plain text of one object at the most; a forged one must not fill the memory.
+#: Largest uncompressed segment; a forged one must not exhaust the memory.
 OBJECT_LIMIT_BYTES = 256 * 1024 * 1024
 
 
 class AuditFault(msgspec.Struct, frozen=True):
-    """Something that is missing or was altered."""
+    """A missing or altered part of the audit log."""
 
     instance_id: str
     number: int
@@ -37,12 +37,12 @@
 
 
 class ClassReport(msgspec.Struct, kw_only=True):
-    """One class in a span of time."""
+    """Figures of one class in a time range."""
 
     requests_count: int = 0
     kept_count: int = 0
     missed_count: int = 0
-    #: Outcomes by code; their sum is the number of requests.
+    #: Outcomes by code; they add up to the number of requests and ended jobs.
     outcomes: dict[str, int] = msgspec.field(default_factory=dict)
     jobs_accepted_count: int = 0
     jobs_ended_count: int = 0
@@ -52,7 +52,7 @@
 
 
 class AuditReport(msgspec.Struct, kw_only=True):
-    """What a regulator is shown."""
+    """Report for a regulator."""
 
     from_epoch_ms: float
     to_epoch_ms: float
@@ -64,7 +64,7 @@
 def read_records(
     from_epoch_ms: float, to_epoch_ms: float, limit: int
 ) -> Workflow[list[OutcomeRecord] | PlatformFailure]:
-    """Read the sealed records of a span of time, at most ``limit``."""
+    """Read the sealed records of a time range, at most ``limit``."""
     segments = yield from _read_segments()
     if isinstance(segments, PlatformFailure):
         return segments
@@ -87,7 +87,7 @@
 def build_report(
     class_name: str | None, from_epoch_ms: float, to_epoch_ms: float
 ) -> Workflow[AuditReport | PlatformFailure]:
-    """Read every object, check the chains, and add up the records of a span of time.
+    """Read all segments, check their chains, and add up the records of a time range.
 
     :param class_name: only this class; ``None`` for all.
     """
@@ -119,7 +119,7 @@
 
 
 def _read_segments() -> Workflow[list[tuple[ObjectKey, _SealedSegment | None]] | PlatformFailure]:
-    """Read every sealed object; ``None`` stands for one that cannot be read."""
+    """Read all sealed segments; ``None`` stands for an unreadable one."""
     keys = yield from list_objects(EVIDENCE_PREFIX)
     if isinstance(keys, PlatformFailure):
         return keys
@@ -149,7 +149,7 @@
     chain: dict[int, _SealedSegment],
     session: SessionRow | None,
 ) -> None:
-    """Find holes and alterations; every object vouches for the one before it."""
+    """Find missing and altered segments by the digest in each following header."""
     last_number = max(chain, default=0)
     if session is not None and session.sealed_number > last_number:
         last_number = session.sealed_number
--- a/citrondyke/decisions/configuration/__init__.py
+++ b/citrondyke/decisions/configuration/__init__.py
@@ -1,3 +1,3 @@
-"""What operators set: classes, tenants, services, operators; versioned and never going back."""
+"""Configuration set by operators, with versions that never decrease."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/configuration/change.py
+++ b/citrondyke/decisions/configuration/change.py
@@ -1,4 +1,4 @@
-"""One accepted change of the configuration."""
+"""Accepted changes of the configuration."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class EntryEdit(msgspec.Struct, frozen=True):
-    """One entry as it was and as it is to be; ``None`` where there is none."""
+    """One entry before and after a change; ``None`` if it does not exist."""
 
     name: str
     before: ConfigEntry | None
@@ -23,24 +23,24 @@
 
 
 class ConfigChange(msgspec.Struct, frozen=True, kw_only=True):
-    """The step from one version to the next; the value of its row in the log."""
+    """A change from one version to the next; the value of its row in the log."""
 
-    #: The version that this change makes.
+    #: The version that this change creates.
     version: ConfigVersion
     edits: tuple[EntryEdit, ...]
     #: The operator who made it.
     who: str
-    #: Wall clock of the instance that accepted it; for people only.
+    #: Wall-clock time of the instance that accepted it; for people only.
     accepted_at_epoch_ms: float
 
 
 def log_row_key(version: ConfigVersion) -> RowKey:
-    """Give the key of a version's row; the keys sort as the versions do."""
+    """Return the key of a version's row; keys sort in version order."""
     return RowKey(f'{LOG_PREFIX}{version:012d}')
 
 
 def first_change(entries: Iterable[ConfigEntry], who: str) -> ConfigChange:
-    """Make the change that leads from the empty configuration to some entries."""
+    """Return the change from the empty configuration to the given entries."""
     return ConfigChange(
         version=ConfigVersion(1),
         edits=tuple(EntryEdit(entry_name(entry), None, entry) for entry in entries),
--- a/citrondyke/decisions/configuration/config_replica.py
+++ b/citrondyke/decisions/configuration/config_replica.py
@@ -1,4 +1,4 @@
-"""Keeps one instance's configuration in step with the log in the table service."""
+"""One instance's replica of the configuration log in the table service."""
 
 from __future__ import annotations
 
@@ -43,35 +43,35 @@
 __all__ = ('ConfigReplica', 'ProposalResult', 'SnapshotRow')
 
 SNAPSHOT_ROW = RowKey('config/snapshot')
-#: Changes between two snapshots; what a starting instance reads beside the snapshot.
+#: Changes between two snapshots; a starting instance reads up to this many after a snapshot.
 SNAPSHOT_EVERY = 200
-#: Changes kept in memory for peers that ask.
+#: Changes kept in memory for peers that pull.
 RECENT_CHANGES = 256
 SCAN_LIMIT = 500
-#: Time that a proposal may take before the operator is told that its fate is open.
+#: Time after which a proposal is reported to the operator as uncertain.
 PROPOSAL_TIMEOUT_MS = 5000.0
 
 ProposalResult: TypeAlias = ConfigChange | ConfigConflict | ConfigRejection | CommitFailure
 
 
 class SnapshotRow(msgspec.Struct, frozen=True):
-    """Where the newest snapshot lies."""
+    """Location of the newest snapshot."""
 
     version: ConfigVersion
     object_key: ObjectKey
 
 
 class ConfigReplica:
-    """The configuration in force here, and how it follows what was accepted."""
+    """The configuration in force on this instance; it follows the log of accepted changes."""
 
     def __init__(self, context: Context, poll_every_ms: float) -> None:
-        """Start empty; nothing is served before ``is_loaded``.
+        """Start with an empty configuration; nothing is served before ``is_loaded``.
 
-        :param poll_every_ms: pause between two looks at the log.
+        :param poll_every_ms: pause between two polls of the log.
         """
         self.current = Configuration()
         self.is_loaded = False
-        #: Fires at the next change; a new one takes its place then.
+        #: Fires at the next change, and is then replaced by a new signal.
         self.changed: Signal[None] = Signal()
         self._context = context
         self._poll_every_ms = poll_every_ms
@@ -79,9 +79,9 @@
         self._out_of_order: dict[ConfigVersion, ConfigChange] = {}
 
     def merge_changes(self, changes: Iterable[ConfigChange]) -> bool:
-        """Take changes from wherever they come; tell whether any was new.
+        """Merge changes from the log or from peers; return whether any was applied.
 
-        A change that is ahead of its predecessor waits for it.
+        A change that arrives before its predecessor waits for it.
         """
         for change in changes:
             if change.version > self.current.version and len(self._out_of_order) < RECENT_CHANGES:
@@ -99,17 +99,17 @@
         return applied
 
     def changes_after(self, version: ConfigVersion) -> list[ConfigChange]:
-        """Give what a peer at ``version`` lacks, as far as it is remembered here."""
+        """Return the changes after ``version``; empty if the next one is no longer in memory."""
         found = [change for change in self._recent if change.version > version]
         if found and found[0].version != version + 1:
             return []
         return found
 
     def run(self) -> Workflow[None]:
-        """Load the configuration, then follow the log for good.
+        """Load the configuration, then follow the log until the instance stops.
 
-        Loading needs the table service: a peer could be behind a version that this instance
-        served before a restart, and taking that older one would be a step back.
+        It is loaded from the table service only: a peer may have an older version than this
+        instance served before a restart, and versions must not decrease.
         """
         while not self.is_loaded:
             self.is_loaded = yield from self._load()
@@ -121,7 +121,7 @@
             yield from self.catch_up()
 
     def catch_up(self) -> Workflow[bool]:
-        """Read the log behind the version in force; tell whether its end was reached."""
+        """Read the log after the current version; return whether its end was reached."""
         while True:
             after = log_row_key(self.current.version)
             rows = yield from scan_rows(LOG_PREFIX, after, SCAN_LIMIT)
@@ -135,10 +135,10 @@
                 return True
 
     def propose(self, proposal: ConfigProposal, who: str) -> Workflow[ProposalResult]:
-        """Accept a change, or say why not; compare-and-set on the version.
+        """Accept a change by compare-and-set on the version, or return why it was not accepted.
 
-        The row of the next version can be written once only, so of two operators who race, one
-        finds the other's row and is told of it.
+        The row of the next version can be written only once, so of two concurrent proposals one
+        gets a conflict that contains the other.
         """
         reached = yield from self.catch_up()
         if proposal.expect_version != self.current.version:
@@ -162,7 +162,7 @@
         return change
 
     def history(self, after: ConfigVersion, limit: int) -> Workflow[list[ConfigChange] | None]:
-        """Read accepted changes; ``None`` where the table service does not answer."""
+        """Read accepted changes; ``None`` if the table service is unavailable."""
         rows = yield from scan_rows(LOG_PREFIX, log_row_key(after), limit)
         if isinstance(rows, PlatformFailure):
             return None
@@ -183,7 +183,7 @@
         return reached
 
     def _store_snapshot(self) -> Workflow[None]:
-        """Store a snapshot; one that fails is made up for by a later one."""
+        """Store a snapshot; after a failure a later snapshot replaces it."""
         snapshot = self.current.snapshot()
         key = ObjectKey(f'config/snapshot/{snapshot.version:012d}')
         failure = yield from put_object(key, msgspec.json.encode(snapshot))
@@ -248,10 +248,11 @@
 
 
 def _decode_readable(rows: Iterable[Row]) -> list[ConfigChange]:
-    """Read changes up to the first that this version does not understand.
+    """Decode changes up to the first one that this software version cannot read.
 
-    During an upgrade a newer instance may accept a change with a kind of entry that older ones do
-    not know. They stay at the version before it; ending over it would take all of them down.
+    During an upgrade a newer instance may accept a change with an entry type that older instances
+    do not know. They stay at the previous configuration version; exiting with an error would stop
+    all of them.
     """
     changes: list[ConfigChange] = []
     for row in rows:
--- a/citrondyke/decisions/configuration/configuration.py
+++ b/citrondyke/decisions/configuration/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration at one version."""
+"""The configuration at one version, with look-ups."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 class UnknownReference(msgspec.Struct, frozen=True):
-    """Stands in the place of a result: an entry names another that does not exist."""
+    """Returned instead of a result: an entry refers to another one that does not exist."""
 
     name: str
     missing: str
 
     def __bool__(self) -> bool:
-        """Count as no result."""
+        """Return ``False``, as there is no result."""
         return False
 
 
@@ -44,7 +44,7 @@
 
 
 class Configuration:
-    """All entries, with the look-ups that requests need; changed only by ``apply``."""
+    """All entries, indexed for requests; changed only by ``apply`` and ``restore``."""
 
     def __init__(self) -> None:
         """Start empty, at version 0."""
@@ -54,7 +54,7 @@
         self._operator_keys: KeyIndex[OperatorEntry] = KeyIndex()
 
     def restore(self, snapshot: ConfigSnapshot) -> None:
-        """Take the place of a snapshot, if it is newer."""
+        """Replace all entries by those of a snapshot, if it is newer."""
         if snapshot.version <= self.version:
             return
         self._entries.clear()
@@ -65,7 +65,7 @@
         self.version = snapshot.version
 
     def apply(self, change: ConfigChange) -> bool:
-        """Take the next version; any other is refused, so that no version goes back."""
+        """Apply the next version; any other is rejected, so that versions never decrease."""
         if change.version != self.version + 1:
             return False
         for edit in change.edits:
@@ -74,37 +74,37 @@
         return True
 
     def snapshot(self) -> ConfigSnapshot:
-        """Give all entries as stored."""
+        """Return all entries as a snapshot to store."""
         return ConfigSnapshot(self.version, tuple(self._entries.values()))
 
     def entry(self, name: str) -> ConfigEntry | None:
-        """Find an entry by its name, such as ``class/dispatch``."""
+        """Return an entry by its name, such as ``class/dispatch``."""
         return self._entries.get(name)
 
     def entries(self) -> dict[str, ConfigEntry]:
-        """Give all entries by name."""
+        """Return all entries by name."""
         return dict(self._entries)
 
     def class_entry(self, name: ClassName) -> ClassEntry | None:
-        """Find a class."""
+        """Return a class by name."""
         found = self._entries.get(f'class/{name}')
         return found if isinstance(found, ClassEntry) else None
 
     def service_entry(self, name: str) -> ServiceEntry | None:
-        """Find a service."""
+        """Return a service by name."""
         found = self._entries.get(f'service/{name}')
         return found if isinstance(found, ServiceEntry) else None
 
     def tenant_of_key(self, secret: str) -> TenantEntry | None:
-        """Find whose key this is."""
+        """Return the tenant that an API key belongs to."""
         return self._tenant_keys.find(key_hash(secret))
 
     def operator_of_key(self, secret: str) -> OperatorEntry | None:
-        """Find which operator's key this is."""
+        """Return the operator that an API key belongs to."""
         return self._operator_keys.find(key_hash(secret))
 
     def online_classes(self) -> list[ClassEntry]:
-        """List the classes with an online target."""
+        """List the online classes."""
         return [
             entry
             for entry in self._entries.values()
@@ -112,7 +112,7 @@
         ]
 
     def missing_reference(self, entry: ConfigEntry) -> UnknownReference | None:
-        """Find a class that a tenant names and that does not exist or is of the other kind."""
+        """Return a class that a tenant refers to and that is missing or of the wrong kind."""
         if not isinstance(entry, TenantEntry):
             return None
         for name, kind in (
--- a/citrondyke/decisions/configuration/entries.py
+++ b/citrondyke/decisions/configuration/entries.py
@@ -1,4 +1,4 @@
-"""The entries of the configuration, each by its own name."""
+"""Types of configuration entries."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class ClassKind(Enum):
-    """Which kind of target a class has."""
+    """Kind of a class's target."""
 
     ONLINE = 'online'
     BATCH = 'batch'
@@ -32,13 +32,13 @@
 
     name: ClassName
     kind: ClassKind
-    #: Online: 95 in 100 first tokens come within this time.
+    #: Online: 95 % of the first tokens arrive within this time.
     first_token_target_ms: float = 620.0
-    #: Online: 95 in 100 gaps between tokens are no longer than this.
+    #: Online: 95 % of the gaps between tokens are at most this long.
     token_gap_target_ms: float = 42.0
-    #: Batch: a job is to finish so long after it was accepted ...
+    #: Batch: a job should finish within this time after its acceptance ...
     finish_within_ms: float = 86_400_000.0
-    #: ... or, where set, by this minute of the day (UTC), whichever comes first.
+    #: ... or, if set, by this minute of the day (UTC), whichever comes first.
     finish_by_minute_utc: int | None = None
 
 
@@ -46,7 +46,7 @@
     """A customer account."""
 
     id: TenantId
-    #: SHA-256 of each key in force; two while a key rotates.
+    #: SHA-256 of each valid key; two during a key rotation.
     key_hashes: tuple[str, ...]
     online_class: ClassName
     batch_class: ClassName
@@ -56,7 +56,7 @@
     """A plain service that requests are routed to."""
 
     name: str
-    #: Whether a call may be sent again when its answer was lost.
+    #: Whether a call may be sent again after its response was lost.
     is_repeatable: bool = False
 
 
@@ -71,7 +71,7 @@
 
 
 def entry_name(entry: ConfigEntry) -> str:
-    """Give the name under which an entry stands, such as ``class/dispatch``."""
+    """Return the name of an entry, such as ``class/dispatch``."""
     match entry:
         case ClassEntry():
             return f'class/{entry.name}'
--- a/citrondyke/decisions/configuration/proposal.py
+++ b/citrondyke/decisions/configuration/proposal.py
@@ -1,4 +1,4 @@
-"""What an operator asks for, and how it is refused."""
+"""Configuration changes proposed by operators, and their rejection."""
 
 from __future__ import annotations
 
@@ -12,37 +12,37 @@
 
 
 class RequestedEdit(msgspec.Struct, frozen=True):
-    """Set an entry, or with ``None`` remove it."""
+    """Set an entry, or remove it if ``after`` is ``None``."""
 
     name: str
     after: ConfigEntry | None = None
 
 
 class ConfigProposal(msgspec.Struct, frozen=True):
-    """A change on top of a version that the operator has seen."""
+    """A proposed change to a version that the operator has seen."""
 
     expect_version: ConfigVersion
     edits: tuple[RequestedEdit, ...]
 
 
 class ConfigConflict(msgspec.Struct, frozen=True):
-    """Stands in the place of an acceptance: others changed the configuration since."""
+    """Returned instead of a change: the configuration has changed since."""
 
     current_version: ConfigVersion
-    #: What they changed, oldest first; empty where the log was out of reach.
+    #: The changes since, oldest first; empty if they are no longer in memory.
     changes: tuple[ConfigChange, ...]
 
     def __bool__(self) -> bool:
-        """Count as no acceptance."""
+        """Return ``False``, as nothing was accepted."""
         return False
 
 
 class ConfigRejection(msgspec.Struct, frozen=True):
-    """Stands in the place of an acceptance: the change itself is wrong."""
+    """Returned instead of a change: the proposal is invalid."""
 
     field: str
     allowed: str
 
     def __bool__(self) -> bool:
-        """Count as no acceptance."""
+        """Return ``False``, as nothing was accepted."""
         return False
--- a/citrondyke/decisions/membership/__init__.py
+++ b/citrondyke/decisions/membership/__init__.py
@@ -1,3 +1,3 @@
-"""Which instances live, whose leases stand, who looks after which backend server."""
+"""Membership: live instances, their leases, and the stewards of backend servers."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/membership/lease_watch.py
+++ b/citrondyke/decisions/membership/lease_watch.py
@@ -1,4 +1,4 @@
-"""Judges the leases of others by this instance's own clock."""
+"""Detects expired leases of other instances by this instance's own clock."""
 
 from __future__ import annotations
 
@@ -18,37 +18,39 @@
 
 __all__ = ('LeaseWatch',)
 
-#: Instances that are watched at once; the one looked at longest ago is forgotten first.
+#: Instances that are tracked; the one whose counter changed longest ago is dropped first.
 WATCHED_LIMIT = 4096
 
 
 class _Observation(msgspec.Struct):
     epoch: int
     counter: int
-    #: When the counter was first seen at this value, in an unbroken run of looks.
+    #: When the counter was first seen at this value, in an uninterrupted series of polls.
     since_ms: float
     polled_ms: float
 
 
 class LeaseWatch:
-    """Tells whose holder is gone, from looks at the lease rows."""
+    """Detects expired leases from polls of the lease rows."""
 
     def __init__(self, lease_ms: float, longest_gap_ms: float) -> None:
-        """Start having seen nothing.
+        """Start without observations.
 
-        :param lease_ms: how long a counter must stand still.
-        :param longest_gap_ms: looks further apart than this do not prove a standstill.
+        :param lease_ms: how long a counter must stay unchanged.
+        :param longest_gap_ms: longest gap between polls that still count as one series.
         """
         self._lease_ms = lease_ms
         self._longest_gap_ms = longest_gap_ms
         self._seen: OrderedDict[InstanceId, _Observation] = OrderedDict()
 
     def has_expired(self, session: SessionId, row: SessionRow | None, now_ms: float) -> bool:
-        """Look at the holder's lease row and judge whether this life of it is over.
+        """Return whether a session's lease has expired, by the current lease row.
 
-        After an outage of the table service every counter has stood still, as nobody could renew.
-        Judged by the last look before it, all leases would seem to have run out and every segment
-        would change hands; so a gap between two looks begins the wait anew.
+        During an outage of the table service no instance can renew, so all counters stay unchanged.
+        Compared with the last poll before the outage, all leases would seem to have expired and all
+        segments would change owners. A gap between two polls therefore restarts the wait.
+
+        :param row: the instance's lease row as just read; ``None`` if it does not exist.
         """
         instance_id, epoch = split_session_id(session)
         if row is None or row.epoch > epoch:
--- a/citrondyke/decisions/membership/members.py
+++ b/citrondyke/decisions/membership/members.py
@@ -1,4 +1,4 @@
-"""Which other instances live: the platform's list, corrected by what peers say and by silence."""
+"""Membership of the fleet: the platform's list, corrected by pings and gossip."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 
 __all__ = ('Members',)
 
-#: Facts that ride on one ping or ack.
+#: Facts piggybacked on one ping or ack.
 FACTS_PER_MESSAGE = 6
-#: How often a fact is passed on, for each doubling of the fleet.
+#: How often a fact is sent, for each doubling of the fleet size.
 REPEATS_PER_DOUBLING = 3
 
 
@@ -36,31 +36,31 @@
 
 
 class Members:
-    """Probes one peer at a time and passes on what it learns, at a cost that does not grow.
+    """SWIM-style membership whose cost per instance does not grow with the fleet.
 
-    Each round one peer is pinged, in shuffled turns; two pings without an answer make their
-    target a suspect, and the news rides on the pings and acks that are sent anyway. What is
-    decided from it is advice only: it may be wrong, at the price of latency.
+    Each round one peer is pinged, in shuffled order. Two unanswered pings in a row make a peer a
+    suspect, and this fact is piggybacked on the regular pings and acks. Decisions based on
+    membership must tolerate errors: a wrong state costs latency only.
     """
 
     def __init__(self, context: Context) -> None:
-        """Start alone."""
+        """Start without peers."""
         self.incarnation = 1
         self.is_leaving = False
-        #: Raised whenever the set of live instances changes.
+        #: Incremented whenever the set of live instances changes.
         self.revision = 0
         self._context = context
         self._members: dict[InstanceId, _Member] = {}
         self._updates: dict[InstanceId, _MemberUpdate] = {}
         self._ping_order: list[InstanceId] = []
         self._number = 0
-        #: Whom the last ping was sent to, while it is not answered.
+        #: Target of the last ping, until it is answered.
         self._awaited: InstanceId | None = None
-        #: Who did not answer one ping.
+        #: Peer that did not answer its last ping.
         self._missed_once: InstanceId | None = None
 
     def update_list(self, instances: Iterable[ListedInstance]) -> None:
-        """Take in the platform's list, which may be old."""
+        """Apply the platform's list, which may be stale."""
         listed = {each.id: each for each in instances if each.id != self._context.instance_id}
         for instance_id, entry in listed.items():
             member = self._members.get(instance_id)
@@ -77,7 +77,7 @@
             self.revision += 1
 
     def next_ping(self) -> tuple[InstanceId, Ping] | None:
-        """Close the last round and begin the next; ``None`` without peers.
+        """Finish the last round and return the next ping; ``None`` without peers.
 
         Call once a round.
         """
@@ -89,7 +89,7 @@
                 self._mark_suspect(unresponsive)
                 unresponsive = None
             else:
-                # One lost datagram must not move servers to another steward: ask once more.
+                # A single lost datagram must not move servers to another steward: ping once more.
                 self._missed_once = unresponsive
         else:
             unresponsive = self._missed_once = None
@@ -101,45 +101,45 @@
         return target, Ping(self._number, self._facts_to_send(target))
 
     def on_ping(self, sender: InstanceId, ping: Ping) -> Ack:
-        """Answer a ping."""
+        """Handle a ping and return the ack."""
         self._record_contact(sender)
         self._apply_facts(ping.facts)
         return Ack(ping.number, self._facts_to_send(sender))
 
     def on_ack(self, sender: InstanceId, ack: Ack) -> None:
-        """Take in an answer."""
+        """Handle an ack."""
         if sender == self._awaited and ack.number == self._number:
             self._awaited = None
         self._record_contact(sender)
         self._apply_facts(ack.facts)
 
     def leave(self) -> None:
-        """Tell all that this instance takes on nothing more."""
+        """Publish that this instance is leaving and accepts no new work."""
         self.is_leaving = True
         self.incarnation += 1
         self._spread(self._own_fact())
 
     def leaving_ping(self) -> Ping:
-        """Make a ping that tells one peer directly that this instance leaves."""
+        """Return a ping that notifies one peer directly that this instance is leaving."""
         self._number += 1
         return Ping(self._number, (self._own_fact(),))
 
     def peers(self) -> list[ListedInstance]:
-        """List all instances worth a message, suspects included."""
+        """List all other instances, including suspects."""
         return [member.listed for member in self._members.values()]
 
     def address(self, instance_id: InstanceId) -> ListedInstance | None:
-        """Give an instance's entry in the list."""
+        """Return an instance's entry in the list."""
         member = self._members.get(instance_id)
         return None if member is None else member.listed
 
     def state_of(self, instance_id: InstanceId) -> MemberState | None:
-        """Give what is believed of an instance."""
+        """Return the known state of an instance."""
         member = self._members.get(instance_id)
         return None if member is None else member.state
 
     def alive(self) -> set[InstanceId]:
-        """Give the instances that are not suspected, those that are leaving included."""
+        """Return the instances that are not suspects, including leaving ones."""
         found = {
             instance_id
             for instance_id, member in self._members.items()
@@ -149,7 +149,10 @@
         return found
 
     def live(self) -> list[tuple[InstanceId, AvailabilityZone]]:
-        """List the instances that can look after a server, this one included."""
+        """List the instances that can be stewards, including this one.
+
+        Unlike ``alive``, this excludes leaving instances.
+        """
         found = [
             (member.listed.id, member.listed.zone)
             for member in self._members.values()
@@ -169,7 +172,7 @@
         return self._ping_order.pop() if self._ping_order else None
 
     def _record_contact(self, sender: InstanceId) -> None:
-        """Believe in a peer that speaks, until it says itself that it leaves."""
+        """Mark a suspect as alive after a message from it; a leaving instance stays leaving."""
         member = self._members.get(sender)
         if member is None or member.state is not MemberState.SUSPECT:
             return
@@ -192,7 +195,10 @@
             self._apply_fact(fact)
 
     def _refute(self, fact: MemberFact) -> None:
-        """Answer a rumour of one's own death; after a freeze it is how stewardship comes back."""
+        """Refute a fact about this instance with a higher incarnation.
+
+        After a freeze this is how the instance regains its stewardship.
+        """
         if fact.state is MemberState.ALIVE or fact.incarnation < self.incarnation:
             return
         if self.is_leaving and fact.state is MemberState.LEAVING:
@@ -223,7 +229,7 @@
         self._updates[fact.instance_id] = _MemberUpdate(fact, REPEATS_PER_DOUBLING * doublings)
 
     def _facts_to_send(self, receiver: InstanceId) -> tuple[MemberFact, ...]:
-        """Choose what rides along; a suspect is always told, so that it can refute."""
+        """Choose facts to piggyback; a suspect always gets its own, so that it can refute it."""
         chosen = sorted(self._updates.values(), key=lambda update: -update.repeats_left)
         chosen = chosen[:FACTS_PER_MESSAGE]
         for update in chosen:
--- a/citrondyke/decisions/membership/peer_messages.py
+++ b/citrondyke/decisions/membership/peer_messages.py
@@ -1,4 +1,4 @@
-"""What instances tell each other, without any promise that it arrives."""
+"""Messages between instances, sent without a delivery guarantee."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class MemberState(Enum):
-    """What is said of an instance."""
+    """State of an instance as gossiped between peers."""
 
     ALIVE = 'alive'
     SUSPECT = 'suspect'
@@ -32,16 +32,16 @@
 
 
 class MemberFact(msgspec.Struct, frozen=True):
-    """One instance's state; a higher incarnation goes before a lower one."""
+    """One instance's state; a higher incarnation overrides a lower one."""
 
     instance_id: InstanceId
     state: MemberState
-    #: Raised by the instance itself when it hears that it is suspected.
+    #: Incremented by the instance itself when it learns that it is suspected.
     incarnation: int
 
 
 class Ping(msgspec.Struct, frozen=True):
-    """Asks for an ``Ack``."""
+    """Requests an ``Ack``."""
 
     number: int
     facts: tuple[MemberFact, ...] = ()
@@ -55,37 +55,37 @@
 
 
 class OnlineNotice(msgspec.Struct, frozen=True):
-    """An entry instance's online requests on a server, to the server's steward.
+    """An entry instance's online load on a server, sent to the server's steward.
 
-    The number is absolute, so that a lost notice is made good by the next.
+    The count is absolute, so that the next notice makes up for a lost one.
     """
 
     server_id: ServerId
     online_count: int
-    #: A gap between two tokens that was seen there since the last notice; 0 for none.
+    #: Shortest gap between two tokens of one response since the last notice; 0 for none.
     step_us: int = 0
 
 
 class ServerState(msgspec.Struct, frozen=True):
-    """A steward's answer: all online requests on the server, and what it bears."""
+    """A steward's reply: all online requests on a server, and the server's limits."""
 
     server_id: ServerId
     online_count: int
-    #: Online requests that the server bears within their targets.
+    #: Online requests within which the tightest target is met.
     online_limit: int
-    #: Up to how many each one more makes the server do more work.
+    #: Online requests up to which throughput still grows.
     comfort_limit: int
     is_leaving: bool
 
 
 class ConfigPush(msgspec.Struct, frozen=True):
-    """An accepted change, straight from the instance that accepted it."""
+    """An accepted change, pushed by the instance that accepted it."""
 
     change: ConfigChange
 
 
 class JobStopped(msgspec.Struct, frozen=True):
-    """A job was cancelled: cut its streams."""
+    """A job was cancelled: abort its streams."""
 
     job_id: JobId
 
--- a/citrondyke/decisions/membership/session_lease.py
+++ b/citrondyke/decisions/membership/session_lease.py
@@ -1,4 +1,4 @@
-"""Holds this instance's lease."""
+"""The lease of this instance's session."""
 
 from __future__ import annotations
 
@@ -25,18 +25,18 @@
 
 __all__ = ('SessionLease',)
 
-#: Time that one attempt to begin or to end a session may take.
+#: Timeout of one attempt to begin or to release a session.
 COMMIT_TIMEOUT_MS = 5000.0
 
 
 class SessionLease:
-    """Begins a session, renews it while the instance lives, and releases it."""
+    """Begins a session, renews its lease, and releases it at shutdown."""
 
     def __init__(self, context: Context, renew_every_ms: float, lease_ms: float) -> None:
         """Start without a session.
 
         :param renew_every_ms: pause between two renewals.
-        :param lease_ms: how long a counter must stand still for others to take over.
+        :param lease_ms: how long the counter must stay unchanged before others take over.
         """
         self.began: Signal[None] = Signal()
         self._context = context
@@ -48,32 +48,32 @@
         self._version: int | None = None
         self._confirmed_ms = float('-inf')
         self._is_released = False
-        #: Number and digest of the newest object of outcome records.
+        #: Number and digest of the newest sealed segment of audit records.
         self.sealed = (0, '')
-        #: Whether this life sealed any.
+        #: Whether this incarnation has sealed a segment.
         self.has_sealed = False
-        #: Whether the life before this one ended without giving its lease back.
+        #: Whether the previous incarnation ended without releasing its lease.
         self.is_after_crash = False
 
     def record_sealed(self, number: int, digest: str) -> None:
-        """Take in the newest object of outcome records; the next renewal stores it."""
+        """Record the newest sealed segment of audit records; the next renewal stores it."""
         self.sealed = (number, digest)
         self.has_sealed = True
 
     @property
     def session(self) -> SessionId:
-        """Name this life; only meaningful once ``began`` has fired."""
+        """Identify this incarnation; only valid once ``began`` has fired."""
         return session_id(self._context.instance_id, self._epoch)
 
     @property
     def epoch(self) -> int:
-        """Count the lives of this instance up to this one."""
+        """Number of this incarnation."""
         return self._epoch
 
     def is_lease_valid(self) -> bool:
-        """Tell whether no other instance can have taken this one for dead.
+        """Return whether no other instance can have taken this one for dead.
 
-        A process that was frozen past its lease wakes up here with an old time of confirmation.
+        After a freeze that outlasts the lease, the time of the last confirmed renewal is too old.
         """
         return self._context.now_ms() - self._confirmed_ms < self._lease_ms
 
@@ -91,7 +91,7 @@
             yield from self._renew()
 
     def release(self) -> Workflow[None]:
-        """Give the lease back, so that others take over without waiting for its end."""
+        """Release the lease, so that others take over without waiting for it to expire."""
         if self._is_released or not self.began.is_fired:
             return
         self._is_released = True
@@ -135,8 +135,8 @@
             return
         if isinstance(result, CommitFailure):
             return
-        # Only this instance writes the row, so a conflict is an earlier renewal of its own whose
-        # reply was lost, or a second process with the same id, which then has a higher epoch.
+        # Only this instance writes the row. A conflict is therefore an earlier renewal whose reply
+        # was lost, or a second process with the same id, which then has a higher epoch.
         row = result.rows.get(self._key)
         if row is None:
             return
--- a/citrondyke/decisions/membership/session_row.py
+++ b/citrondyke/decisions/membership/session_row.py
@@ -1,4 +1,4 @@
-"""The lease of one instance, as stored."""
+"""Stored lease of one instance."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SessionState(Enum):
-    """Whether the holder gave its lease back."""
+    """Whether the lease is held or was released."""
 
     HELD = 'held'
     RELEASED = 'released'
@@ -23,27 +23,27 @@
 class SessionRow(msgspec.Struct, frozen=True):
     """Value of an instance's lease row."""
 
-    #: Counts the lives of the instance.
+    #: Number of the instance's incarnation.
     epoch: int
-    #: Raised by each renewal; whoever watches it measures on its own clock.
+    #: Incremented by each renewal; observers measure its standstill on their own clocks.
     counter: int
     state: SessionState
-    #: Number and digest of the newest object of outcome records.
+    #: Number and digest of the newest sealed segment of audit records.
     sealed_number: int = 0
     sealed_digest: str = ''
 
 
 def session_row_key(instance_id: InstanceId) -> RowKey:
-    """Give the key of an instance's lease row."""
+    """Return the key of an instance's lease row."""
     return RowKey(f'{SESSION_PREFIX}{instance_id}')
 
 
 def session_id(instance_id: InstanceId, epoch: int) -> SessionId:
-    """Name one life of an instance."""
+    """Return the id of one incarnation of an instance."""
     return SessionId(f'{instance_id}#{epoch}')
 
 
 def split_session_id(session: SessionId) -> tuple[InstanceId, int]:
-    """Take a session's name apart."""
+    """Split a session id into the instance id and the epoch."""
     instance_id, _, epoch = session.rpartition('#')
     return InstanceId(instance_id), int(epoch)
--- a/citrondyke/decisions/membership/stewards.py
+++ b/citrondyke/decisions/membership/stewards.py
@@ -1,4 +1,4 @@
-"""Which instance looks after which backend server."""
+"""Assignment of backend servers to stewards."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     zone: AvailabilityZone,
     live: Iterable[tuple[InstanceId, AvailabilityZone]],
 ) -> InstanceId | None:
-    """Choose a server's steward by rendezvous hashing, its own zone first.
+    """Choose a server's steward by rendezvous hashing, preferring the server's zone.
 
-    Two instances that see different members may both think that they are it. That costs some
-    tail latency until they agree, and nothing else.
+    Instances with different membership views may both consider themselves the steward. Until they
+    agree this costs some tail latency, and nothing else.
     """
     best: tuple[bool, int, InstanceId] | None = None
     for instance_id, instance_zone in live:
--- a/tests/test_membership/__init__.py
+++ b/tests/test_membership/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of leaving and of who lives."""
+"""Tests of membership and of leaving instances and servers."""
 
 from __future__ import annotations
--- a/tests/test_membership/test_membership_leaving.py
+++ b/tests/test_membership/test_membership_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving server gets nothing new, and a planned stop cuts off nothing."""
+"""Leaving servers get no new requests, and a graceful shutdown interrupts none."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Stream(threading.Thread):
-    """Callers that ask on and on through whichever instances the balancer shows as ready."""
+    """A caller that sends requests in a loop through instances that report ready."""
 
     def __init__(self, fleet: Fleet, names: list[str]) -> None:
         super().__init__(daemon=True)
@@ -66,9 +66,9 @@
 
 @pytest.mark.fleet(instances=3, engines=2)
 def test_rolling_replacement_cuts_off_nothing(fleet: Fleet) -> None:
-    # All instances are replaced one after the other while calls come in and a job runs. Each
-    # says "leaving" first, serves what still arrives, ends its calls and hands its segments back.
-    # No call fails, every item of the job is answered once, and each process ends with 0.
+    # All instances are replaced one by one while calls arrive and a job runs. Each one publishes
+    # that it is leaving, serves calls that still arrive, finishes them and releases its segments.
+    # No call fails, every item has one outcome, and each process exits with 0.
     names = [f'instance-{n}' for n in range(3)]
     job_id = fleet.submit(fleet.caller(), chat_lines(900), CHAT)
     streams = [Stream(fleet, names) for _ in range(4)]
@@ -89,9 +89,9 @@
 
 
 @pytest.mark.fleet(instances=2, engines=0, services=())
-def test_planned_stop_lets_an_order_end(fleet: Fleet) -> None:
-    # An order runs at a slow service when its instance is told to stop. A resend through the other
-    # instance must not take it for orphaned: both callers get the one answer, and it ran once.
+def test_graceful_shutdown_finishes_an_order(fleet: Fleet) -> None:
+    # An order runs at a slow service when its instance is stopped. A resend through the other
+    # instance must not take it for orphaned: both callers get the same response, and it ran once.
     fleet.start_service('orders-server', 'orders', run_ms=2500)
     for name in ('instance-0', 'instance-1'):
         wait_until(lambda name=name: knows_a_server(fleet, name), 'the service to be listed')  # type: ignore[misc]
@@ -109,9 +109,9 @@
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_planned_stop_lets_an_upload_end(fleet: Fleet) -> None:
-    # A job file arrives slowly when its instance is told to stop; the rest of it comes after the
-    # balancer has turned away. The upload is answered, not cut.
+def test_graceful_shutdown_finishes_an_upload(fleet: Fleet) -> None:
+    # A job file arrives slowly when its instance is stopped; the rest arrives after the balancer
+    # has stopped sending. The upload must get its response.
     lines = chat_lines(200)
     body = (
         b'--x\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n'
@@ -139,10 +139,10 @@
 
 
 @pytest.mark.fleet(instances=2, engines=2)
-def test_leaving_server_gets_nothing_new_though_the_list_lags(fleet: Fleet) -> None:
-    # The list still shows an engine as live, a minute late, while the engine itself says that it
-    # is leaving. Its steward hears that and tells all instances, also one that has nothing there:
-    # what it has goes on, and it gets nothing new, online or batch.
+def test_leaving_server_gets_no_new_requests_despite_a_lagging_list(fleet: Fleet) -> None:
+    # The list lags by a minute and shows an engine as live, while the engine itself reports that it
+    # is leaving. Its steward notifies all instances, including one without requests there. Running
+    # requests continue, and the engine gets no new online or batch requests.
     fleet.platform.call('PUT', '/control/lag', 60_000.0)
     callers = [fleet.caller(f'instance-{n}') for n in range(2)]
     fleet.list_server('engine-0', 'demo-model', 'leaving')
