--- a/citrondyke/gateway/callers/caller_frontend.py
+++ b/citrondyke/gateway/callers/caller_frontend.py
@@ -50,7 +50,7 @@
         replicated: ReplicatedState,
         dialect: Dialect,
         forwarder: Forwarder,
-        intake: JobAcceptor,
+        acceptor: JobAcceptor,
         jobs: JobEndpoint,
         metrics: Metrics,
         gate: StartupGate,
@@ -66,7 +66,7 @@
         self._replicated = replicated
         self._dialect = dialect
         self._forwarder = forwarder
-        self._intake = intake
+        self._intake = acceptor
         self._jobs = jobs
         self._metrics = metrics
         self._gate = gate
--- a/citrondyke/gateway/graceful_shutdown.py
+++ b/citrondyke/gateway/graceful_shutdown.py
@@ -42,17 +42,17 @@
         clock: Clock,
         frontend: CallerFrontend,
         listener: StreamServer,
-        hand_over: Callable[[float], None],
+        transfer_ownership: Callable[[float], None],
     ) -> None:
         """Use the parts handed in.
 
         :param listener: accepts the callers' connections.
-        :param hand_over: transfers the ownership of jobs until a deadline.
+        :param transfer_ownership: transfers the ownership of jobs until a deadline.
         """
         self._clock = clock
         self._frontend = frontend
         self._listener = listener
-        self._transfer_ownership = hand_over
+        self._transfer_ownership = transfer_ownership
 
     def run(self, within_ms: float) -> None:
         """Run the shutdown.
--- a/citrondyke/gateway/instance.py
+++ b/citrondyke/gateway/instance.py
@@ -203,9 +203,9 @@
             self.store,
             self.suspects,
             self._loads.take,
-            self.batch.committer.look_at,
+            self.batch.committer.check_job,
             self.guard.on_message,
-            self.batch.take_needs,
+            self.batch.apply_peer_demand,
             self._evidence.take,
             adapters.table,
             PeerTraffic(self.context, self.metrics),
@@ -217,7 +217,7 @@
         )
         self.book.on_choose(self.peers.look)
         self.batch.use_peers(self.peers.look, self.peers.send)
-        self.jobs = self.batch.door(self.peers.notify_job_changed)
+        self.jobs = self.batch.make_endpoint(self.peers.notify_job_changed)
         self.gate = StartupGate(
             self.context,
             StartupHold(self.context),
@@ -235,7 +235,7 @@
             self.replicated,
             adapters.dialect,
             forwarder,
-            self.batch.intake,
+            self.batch.acceptor,
             self.jobs,
             self.metrics,
             self.gate,
@@ -337,7 +337,7 @@
         stop.run(self._settings.stop_within_ms)
 
     def _transfer_ownership(self, until_ms: float) -> None:
-        self.batch.hand_over(until_ms)
+        self.batch.transfer_ownership(until_ms)
         self.membership.leave()
 
     @property
--- a/citrondyke/gateway/jobs/backlog_count.py
+++ b/citrondyke/gateway/jobs/backlog_count.py
@@ -33,20 +33,20 @@
     def __init__(
         self,
         context: Context,
-        life: str,
+        incarnation: str,
         route: RouteName,
         owned: OwnedJobs,
-        facts: FleetQueries,
+        queries: FleetQueries,
     ) -> None:
         """Count nothing yet.
 
-        :param life: names this life of this instance.
+        :param incarnation: names this incarnation of this instance.
         """
         self._context = context
-        self._life = life
+        self._incarnation = incarnation
         self._route = route
         self._owned = owned
-        self._facts = facts
+        self._queries = queries
         self._pending: dict[JobId, _Pending] = {}
 
     def has(self, job_id: JobId) -> bool:
@@ -77,7 +77,7 @@
         by_id = self._owned.by_id
         owned = sum(job.backlog_tokens for job in self._jobs())
         pending = sum(each.tokens for job_id, each in self._pending.items() if job_id not in by_id)
-        return owned + pending + sum(head.tokens for head in self._unheard())
+        return owned + pending + sum(head.tokens for head in self._unrecorded())
 
     def finished(self) -> int:
         """Count the tokens of the finished items of open jobs."""
@@ -86,12 +86,12 @@
     def _jobs(self) -> Iterable[OwnedJob]:
         return [job for job in self._owned.by_id.values() if job.head.backlog_name == self._route]
 
-    def _unheard(self) -> Iterable[JobHead]:
+    def _unrecorded(self) -> Iterable[JobHead]:
         """List the jobs that this instance accepted though it heard of it by the store only."""
         return [
             head
-            for head in self._facts.heads()
-            if head.owner_life == self._life
+            for head in self._queries.heads()
+            if head.owner_life == self._incarnation
             and head.backlog_name == self._route
             and not self.has(head.job_id)
         ]
--- a/citrondyke/gateway/jobs/backlog_tokens.py
+++ b/citrondyke/gateway/jobs/backlog_limiter.py
@@ -13,10 +13,10 @@
 
 from citrondyke.decisions.accounts.account import ANONYMOUS_ACCOUNT
 from citrondyke.decisions.batch.job import backlog_name_of
-from citrondyke.gateway.jobs.route_backlog_tokens import (
+from citrondyke.gateway.jobs.route_backlog_limiter import (
     NEAR_LIMIT_POLL_MS,
     BacklogReservation,
-    RouteBacklogTokens,
+    RouteBacklogLimiter,
 )
 
 if TYPE_CHECKING:
@@ -33,25 +33,25 @@
     from citrondyke.ids import ConfigVersion, JobId, RouteName, TenantId
     from citrondyke.storage.failure import PlatformFailure
 
-__all__ = ('BacklogTokens',)
+__all__ = ('BacklogLimiter',)
 
 #: How often an instance with jobs looks at the shares far from the bound: what it holds in vain is
 #: given back within two looks.
-LOOK_MS = 1_000.0
+POLL_MS = 1_000.0
 #: Looks that are asked for come this much apart: jobs in a row each use up what is held in vain.
 SHORTEST_POLL_MS = 50.0
 
 
-class BacklogTokens:
+class BacklogLimiter:
     """Takes part in the shares of each route that has a bound."""
 
     def __init__(
         self,
         context: Context,
-        life: str,
+        incarnation: str,
         shares: TokenShares,
         owned: OwnedJobs,
-        facts: FleetQueries,
+        queries: FleetQueries,
         config: Callable[[], RouteTable],
         overshoot: float,
     ) -> None:
@@ -61,21 +61,21 @@
         :param overshoot: tolerated part of a bound beyond it.
         """
         self._context = context
-        self._life = life
+        self._incarnation = incarnation
         self._shares = shares
         self._owned = owned
-        self._facts = facts
+        self._queries = queries
         self._config = config
         self._overshoot = overshoot
         #: By the name of the bound.
-        self._by_bound: dict[RouteName, RouteBacklogTokens] = {}
+        self._by_limit: dict[RouteName, RouteBacklogLimiter] = {}
         #: Routes and accounts that jobs were handed in for here.
-        self._used: set[tuple[RouteName, TenantId]] = set()
-        self._wanted = Event()
+        self._used_routes: set[tuple[RouteName, TenantId]] = set()
+        self._poll_requested = Event()
 
-    def start(self, tasks: Tasks, pace: Callable[[], float]) -> None:
+    def start(self, tasks: Tasks, store_interval_factor: Callable[[], float]) -> None:
         """Begin to keep the own shares at what is used."""
-        tasks.supervise(lambda: self._run(pace))
+        tasks.supervise(lambda: self._run(store_interval_factor))
 
     def reserve(
         self,
@@ -92,73 +92,73 @@
         """
         config = self._config()
         # It may be of a configuration from before the body was read.
-        self._used.add((route.name, account))
-        route = _bounded(config.by_name.get(route.name, route), account)
+        self._used_routes.add((route.name, account))
+        route = _named_by_limit(config.by_name.get(route.name, route), account)
         if not route.waiting_tokens_limit:
-            known = self._by_bound.get(route.name)
+            known = self._by_limit.get(route.name)
             failure = None if known is None else known.withdraw()
             return BacklogReservation.NOT_NEEDED if failure is None else failure
-        return self._of(route.name).reserve(route, config.version, job_id, tokens, until_ms)
+        return self._limiter_of(route.name).reserve(route, config.version, job_id, tokens, until_ms)
 
-    def settle(self, bound: RouteName, job_id: JobId, *, in_doubt: bool) -> None:
+    def settle(self, limit_name: RouteName, job_id: JobId, *, in_doubt: bool) -> None:
         """Take in how an acceptance ended; one in doubt counts until it cannot come any more."""
-        if bound in self._by_bound:
-            self._by_bound[bound].settle(job_id, in_doubt=in_doubt)
+        if limit_name in self._by_limit:
+            self._by_limit[limit_name].settle(job_id, in_doubt=in_doubt)
 
-    def note_taken_over(self) -> None:
+    def record_taken_over(self) -> None:
         """Have the own share told soon: jobs of somebody else belong to this instance now."""
-        self._wanted.set()
+        self._poll_requested.set()
 
-    def leave(self) -> None:
+    def shutdown(self) -> None:
         """Accept nothing more before a planned stop; the jobs are given back after it."""
-        for tokens in self._by_bound.values():
-            tokens.leave()
+        for tokens in self._by_limit.values():
+            tokens.shutdown()
 
-    def look(self, route: Route, config_version: ConfigVersion) -> None:
+    def poll(self, route: Route, config_version: ConfigVersion) -> None:
         """Bring the own share of a route to what is used."""
-        self._of(route.name).look(route, config_version)
+        self._limiter_of(route.name).poll(route, config_version)
 
-    def _run(self, pace: Callable[[], float]) -> None:
+    def _run(self, store_interval_factor: Callable[[], float]) -> None:
         while True:
-            is_near_limit = any(tokens.is_near_limit for tokens in self._by_bound.values())
-            pause_ms = (NEAR_LIMIT_POLL_MS if is_near_limit else LOOK_MS) * pace()
-            self._wanted.wait(self._context.jittered_ms(pause_ms) / 1e3)
+            is_near_limit = any(tokens.is_near_limit for tokens in self._by_limit.values())
+            pause_ms = (NEAR_LIMIT_POLL_MS if is_near_limit else POLL_MS) * store_interval_factor()
+            self._poll_requested.wait(self._context.jittered_ms(pause_ms) / 1e3)
             gevent.sleep(SHORTEST_POLL_MS / 1e3)
-            self._wanted.clear()
+            self._poll_requested.clear()
             config = self._config()
-            for route in self._routes_to_look_at(config):
+            for route in self._routes_to_poll(config):
                 if route.waiting_tokens_limit:
-                    self.look(route, config.version)
-                elif route.name in self._by_bound:
-                    self._by_bound[route.name].withdraw()
+                    self.poll(route, config.version)
+                elif route.name in self._by_limit:
+                    self._by_limit[route.name].withdraw()
 
-    def _routes_to_look_at(self, config: RouteTable) -> Iterable[Route]:
+    def _routes_to_poll(self, config: RouteTable) -> Iterable[Route]:
         """List the routes by their bounds, of accounts only those that have used one here."""
         if config.accounts is None:
             return config.routes
         heads = [job.head for job in self._owned.by_id.values()]
-        used = self._used | {(head.route, head.account) for head in heads}
+        used = self._used_routes | {(head.route, head.account) for head in heads}
         return [
-            _bounded(config.by_name[name], account)
+            _named_by_limit(config.by_name[name], account)
             for name, account in sorted(used)
             if name in config.by_name
         ]
 
-    def _of(self, name: RouteName) -> RouteBacklogTokens:
-        if name not in self._by_bound:
-            self._by_bound[name] = RouteBacklogTokens(
+    def _limiter_of(self, name: RouteName) -> RouteBacklogLimiter:
+        if name not in self._by_limit:
+            self._by_limit[name] = RouteBacklogLimiter(
                 self._context,
-                self._life,
+                self._incarnation,
                 name,
                 self._shares,
                 self._owned,
-                self._facts,
+                self._queries,
                 self._overshoot,
-                self._wanted.set,
+                self._poll_requested.set,
             )
-        return self._by_bound[name]
+        return self._by_limit[name]
 
 
-def _bounded(route: Route, account: TenantId) -> Route:
+def _named_by_limit(route: Route, account: TenantId) -> Route:
     """Give a route by the name of its bound."""
     return msgspec.structs.replace(route, name=backlog_name_of(route.name, account))
--- a/citrondyke/gateway/jobs/batch_subsystem.py
+++ b/citrondyke/gateway/jobs/batch_subsystem.py
@@ -14,7 +14,7 @@
 from citrondyke.decisions.batch.takeover import InstanceLiveness, TakeoverSchedule
 from citrondyke.decisions.core.context import Context
 from citrondyke.decisions.forwarding.server_registry import ServerRegistry
-from citrondyke.gateway.jobs.backlog_tokens import BacklogTokens
+from citrondyke.gateway.jobs.backlog_limiter import BacklogLimiter
 from citrondyke.gateway.jobs.job_acceptor import JobAcceptor
 from citrondyke.gateway.jobs.job_claimer import JobClaimer
 from citrondyke.gateway.jobs.job_committer import JobCommitter
@@ -58,7 +58,7 @@
     live: InstanceLiveness
     metrics: Metrics
     #: Gives the factor by which calls of the store are rarer than in a small fleet.
-    pace: Callable[[], float]
+    store_interval_factor: Callable[[], float]
     tasks: Tasks
 
 
@@ -67,135 +67,139 @@
 
     def __init__(
         self,
-        around: BatchCollaborators,
-        life: str,
+        collaborators: BatchCollaborators,
+        incarnation: str,
         settings: GatewaySettings,
         adapters: PlatformAdapters,
     ) -> None:
         """Put the parts together.
 
-        :param life: names this life of this instance.
+        :param incarnation: names this incarnation of this instance.
         """
-        self._around = around
+        self._collaborators = collaborators
         self._adapters = adapters
-        context, tasks = around.context, around.tasks
-        self.store = JobStore(around.table, adapters.objects, settings.store.row_bytes)
+        context, tasks = collaborators.context, collaborators.tasks
+        self.store = JobStore(collaborators.table, adapters.objects, settings.store.row_bytes)
         self._reader = JobReader(context, self.store)
         self.owned = OwnedJobs()
-        self.committer = JobCommitter(context, self.owned, self.store, tasks, self._reader.adopt)
-        pace = StartRateLimiter(context, around.book.topology)
-        self._needs = pace.demand
+        self.committer = JobCommitter(
+            context, self.owned, self.store, tasks, self._reader.cache_finished
+        )
+        start_limiter = StartRateLimiter(context, collaborators.book.topology)
+        self._demand = start_limiter.demand
         self.runner = JobRunner(
             context,
-            around.replicated,
-            BatchScheduler(context, around.book, pace),
-            pace.demand,
-            around.sends,
-            around.guard,
+            collaborators.replicated,
+            BatchScheduler(context, collaborators.book, start_limiter),
+            start_limiter.demand,
+            collaborators.sends,
+            collaborators.guard,
             adapters.dialect,
             self.owned,
             self.committer,
-            around.metrics,
+            collaborators.metrics,
             tasks,
         )
         self._sweeper = JobSweeper(
             context,
             self.store,
-            JobRemoval(around.table, adapters.objects),
-            around.live,
+            JobRemoval(collaborators.table, adapters.objects),
+            collaborators.live,
             settings.job_kept_ms,
         )
-        self.keeper = JobClaimer(
+        self.claimer = JobClaimer(
             context,
-            life,
-            around.table,
+            incarnation,
+            collaborators.table,
             self.store,
             self.owned,
             self.runner,
-            TakeoverSchedule(context, life, around.live),
-            ReadBudget(context, settings.store.reads_per_s, lambda: around.live.count),
-            around.pace,
+            TakeoverSchedule(context, incarnation, collaborators.live),
+            ReadBudget(context, settings.store.reads_per_s, lambda: collaborators.live.count),
+            collaborators.store_interval_factor,
             tasks,
         )
-        self.waiting = BacklogTokens(
+        self.backlog_limiter = BacklogLimiter(
             context,
-            life,
-            TokenShares(around.table, life),
+            incarnation,
+            TokenShares(collaborators.table, incarnation),
             self.owned,
             FleetQueries(
-                self.keeper.open_heads,
-                self._gone_for_ms,
-                lambda: [beat.life for beat in around.membership.peers.values()],
+                self.claimer.open_heads,
+                self._dead_for_ms,
+                lambda: [beat.life for beat in collaborators.membership.peers.values()],
             ),
-            lambda: around.replicated.config.table,
+            lambda: collaborators.replicated.config.table,
             settings.tokens_overshoot,
         )
-        self.owned.on_job_taken_over(self.waiting.note_taken_over)
-        self.intake = JobAcceptor(
+        self.owned.on_job_taken_over(self.backlog_limiter.record_taken_over)
+        self.acceptor = JobAcceptor(
             context,
-            life,
+            incarnation,
             adapters.dialect,
             self.store,
             self.owned,
             self.runner,
             self._reader,
-            self.waiting,
+            self.backlog_limiter,
             settings.memory_bytes,
         )
 
-    def door(self, tell_owner: Callable[[JobId, InstanceId], None]) -> JobEndpoint:
+    def make_endpoint(self, notify_owner: Callable[[JobId, InstanceId], None]) -> JobEndpoint:
         """Make the part that answers questions about jobs.
 
-        :param tell_owner: tells a job's owner that its head changed.
+        :param notify_owner: tells a job's owner that its head changed.
         """
-        around = self._around
+        collaborators = self._collaborators
         return JobEndpoint(
-            around.context,
+            collaborators.context,
             self._adapters.dialect,
             self.store,
             self.owned,
             self._reader,
-            tell_owner,
+            notify_owner,
         )
 
     def use_peers(
-        self, look: Callable[[], None], send: Callable[[PeerText, list[InstanceId]], None]
+        self, apply_updates: Callable[[], None], send: Callable[[PeerText, list[InstanceId]], None]
     ) -> None:
         """Tell the neighbours what waits here.
 
         :param look: takes in what peers have told.
         :param send: sends a datagram to some peers.
         """
-        neighbours = self._around.book.topology
-        self.runner.use_peers(look, lambda needs: send(BatchNeeds(needs), neighbours.mesh_peers()))
+        topology = self._collaborators.book.topology
+        self.runner.use_peers(
+            apply_updates, lambda needs: send(BatchNeeds(needs), topology.mesh_peers())
+        )
 
-    def take_needs(self, sender: InstanceId, text: BatchNeeds) -> None:
+    def apply_peer_demand(self, sender: InstanceId, text: BatchNeeds) -> None:
         """Take in what waits at a peer."""
-        self._needs.record_peer_demand(sender, text.needs)
+        self._demand.record_peer_demand(sender, text.needs)
 
     def start(self) -> None:
         """Begin to follow the jobs and to run items."""
-        around = self._around
+        collaborators = self._collaborators
         self.runner.start()
         self.committer.start()
-        self.keeper.start()
-        self.waiting.start(around.tasks, around.pace)
-        self._sweeper.start(around.tasks)
+        self.claimer.start()
+        self.backlog_limiter.start(collaborators.tasks, collaborators.store_interval_factor)
+        self._sweeper.start(collaborators.tasks)
 
-    def hand_over(self, until_ms: float) -> None:
+    def transfer_ownership(self, until_ms: float) -> None:
         """Give all jobs back before a planned stop."""
         self.owned.is_stopping = True
-        leaving = gevent.spawn(self.waiting.leave)
+        shutting_down = gevent.spawn(self.backlog_limiter.shutdown)
         # What waits is counted before the jobs are given back.
         gevent.sleep(0)
-        self.runner.hand_over(until_ms)
-        leaving.join(max(0.0, (until_ms - self._around.context.now_ms()) / 1e3))
+        self.runner.transfer_ownership(until_ms)
+        shutting_down.join(max(0.0, (until_ms - self._collaborators.context.now_ms()) / 1e3))
 
-    def _gone_for_ms(
-        self, owner: InstanceId, life: str, version: int, since_ms: float
+    def _dead_for_ms(
+        self, owner: InstanceId, incarnation: str, version: int, since_ms: float
     ) -> float | None:
-        # Before the open jobs are known, what a life that is gone has left cannot be counted by
-        # its jobs.
-        if not self.keeper.is_listed:
+        # Until the open jobs are listed, the jobs of a dead incarnation can't be counted by their
+        # heads, so no incarnation counts as dead.
+        if not self.claimer.is_listed:
             return None
-        return self._around.live.dead_for_ms(owner, life, version, since_ms)
+        return self._collaborators.live.dead_for_ms(owner, incarnation, version, since_ms)
--- a/citrondyke/gateway/jobs/item_sender.py
+++ b/citrondyke/gateway/jobs/item_sender.py
@@ -50,7 +50,7 @@
 
         :param polls_rarely: tells whether events are read some at a time.
         """
-        self._reads_rarely = polls_rarely
+        self._polls_rarely = polls_rarely
         self._context = context
         self._sends = sends
         self._dialect = dialect
@@ -92,12 +92,12 @@
             raise BrokenReplyError(BreakKind.NO_CONNECTION, f'turned away with {status}')
         if status >= 300:  # noqa: PLR2004
             connection.read_body(until_ms, FAILURE_BODY_BYTES)
-            return _end_of_failure(status)
-        self._take_events(connection, progress, until_ms)
+            return _result_of_status(status)
+        self._read_events(connection, progress, until_ms)
         state.record_success()
         return RunResult.COMPLETED
 
-    def _take_events(
+    def _read_events(
         self, connection: ServerConnection, progress: ItemProgress, until_ms: float
     ) -> None:
         splitter = EventSplitter(progress.last_event_id)
@@ -108,14 +108,14 @@
                 progress.texts.append(event.data.decode('utf-8', 'replace'))
                 progress.last_event_id = event.id
                 progress.consecutive_breaks = 0
-            if self._reads_rarely():
+            if self._polls_rarely():
                 # Nobody waits for these events: read some at a time.
                 gevent.sleep(READ_PAUSE_S)
         if not splitter.is_between_events:
             raise BrokenReplyError(BreakKind.CUT, 'in the middle of an event')
 
 
-def _end_of_failure(status: int) -> RunResult:
+def _result_of_status(status: int) -> RunResult:
     if status == ITEM_IMPOSSIBLE:
         return RunResult.IMPOSSIBLE
     return RunResult.FAILED if status == ITEM_FAILED else RunResult.INTERRUPTED
--- a/citrondyke/gateway/jobs/job_acceptor.py
+++ b/citrondyke/gateway/jobs/job_acceptor.py
@@ -26,30 +26,30 @@
     from citrondyke.gateway.callers.caller_connection import CallerConnection
     from citrondyke.gateway.callers.caller_request import CallerRequest
     from citrondyke.gateway.dialect import Dialect, RequestMetadata
-    from citrondyke.gateway.jobs.backlog_tokens import BacklogTokens
+    from citrondyke.gateway.jobs.backlog_limiter import BacklogLimiter
     from citrondyke.gateway.jobs.job_reader import JobReader
     from citrondyke.gateway.jobs.job_runner import JobRunner
     from citrondyke.gateway.jobs.job_store import JobStore
     from citrondyke.gateway.jobs.owned_jobs import OwnedJobs
-    from citrondyke.gateway.jobs.route_backlog_tokens import BacklogReservation
+    from citrondyke.gateway.jobs.route_backlog_limiter import BacklogReservation
 
 __all__ = ('JobAcceptor',)
 
 log = logbook.Logger(__name__)
 
-PAUSE_MS = 60.0
+RETRY_PAUSE_MS = 60.0
 #: A try that has less time is not begun: cut off, it would leave in doubt what was certain. By way
 #: of a peer one takes 150 ms and more.
-SHORTEST_TRY_MS = 300.0
+MIN_ATTEMPT_MS = 300.0
 RETRY_IN_MS = 250.0
 #: Bytes of items in the hands of one instance beyond which it takes no further job, as a part of
 #: its memory: they are held twice while they are packed.
-MEMORY_SHARE = 0.15
+ITEMS_MEMORY_SHARE = 0.15
 #: ... and of that, the part that jobs may fill that wait for the store.
-HOLDING_SHARE = 0.25
+HELD_MEMORY_SHARE = 0.25
 
 
-class _Answer(msgspec.Struct, frozen=True):
+class _Response(msgspec.Struct, frozen=True):
     """What the caller is told."""
 
     status: int
@@ -58,11 +58,11 @@
 
 
 #: The job may become durable yet, so that "not run" would not be true.
-IN_DOUBT = _Answer(504, CommitVerdict.IN_DOUBT.value)
+IN_DOUBT = _Response(504, CommitVerdict.IN_DOUBT.value)
 
 
 #: Another account's job has this id; that is all that may be told of it.
-FOREIGN = _Answer(404, 'id of another account')
+FOREIGN = _Response(404, 'id of another account')
 
 
 class JobAcceptor:
@@ -71,30 +71,30 @@
     def __init__(
         self,
         context: Context,
-        life: str,
+        incarnation: str,
         dialect: Dialect,
         store: JobStore,
         owned: OwnedJobs,
         runner: JobRunner,
         reader: JobReader,
-        waiting: BacklogTokens,
+        backlog: BacklogLimiter,
         memory_bytes: int,
     ) -> None:
         """Use the parts handed in.
 
-        :param life: names this life of this instance.
+        :param incarnation: names this incarnation of this instance.
         """
         self._context = context
-        self._life = life
+        self._incarnation = incarnation
         self._dialect = dialect
         self._store = store
         self._owned = owned
         self._runner = runner
         self._reader = reader
-        self._waiting = waiting
-        self._items_limit_bytes = memory_bytes * MEMORY_SHARE
+        self._backlog = backlog
+        self._items_limit_bytes = memory_bytes * ITEMS_MEMORY_SHARE
         #: Of the jobs that are on their way into the store.
-        self._waiting_bytes = 0
+        self._held_bytes = 0
 
     def submit(
         self,
@@ -105,7 +105,7 @@
         account: Account,
     ) -> None:
         """Take an account's job in, once, however often it is sent."""
-        answer = self._take_in(request, metadata, route, account)
+        answer = self._accept_request(request, metadata, route, account)
         if answer.reason:
             log.info(
                 'job.refused',
@@ -120,30 +120,30 @@
         headers = self._dialect.own_response_headers(metadata.request_id, answer.retry_in_ms)
         caller.send_whole(answer.status, headers, b'')
 
-    def _take_in(
+    def _accept_request(
         self, request: CallerRequest, metadata: RequestMetadata, route: Route, account: Account
-    ) -> _Answer:
+    ) -> _Response:
         try:
             items = self._dialect.job_items(request.body)
         except InvalidFieldError as error:
-            return _Answer(400, error.message)
+            return _Response(400, error.message)
         if self._owned.is_stopping or self._owned.held_bytes() > self._items_limit_bytes:
-            return _Answer(503, 'stopping or full', RETRY_IN_MS)
+            return _Response(503, 'stopping or full', RETRY_IN_MS)
         head = self._new_head(JobId(metadata.request_id), request, route, account, items)
-        wait = self._begin_wait(request, metadata, route)
-        self._waiting_bytes += len(request.body)
+        wait = self._begin_deadline(request, metadata, route)
+        self._held_bytes += len(request.body)
         try:
             return self._make_durable(head, items, request, wait, route)
         finally:
-            self._waiting_bytes -= len(request.body)
+            self._held_bytes -= len(request.body)
 
-    def _begin_wait(
+    def _begin_deadline(
         self, request: CallerRequest, metadata: RequestMetadata, route: Route
     ) -> AcceptanceDeadline:
         """Begin the wait for the store; a caller that states no deadline may leave at any time."""
         within_ms = min(route.timeout_ms, metadata.within_ms or 0.0)
-        has_room = self._waiting_bytes <= self._items_limit_bytes * HOLDING_SHARE
-        may_hold = metadata.within_ms is not None and has_room
+        has_free_memory = self._held_bytes <= self._items_limit_bytes * HELD_MEMORY_SHARE
+        may_hold = metadata.within_ms is not None and has_free_memory
         return begin_acceptance(
             self._context.now_ms(), request.arrived_ms + within_ms, may_hold=may_hold
         )
@@ -155,48 +155,50 @@
         request: CallerRequest,
         wait: AcceptanceDeadline,
         route: Route,
-    ) -> _Answer:
+    ) -> _Response:
         reserved = self._reserve(head, route, wait)
         if isinstance(reserved, BacklogFull):
-            return self._refuse(head, reserved, request)
+            return self._reject(head, reserved, request)
         if isinstance(reserved, PlatformFailure):
-            return _Answer(503, f'room unknown: {reserved.reason.value}', RETRY_IN_MS)
+            return _Response(503, f'room unknown: {reserved.reason.value}', RETRY_IN_MS)
         accepted = self._accept(head, items, wait)
         is_foreign = isinstance(accepted, StoredHead) and accepted.head.account != head.account
         if isinstance(accepted, StoredHead) and not is_foreign:
-            self._take(accepted, items, request)
-        is_in_doubt = accepted is CommitVerdict.IN_DOUBT
-        self._waiting.settle(head.backlog_name, head.job_id, in_doubt=is_in_doubt)
+            self._record_accepted(accepted, items, request)
+        is_uncertain = accepted is CommitVerdict.IN_DOUBT
+        self._backlog.settle(head.backlog_name, head.job_id, in_doubt=is_uncertain)
         if is_foreign:
             return FOREIGN
         if isinstance(accepted, StoredHead):
-            return _Answer(202)
-        if is_in_doubt:
+            return _Response(202)
+        if is_uncertain:
             return IN_DOUBT
-        return _Answer(503, accepted.value, RETRY_IN_MS)
+        return _Response(503, accepted.value, RETRY_IN_MS)
 
-    def _refuse(self, head: JobHead, no_room: BacklogFull, request: CallerRequest) -> _Answer:
+    def _reject(
+        self, head: JobHead, backlog_full: BacklogFull, request: CallerRequest
+    ) -> _Response:
         """Turn a job away that does not fit, unless it was accepted before."""
-        stored = self._store.head(head.job_id)
+        stored = self._store.current_head(head.job_id)
         if isinstance(stored, StoredHead):
             if stored.head.account != head.account:
                 return FOREIGN
-            self._take(stored, [], request)
-            return _Answer(202)
+            self._record_accepted(stored, [], request)
+            return _Response(202)
         if stored.reason is NoJobReason.UNKNOWN:
-            return _Answer(429, 'no room', no_room.retry_in_ms)
+            return _Response(429, 'no room', backlog_full.retry_in_ms)
         return IN_DOUBT
 
     def _reserve(
         self, head: JobHead, route: Route, wait: AcceptanceDeadline
     ) -> BacklogReservation | BacklogFull | PlatformFailure:
         while True:
-            reserved = self._waiting.reserve(
+            reserved = self._backlog.reserve(
                 route, head.job_id, head.tokens, wait.latest_answer_ms, head.account
             )
             if not isinstance(reserved, PlatformFailure):
                 return reserved
-            if not self._waits_for_next_try(head, wait):
+            if not self._pause_before_retry(head, wait):
                 return reserved
 
     def _accept(
@@ -212,10 +214,10 @@
                 return answer
             if answer is CommitVerdict.IN_DOUBT:
                 verdict = answer
-            if not self._waits_for_next_try(head, wait):
+            if not self._pause_before_retry(head, wait):
                 return verdict
 
-    def _waits_for_next_try(self, head: JobHead, wait: AcceptanceDeadline) -> bool:
+    def _pause_before_retry(self, head: JobHead, wait: AcceptanceDeadline) -> bool:
         """Take in that a try failed and pause; tell whether a further one has a chance.
 
         An instance that stops holds nobody.
@@ -224,16 +226,18 @@
             until_ms = wait.latest_answer_ms - self._context.now_ms()
             log.info('job.held', extra={'job_id': head.job_id, 'longest_ms': round(until_ms)})
         wait.record_failed()
-        is_time_left = self._context.now_ms() + PAUSE_MS + SHORTEST_TRY_MS <= wait.answer_at_ms
+        is_time_left = self._context.now_ms() + RETRY_PAUSE_MS + MIN_ATTEMPT_MS <= wait.answer_at_ms
         if not is_time_left or self._owned.is_stopping:
             return False
-        gevent.sleep(self._context.jittered_ms(PAUSE_MS) / 1e3)
+        gevent.sleep(self._context.jittered_ms(RETRY_PAUSE_MS) / 1e3)
         return True
 
-    def _take(self, accepted: StoredHead, items: list[JobItem], request: CallerRequest) -> None:
+    def _record_accepted(
+        self, accepted: StoredHead, items: list[JobItem], request: CallerRequest
+    ) -> None:
         head = accepted.head
-        self._reader.remember(head)
-        is_own = (head.owner, head.owner_life) == (self._context.instance_id, self._life)
+        self._reader.cache_head(head)
+        is_own = (head.owner, head.owner_life) == (self._context.instance_id, self._incarnation)
         is_known = head.job_id in self._owned.by_id
         log.info(
             'job.accepted',
@@ -269,7 +273,7 @@
             chunks_count=0,
             in_objects=False,
             owner=InstanceId(self._context.instance_id),
-            owner_life=self._life,
+            owner_life=self._incarnation,
             accepted_epoch_ms=now_ms,
             due_epoch_ms=now_ms + route.completion_target_ms,
             abandon_epoch_ms=now_ms + (route.item_wait_ms or route.completion_target_ms * 4),
--- a/citrondyke/gateway/jobs/job_claimer.py
+++ b/citrondyke/gateway/jobs/job_claimer.py
@@ -43,10 +43,10 @@
 
 #: How often the open jobs are listed beside the feed.
 LIST_EVERY_MS = 3_000.0
-LOOK_EVERY_MS = 250.0
+POLL_EVERY_MS = 250.0
 #: Longest wait of the first list for the first look at the other instances.
 FIRST_POLL_DELAY_MS = 500.0
-FIRST_PAUSE_S = 0.02
+FIRST_POLL_PAUSE_S = 0.02
 
 
 class JobClaimer:
@@ -55,23 +55,24 @@
     def __init__(
         self,
         context: Context,
-        life: str,
+        incarnation: str,
         table: PartitionedTable,
         store: JobStore,
         owned: OwnedJobs,
         runner: JobRunner,
         takeover: TakeoverSchedule,
         budget: ReadBudget,
-        pace: Callable[[], float],
+        store_interval_factor: Callable[[], float],
         tasks: Tasks,
     ) -> None:
         """Use the parts handed in.
 
         :param budget: of reads of heads.
-        :param pace: gives the factor by which calls are rarer than in a small fleet.
+        :param store_interval_factor: returns the factor by which store calls are rarer than in a
+            small fleet.
         """
         self._context = context
-        self._life = life
+        self._incarnation = incarnation
         self._budget = budget
         self._table = table
         self.store = store
@@ -84,9 +85,14 @@
         self.is_listed = False
         self._claiming: set[JobId] = set()
         self._unreadable = UnreadableRows(HEADS_TABLE)
-        self._pace = pace
+        self._store_interval_factor = store_interval_factor
         self._feed = ChangeFeed(
-            context, table, HEADS_TABLE, pace, self._take_rows, self._newest_version
+            context,
+            table,
+            HEADS_TABLE,
+            store_interval_factor,
+            self._apply_rows,
+            self._newest_version,
         )
 
     def start(self) -> None:
@@ -95,15 +101,15 @@
         self._tasks.supervise(self._run_list)
         self._tasks.supervise(self._run_claims)
 
-    def _take_rows(self, rows: Iterable[PartRow]) -> None:
+    def _apply_rows(self, rows: Iterable[PartRow]) -> None:
         for row in rows:
-            self._take_row(row)
+            self._apply_row(row)
 
     def _newest_version(self) -> int:
         page = self._table.read(HEADS_TABLE, '', limit=1)
         return 0 if isinstance(page, PlatformFailure) else page.version
 
-    def _take_row(self, row: PartRow) -> None:
+    def _apply_row(self, row: PartRow) -> None:
         if row.key != HEAD_KEY or row.value is None:
             return
         try:
@@ -111,9 +117,9 @@
         except UnreadableBytesError as error:
             self._unreadable.log_once(row.part, row.version, error.message)
             return
-        self._take(StoredHead(head, row.version))
+        self._apply_head(StoredHead(head, row.version))
 
-    def _take(self, stored: StoredHead) -> None:
+    def _apply_head(self, stored: StoredHead) -> None:
         head = stored.head
         known = self._open.get(head.job_id)
         if known is not None and known.version >= stored.version:
@@ -126,7 +132,7 @@
         job = self._owned.owned(head.job_id)
         if job is None or stored.version <= job.version or head.is_done:
             return
-        if head.is_ended or head.owner_life != self._life:
+        if head.is_ended or head.owner_life != self._incarnation:
             self._owned.lose(head.job_id, 'head changed')
 
     def open_heads(self) -> list[JobHead]:
@@ -159,7 +165,7 @@
                 gevent.sleep(wait_ms / 1e3)
             stored = self.store.read_head(job_id)
             if isinstance(stored, StoredHead):
-                self._take(stored)
+                self._apply_head(stored)
             else:
                 is_whole = False
         self.is_listed = self.is_listed or is_whole
@@ -168,21 +174,23 @@
         # How many share the reads is not known before; nothing else depends on it.
         with gevent.Timeout(FIRST_POLL_DELAY_MS / 1e3, False):
             while not self._takeover.has_polled_instances:
-                gevent.sleep(FIRST_PAUSE_S)
+                gevent.sleep(FIRST_POLL_PAUSE_S)
         while True:
             self.list_once()
-            gevent.sleep(self._context.jittered_ms(LIST_EVERY_MS * self._pace()) / 1e3)
+            gevent.sleep(
+                self._context.jittered_ms(LIST_EVERY_MS * self._store_interval_factor()) / 1e3
+            )
 
     def _refresh(self, job_id: JobId) -> None:
-        stored = self.store.head(job_id)
+        stored = self.store.current_head(job_id)
         if isinstance(stored, StoredHead):
-            self._take(stored)
+            self._apply_head(stored)
         elif stored.reason is NoJobReason.UNKNOWN:
             self._open.pop(job_id, None)
 
     def _run_claims(self) -> None:
         while True:
-            gevent.sleep(self._context.jittered_ms(LOOK_EVERY_MS) / 1e3)
+            gevent.sleep(self._context.jittered_ms(POLL_EVERY_MS) / 1e3)
             if self._owned.is_stopping:
                 return
             for job_id, stored in list(self._open.items()):
@@ -198,7 +206,7 @@
             wanted = msgspec.structs.replace(
                 head,
                 owner=self._context.instance_id,
-                owner_life=self._life,
+                owner_life=self._incarnation,
                 # Kept where it was given back.
                 life_before=head.owner_life or head.life_before,
             )
@@ -250,5 +258,5 @@
                 },
             )
             self._runner.add(job)
-            self._owned.note_taken_over()
+            self._owned.notify_taken_over()
             return
--- a/citrondyke/gateway/jobs/job_committer.py
+++ b/citrondyke/gateway/jobs/job_committer.py
@@ -37,8 +37,8 @@
 SAVE_ITEMS = 30
 #: Progress is kept so many times more rarely than the store needs for a transaction: those of one
 #: job wait for each other, and a commit behind two others is late where each takes 450 ms.
-SAVE_FACTOR = 10.0
-GIVE_BACK_PAUSE_S = 0.05
+SAVE_INTERVAL_FACTOR = 10.0
+RELEASE_RETRY_PAUSE_S = 0.05
 COMMIT_POLL_S = 0.01
 
 
@@ -70,11 +70,11 @@
         self._tasks.supervise(self._run_head_polls)
         self._tasks.supervise(self._run_saves)
 
-    def look_at(self, job_id: JobId) -> None:
+    def check_job(self, job_id: JobId) -> None:
         """Find out for certain whether a job still is this instance's; its head has changed."""
         job = self._owned.owned(job_id)
         if job is not None:
-            self._tasks.spawn(self._read_head_until_certain, job)
+            self._tasks.spawn(self._check_current_head, job)
 
     def check_all(self) -> None:
         """Read the heads of all jobs with open items.
@@ -84,11 +84,11 @@
         """
         for job in list(self._owned.by_id.values()):
             if not job.is_closed:
-                self._take_head(job, self._store.read_head(job.head.job_id))
+                self._apply_head(job, self._store.read_head(job.head.job_id))
 
     def save_pause_ms(self) -> float:
         """Give the time between two looks for progress that is worth keeping."""
-        return max(SAVE_EVERY_MS, SAVE_FACTOR * self._store.usual_ms)
+        return max(SAVE_EVERY_MS, SAVE_INTERVAL_FACTOR * self._store.usual_ms)
 
     def save(self, job: OwnedJob, items: Iterable[ItemProgress]) -> None:
         """Keep how far items have come, for the next owner."""
@@ -108,7 +108,7 @@
             },
         )
 
-    def give_back(self, job: OwnedJob, until_ms: float) -> None:
+    def release_ownership(self, job: OwnedJob, until_ms: float) -> None:
         """Commit what is finished and give the job back, with how far its items have come."""
         while self._context.now_ms() < until_ms:
             if job.head.job_id in self._committing:
@@ -125,11 +125,11 @@
                     return
             if verdict is CommitVerdict.FENCED:
                 return
-            gevent.sleep(GIVE_BACK_PAUSE_S)
+            gevent.sleep(RELEASE_RETRY_PAUSE_S)
 
     def _run_commits(self) -> None:
         while True:
-            self._owned.wait_for_results()
+            self._owned.wait_for_jobs()
             gevent.sleep(COMMIT_EVERY_MS / 1e3)
             for job_id, job in list(self._owned.by_id.items()):
                 if job.finished and job_id not in self._committing and not self._owned.is_stopping:
@@ -169,23 +169,23 @@
         while True:
             gevent.sleep(self._context.jittered_ms(self.save_pause_ms()) / 1e3)
             for job in list(self._owned.by_id.values()):
-                ahead = [
+                unsaved = [
                     progress
                     for progress in job.open.values()
                     if progress.events_count - (progress.saved_event_id or 0) >= SAVE_EVENTS
                 ]
-                if ahead and not job.is_closed and not self._owned.is_stopping:
-                    self.save(job, ahead[:SAVE_ITEMS])
+                if unsaved and not job.is_closed and not self._owned.is_stopping:
+                    self.save(job, unsaved[:SAVE_ITEMS])
 
     def _run_head_polls(self) -> None:
         while True:
             gevent.sleep(self._context.jittered_ms(HEAD_POLL_MS) / 1e3)
             self.check_all()
 
-    def _read_head_until_certain(self, job: OwnedJob) -> None:
-        self._take_head(job, self._store.head(job.head.job_id))
+    def _check_current_head(self, job: OwnedJob) -> None:
+        self._apply_head(job, self._store.current_head(job.head.job_id))
 
-    def _take_head(self, job: OwnedJob, stored: StoredHead | NoJob) -> None:
+    def _apply_head(self, job: OwnedJob, stored: StoredHead | NoJob) -> None:
         if isinstance(stored, NoJob) or job.is_closed or job.head.job_id in self._committing:
             return
         if stored.version > job.version and not stored.head.is_done:
--- a/citrondyke/gateway/jobs/job_endpoint.py
+++ b/citrondyke/gateway/jobs/job_endpoint.py
@@ -32,7 +32,7 @@
 
 #: An end is tried for so long.
 CHANGE_WITHIN_MS = 2_500.0
-PAUSE_MS = 60.0
+RETRY_PAUSE_MS = 60.0
 RETRY_IN_MS = 250.0
 #: The longest that a read waits for a result.
 WAIT_LIMIT_MS = 2_000.0
@@ -51,18 +51,18 @@
         store: JobStore,
         owned: OwnedJobs,
         reader: JobReader,
-        tell_owner: Callable[[JobId, InstanceId], None],
+        notify_owner: Callable[[JobId, InstanceId], None],
     ) -> None:
         """Use the parts handed in.
 
-        :param tell_owner: tells a job's owner that its head changed.
+        :param notify_owner: tells a job's owner that its head changed.
         """
         self._context = context
         self._dialect = dialect
         self._store = store
         self._owned = owned
         self._reader = reader
-        self._tell_owner = tell_owner
+        self._notify_owner = notify_owner
 
     def handle(
         self, caller: CallerConnection, call: JobCall, metadata: RequestMetadata, account: Account
@@ -95,7 +95,7 @@
                 left_ms = until_ms - self._context.now_ms()
                 if left_ms <= 0:
                     break
-                self._owned.wait_listed(call.job_id, left_ms)
+                self._owned.wait_for_results(call.job_id, left_ms)
             total = job.head.items_count
             results = job.results[call.after :]
         else:
@@ -131,7 +131,7 @@
                 return
             body = None
             if not stored.head.is_ended:
-                view = self._reader.remember(stored.head)
+                view = self._reader.cache_head(stored.head)
                 body = self._reader.body(view, call.item_id)
         if isinstance(body, NoJob):
             self._answer_no_job(caller, call, metadata, body)
@@ -149,7 +149,7 @@
         while True:
             stored = self._head(call.job_id, account)
             if isinstance(stored, NoJob):
-                if stored.reason is not NoJobReason.UNSURE:
+                if stored.reason is not NoJobReason.UNCERTAIN:
                     self._answer_no_job(caller, call, metadata, stored)
                     return
             elif stored.head.is_ended or isinstance(
@@ -159,20 +159,20 @@
                 StoredHead,
             ):
                 self._owned.lose(call.job_id, 'ended by its caller')
-                self._tell_owner(call.job_id, stored.head.owner)
+                self._notify_owner(call.job_id, stored.head.owner)
                 log.info('job.ended', extra={'job_id': call.job_id})
                 caller.stop_watching_disconnect()
                 self._answer(caller, metadata, 200)
                 return
-            if self._context.now_ms() + PAUSE_MS > until_ms:
+            if self._context.now_ms() + RETRY_PAUSE_MS > until_ms:
                 log.info('job.end_in_doubt', extra={'job_id': call.job_id})
                 caller.stop_watching_disconnect()
                 self._answer(caller, metadata, 504)
                 return
-            gevent.sleep(self._context.jittered_ms(PAUSE_MS) / 1e3)
+            gevent.sleep(self._context.jittered_ms(RETRY_PAUSE_MS) / 1e3)
 
     def _head(self, job_id: JobId, account: Account) -> StoredHead | NoJob:
-        stored = self._store.head(job_id)
+        stored = self._store.current_head(job_id)
         if isinstance(stored, StoredHead) and stored.head.account != account.id:
             return FOREIGN
         return stored
@@ -190,7 +190,7 @@
             },
         )
         caller.stop_watching_disconnect()
-        if missing.reason is NoJobReason.UNSURE:
+        if missing.reason is NoJobReason.UNCERTAIN:
             self._answer(caller, metadata, 503, RETRY_IN_MS)
         else:
             self._answer(caller, metadata, 404)
--- a/citrondyke/gateway/jobs/job_reader.py
+++ b/citrondyke/gateway/jobs/job_reader.py
@@ -23,9 +23,9 @@
 #: While a caller waits for a result, the store is asked so often. Callers ask twice a second
 #: themselves, and their first look shows what there is; with 200 ms each waiting caller cost
 #: five calls of the store a second.
-LOOK_EVERY_MS = 500.0
+POLL_EVERY_MS = 500.0
 #: Texts of results that are remembered; a job of ten items of 165 events has 100 KB.
-REMEMBERED_BYTES = 8 * 1024 * 1024
+CACHE_BYTES = 8 * 1024 * 1024
 HEAD_BYTES = 500
 
 
@@ -46,10 +46,10 @@
         self._context = context
         self._store = store
         self._views: OrderedDict[JobId, JobView] = OrderedDict()
-        self.remembered_bytes = 0
+        self.cached_bytes = 0
 
     @property
-    def remembered_count(self) -> int:
+    def cached_count(self) -> int:
         """Count the jobs that are remembered."""
         return len(self._views)
 
@@ -59,42 +59,42 @@
         if known is not None:
             self._views.move_to_end(job_id)
             return known
-        stored = self._store.head(job_id)
+        stored = self._store.current_head(job_id)
         if isinstance(stored, NoJob):
             return stored
-        return self.remember(stored.head)
+        return self.cache_head(stored.head)
 
-    def remember(self, head: JobHead) -> JobView:
+    def cache_head(self, head: JobHead) -> JobView:
         """Keep a job's head."""
         view = self._views.get(head.job_id)
         if view is None:
             view = self._views[head.job_id] = JobView(head, [])
-            self._grow(view, HEAD_BYTES)
+            self._count_bytes(view, HEAD_BYTES)
         return view
 
-    def adopt(self, job: OwnedJob) -> None:
+    def cache_finished(self, job: OwnedJob) -> None:
         """Keep the results of a job that this instance has finished."""
-        view = self.remember(job.head)
-        self._take(view, job.results[len(view.results) :])
+        view = self.cache_head(job.head)
+        self._append_results(view, job.results[len(view.results) :])
 
     def results(self, view: JobView, after: int, until_ms: float) -> list[ItemResult] | NoJob:
         """Give results from a position on, waiting for one until a time."""
-        is_sure = False
+        is_confirmed = False
         while len(view.results) <= after:
             first = len(view.results)
             found = self._store.results(view.head.job_id, first)
-            is_sure = not isinstance(found, PlatformFailure)
+            is_confirmed = not isinstance(found, PlatformFailure)
             if not isinstance(found, PlatformFailure) and found:
                 # Another caller's read may have brought some of them meanwhile; taken twice,
                 # they would stand at two positions.
-                self._take(view, found[len(view.results) - first :])
+                self._append_results(view, found[len(view.results) - first :])
                 continue
             is_whole = len(view.results) >= view.head.items_count
-            if is_whole or self._context.now_ms() + LOOK_EVERY_MS > until_ms:
+            if is_whole or self._context.now_ms() + POLL_EVERY_MS > until_ms:
                 break
-            gevent.sleep(LOOK_EVERY_MS / 1e3)
-        if not is_sure and len(view.results) <= after and after < view.head.items_count:
-            return NoJob(NoJobReason.UNSURE)
+            gevent.sleep(POLL_EVERY_MS / 1e3)
+        if not is_confirmed and len(view.results) <= after and after < view.head.items_count:
+            return NoJob(NoJobReason.UNCERTAIN)
         return view.results[after:]
 
     def body(self, view: JobView, item_id: str) -> bytes | NoJob | None:
@@ -102,24 +102,24 @@
         if view.bodies is None:
             items = self._store.items(view.head)
             if isinstance(items, PlatformFailure):
-                return NoJob(NoJobReason.UNSURE)
-            self._keep_bodies(view, items)
+                return NoJob(NoJobReason.UNCERTAIN)
+            self._cache_bodies(view, items)
         return None if view.bodies is None else view.bodies.get(item_id)
 
-    def _keep_bodies(self, view: JobView, items: list[JobItem]) -> None:
+    def _cache_bodies(self, view: JobView, items: list[JobItem]) -> None:
         view.bodies = {item.id: item.body for item in items}
-        self._grow(view, sum(len(item.body) for item in items))
+        self._count_bytes(view, sum(len(item.body) for item in items))
 
-    def _take(self, view: JobView, found: list[ItemResult]) -> None:
+    def _append_results(self, view: JobView, found: list[ItemResult]) -> None:
         view.results.extend(found)
-        self._grow(view, sum(len(result.text) for result in found))
+        self._count_bytes(view, sum(len(result.text) for result in found))
 
-    def _grow(self, view: JobView, count: int) -> None:
+    def _count_bytes(self, view: JobView, count: int) -> None:
         if self._views.get(view.head.job_id) is not view:
             # Forgotten while its caller waited: it goes with that caller's answer.
             return
         view.bytes_count += count
-        self.remembered_bytes += count
-        while self.remembered_bytes > REMEMBERED_BYTES and len(self._views) > 1:
+        self.cached_bytes += count
+        while self.cached_bytes > CACHE_BYTES and len(self._views) > 1:
             _, oldest = self._views.popitem(last=False)
-            self.remembered_bytes -= oldest.bytes_count
+            self.cached_bytes -= oldest.bytes_count
--- a/citrondyke/gateway/jobs/job_rows.py
+++ b/citrondyke/gateway/jobs/job_rows.py
@@ -72,7 +72,7 @@
     #: It belongs to another account.
     FOREIGN = 'foreign'
     #: The store did not say.
-    UNSURE = 'unsure'
+    UNCERTAIN = 'unsure'
 
 
 class NoJob(msgspec.Struct, frozen=True):
@@ -138,7 +138,7 @@
         return StoredHead(decode_head(row.value), row.version)
     except UnreadableBytesError as error:
         unreadable_rows.log_once(f'{HEADS_TABLE}/{row.part}', row.version, error.message)
-        return NoJob(NoJobReason.UNSURE)
+        return NoJob(NoJobReason.UNCERTAIN)
 
 
 def progress_put(progress: ItemProgress, limit_bytes: int) -> RowPut:
--- a/citrondyke/gateway/jobs/job_runner.py
+++ b/citrondyke/gateway/jobs/job_runner.py
@@ -50,14 +50,14 @@
 log = logbook.Logger(__name__)
 
 #: Pause between two looks for free places while items wait.
-PUMP_EVERY_MS = 25.0
+START_EVERY_MS = 25.0
 #: Pause between two counts of what waits.
 COUNT_EVERY_MS = 100.0
 #: Time between two lines of the log on what waits.
 LOG_EVERY_MS = 1_000.0
 
 
-class _Run(msgspec.Struct, eq=False):
+class _ItemRun(msgspec.Struct, eq=False):
     job: OwnedJob
     progress: ItemProgress
     state: ServerState
@@ -67,7 +67,7 @@
     has_begun: bool = False
     is_cut: bool = False
 
-    def cut(self) -> None:
+    def preempt(self) -> None:
         """Stop it.
 
         A greenlet that is killed before it first runs never runs at all: its item would count as
@@ -85,8 +85,8 @@
         self,
         context: Context,
         replicated: ReplicatedState,
-        give_way: BatchScheduler,
-        needs: BatchDemandTable,
+        scheduler: BatchScheduler,
+        demand: BatchDemandTable,
         sends: ServerSends,
         guard: PoisonRequestGuard,
         dialect: Dialect,
@@ -98,52 +98,52 @@
         """Use the parts handed in."""
         self._context = context
         self._replicated = replicated
-        self._give_way = give_way
-        self._needs = needs
-        self._counted_ms = float('-inf')
+        self._scheduler = scheduler
+        self._demand = demand
+        self._last_count_ms = float('-inf')
         self._waiting: Counter[CompletionLikelihood] = Counter()
-        self._logged_ms = float('-inf')
-        self._look: Callable[[], None] = _no_update
-        self._tell: Callable[[list[DemandNotice]], None] = _nobody
+        self._last_log_ms = float('-inf')
+        self._apply_updates: Callable[[], None] = _apply_nothing
+        self._publish: Callable[[list[DemandNotice]], None] = _publish_nothing
         self._sends = sends
         self._guard = guard
         self._owned = owned
         self._committer = committer
         self._metrics = metrics
         self._tasks = tasks
-        self._sender = ItemSender(context, sends, dialect, lambda: give_way.is_fleet_large)
+        self._sender = ItemSender(context, sends, dialect, lambda: scheduler.is_fleet_large)
         self._lengths = RunLengthEstimator()
-        self._runs: dict[int, _Run] = {}
+        self._runs: dict[int, _ItemRun] = {}
         self._runs_count = 0
-        owned.on_owner_lost(self._stop_items)
+        owned.on_ownership_lost(self._stop_items)
 
     def start(self) -> None:
         """Begin to run items."""
-        self._tasks.supervise(self._run_pump)
+        self._tasks.supervise(self._run_starts)
 
     def use_peers(
-        self, look: Callable[[], None], tell: Callable[[list[DemandNotice]], None]
+        self, apply_updates: Callable[[], None], publish: Callable[[list[DemandNotice]], None]
     ) -> None:
         """Keep in touch with the other owners.
 
         :param look: takes in what peers have told.
         :param tell: tells them what waits here.
         """
-        self._look, self._tell = look, tell
+        self._apply_updates, self._publish = apply_updates, publish
 
     def add(self, job: OwnedJob) -> None:
         """Take a job to run."""
         self._owned.add(job)
-        self._pump()
+        self._start_items()
 
     def _stop_items(self, job: OwnedJob) -> None:
         for run in list(self._runs.values()):
             if run.job is job:
-                run.cut()
+                run.preempt()
 
     def preempt_items(self) -> None:
         """Cut the items that stand in the way of online requests."""
-        overloaded_servers = self._give_way.overloaded_servers(
+        overloaded_servers = self._scheduler.overloaded_servers(
             {run.state.incarnation for run in self._runs.values()}
         )
         if not overloaded_servers:
@@ -162,7 +162,7 @@
             for number, run in self._runs.items()
             if run.state.incarnation in overloaded_servers
         ]
-        for item in self._give_way.items_to_preempt(running):
+        for item in self._scheduler.items_to_preempt(running):
             run = self._runs[item.number]
             self._metrics.counters['items_cut'] += 1
             self._metrics.counters[f'items_cut_{item.urgency.value}'] += 1
@@ -178,30 +178,30 @@
                     'remaining_ms': round(item.remaining_ms, 1),
                 },
             )
-            run.cut()
+            run.preempt()
 
-    def hand_over(self, until_ms: float) -> None:
+    def transfer_ownership(self, until_ms: float) -> None:
         """Give all jobs back, with how far their items have come, before a planned stop."""
         self._owned.is_stopping = True
         for run in list(self._runs.values()):
-            run.cut()
+            run.preempt()
         gevent.sleep(0)
         workers = [
-            self._tasks.spawn(self._committer.give_back, job, until_ms)
+            self._tasks.spawn(self._committer.release_ownership, job, until_ms)
             for job in self._owned.by_id.values()
         ]
         gevent.joinall(workers, timeout=max(0.0, (until_ms - self._context.now_ms()) / 1e3))
 
-    def _run_pump(self) -> None:
+    def _run_starts(self) -> None:
         while True:
-            self._owned.wait_for_results()
-            gevent.sleep(PUMP_EVERY_MS / 1e3)
-            self._look()
+            self._owned.wait_for_jobs()
+            gevent.sleep(START_EVERY_MS / 1e3)
+            self._apply_updates()
             self.preempt_items()
             self._count_waiting()
-            self._pump()
+            self._start_items()
 
-    def _pump(self) -> None:
+    def _start_items(self) -> None:
         """Start items while places are free, those that stand best first.
 
         Jobs that are late already come last: each place that they take would make another late.
@@ -214,7 +214,7 @@
             job.abandon_overdue(epoch_ms)
             progress = job.next_item(now_ms)
             if progress is not None:
-                waiting.append((self._outlook(job, progress, epoch_ms), job))
+                waiting.append((self._priority(job, progress, epoch_ms), job))
         waiting.sort(key=lambda each: each[0].order)
         full: set[tuple[ServiceName, Urgency]] = set()
         for _, job in waiting:
@@ -223,7 +223,7 @@
                 urgency_now = self._urgency(job, progress, epoch_ms)
                 if service is None or (service, urgency_now) in full:
                     break
-                state = self._give_way.choose_server(service, urgency_now)
+                state = self._scheduler.choose_server(service, urgency_now)
                 if state is None:
                     full.add((service, urgency_now))
                     break
@@ -232,9 +232,9 @@
     def _count_waiting(self) -> None:
         """Count what waits, for the other owners, and what online requests take."""
         now_ms, epoch_ms = self._context.now_ms(), self._context.epoch_ms()
-        is_due = now_ms - self._counted_ms >= COUNT_EVERY_MS
+        is_due = now_ms - self._last_count_ms >= COUNT_EVERY_MS
         services: set[ServiceName] = set()
-        outlooks: dict[ServiceName, list[ItemPriority]] = {}
+        priorities: dict[ServiceName, list[ItemPriority]] = {}
         for job in list(self._owned.by_id.values()):
             items = job.waiting_items(now_ms)
             service = self._service(job, items[0]) if items else None
@@ -242,29 +242,29 @@
                 continue
             services.add(service)
             if is_due:
-                found = [self._outlook(job, each, epoch_ms) for each in items]
-                outlooks.setdefault(service, []).extend(found)
+                found = [self._priority(job, each, epoch_ms) for each in items]
+                priorities.setdefault(service, []).extend(found)
         for service in services:
-            self._give_way.observe_online_load(service)
+            self._scheduler.observe_online_load(service)
         if not is_due:
             return
-        self._counted_ms = now_ms
-        self._waiting = count_by_likelihood(each for found in outlooks.values() for each in found)
-        self._needs.record_own_demand(
-            [batch_demand_of(service, found, now_ms) for service, found in outlooks.items()]
+        self._last_count_ms = now_ms
+        self._waiting = count_by_likelihood(each for found in priorities.values() for each in found)
+        self._demand.record_own_demand(
+            [batch_demand_of(service, found, now_ms) for service, found in priorities.items()]
         )
-        told = self._needs.take_due_notices()
-        if told is not None:
-            self._tell(told)
-        if outlooks and now_ms - self._logged_ms >= LOG_EVERY_MS:
-            self._logged_ms = now_ms
+        notices = self._demand.take_due_notices()
+        if notices is not None:
+            self._publish(notices)
+        if priorities and now_ms - self._last_log_ms >= LOG_EVERY_MS:
+            self._last_log_ms = now_ms
             log.info(
                 'items.wait',
                 extra={
                     **{each.name.lower(): self._waiting[each] for each in CompletionLikelihood},
                     'running': len(self._runs),
-                    'kept_places': self.kept_places_count(),
-                    'other_owners': sum(len(self._needs.peer_demand(each)) for each in outlooks),
+                    'kept_places': self.headroom_count(),
+                    'other_owners': sum(len(self._demand.peer_demand(each)) for each in priorities),
                 },
             )
 
@@ -272,11 +272,11 @@
         """Count the items that wait and stand so."""
         return self._waiting[prospect] if self._owned.by_id else 0
 
-    def kept_places_count(self) -> int:
+    def headroom_count(self) -> int:
         """Count the places that are kept free for online requests."""
-        return sum(self._give_way.headroom.by_service.values()) if self._owned.by_id else 0
+        return sum(self._scheduler.headroom.by_service.values()) if self._owned.by_id else 0
 
-    def _outlook(self, job: OwnedJob, progress: ItemProgress, epoch_ms: float) -> ItemPriority:
+    def _priority(self, job: OwnedJob, progress: ItemProgress, epoch_ms: float) -> ItemPriority:
         slack_ms = job.head.due_epoch_ms - epoch_ms - self._remaining_ms(job, progress)
         margin_ms = self._lengths.margin_ms(job.head.route)
         return priority_of(slack_ms, margin_ms, has_begun=progress.last_event_id is not None)
@@ -316,11 +316,11 @@
         work = LazyRequestFingerprint(
             b'POST', job.head.host, item.path.encode('latin-1'), item.body
         )
-        run = _Run(job, progress, state, self._context.now_ms(), work)
+        run = _ItemRun(job, progress, state, self._context.now_ms(), work)
         self._runs[number] = run
         run.greenlet = self._tasks.spawn(self._run_item, number, run)
 
-    def _run_item(self, number: int, run: _Run) -> None:
+    def _run_item(self, number: int, run: _ItemRun) -> None:
         job, progress, state = run.job, run.progress, run.state
         run.has_begun = True
         end = RunResult.INTERRUPTED
@@ -382,21 +382,21 @@
         self._end(job, progress, end)
         if end is RunResult.FAILED and progress.item.id in job.open:
             self._committer.save(job, [progress])
-        self._pump()
+        self._start_items()
 
-    def _may_send(self, run: _Run) -> bool:
-        standing = self._guard.status_of(run.work, is_item=True)
-        if standing is SuspectStatus.PROBE_DUE:
+    def _may_send(self, run: _ItemRun) -> bool:
+        status = self._guard.status_of(run.work, is_item=True)
+        if status is SuspectStatus.PROBE_DUE:
             return self._guard.claim_probe(run.work.fingerprint, run.progress.item.id, is_item=True)
-        return standing in (SuspectStatus.FREE, SuspectStatus.SUSPECTED)
+        return status in (SuspectStatus.FREE, SuspectStatus.SUSPECTED)
 
     def _end(self, job: OwnedJob, progress: ItemProgress, end: RunResult) -> None:
         job.end_run(progress, end, self._context.now_ms(), self._context.epoch_ms())
 
 
-def _no_update() -> None:
+def _apply_nothing() -> None:
     """Stand in until there are peers."""
 
 
-def _nobody(_: list[DemandNotice]) -> None:
+def _publish_nothing(_: list[DemandNotice]) -> None:
     """Stand in until there are peers."""
--- a/citrondyke/gateway/jobs/job_store.py
+++ b/citrondyke/gateway/jobs/job_store.py
@@ -53,7 +53,7 @@
 INLINE_BYTES = 500_000
 #: Of a row's largest value, left for what is around a text.
 ROW_MARGIN_BYTES = 1_024
-UNSURE = NoJob(NoJobReason.UNSURE)
+UNCERTAIN = NoJob(NoJobReason.UNCERTAIN)
 
 
 class JobStore(JobContents):
@@ -99,19 +99,19 @@
             return found if isinstance(found, StoredHead) else CommitVerdict.IN_DOUBT
         return verdict_of(answer)
 
-    def head(self, job_id: JobId) -> StoredHead | NoJob:
+    def current_head(self, job_id: JobId) -> StoredHead | NoJob:
         """Read a job's head as it stands now, never as it stood."""
         wanted = PartTransaction(job_id, (RowCondition(HEADS_TABLE, HEAD_KEY, IMPOSSIBLE_VERSION),))
         answer = self._table.transact(wanted)
         if not isinstance(answer, PartConflict):
-            return UNSURE
+            return UNCERTAIN
         return stored_head(answer.row(HEADS_TABLE, HEAD_KEY))
 
     def read_head(self, job_id: JobId) -> StoredHead | NoJob:
         """Read a job's head as it stands, or as it stood some seconds ago."""
         page = self._table.read(HEADS_TABLE, job_id)
         if isinstance(page, PlatformFailure) or not page.rows:
-            return UNSURE
+            return UNCERTAIN
         return stored_head(page.rows[0])
 
     def change_head(self, stored: StoredHead, head: JobHead) -> StoredHead | CommitVerdict:
@@ -163,7 +163,7 @@
             return CommitVerdict.DONE
         if isinstance(answer, PlatformFailure):
             return verdict_of(answer)
-        return self._own_commit(job, results, answer, puts, done_head if is_last else head)
+        return self._resolve_conflict(job, results, answer, puts, done_head if is_last else head)
 
     def release(self, job: OwnedJob, progress: Sequence[ItemProgress]) -> CommitVerdict:
         """Give a job back with the progress of its items, so that the next owner goes on."""
@@ -211,7 +211,7 @@
             return listed
         return [JobId(part) for part in listed]
 
-    def _own_commit(
+    def _resolve_conflict(
         self,
         job: OwnedJob,
         results: Sequence[ItemResult],
--- a/citrondyke/gateway/jobs/job_sweeper.py
+++ b/citrondyke/gateway/jobs/job_sweeper.py
@@ -28,17 +28,19 @@
 SWEEP_EVERY_MS = 60_000.0
 #: Beyond the time for which a job must stay readable: clocks of instances differ by seconds, and
 #: nobody minds a job that is kept a little longer.
-MARGIN_MS = 60_000.0
+CLOCK_MARGIN_MS = 60_000.0
 #: Jobs deleted at one go, so that a sweep after a long outage does not take the store's rate.
 JOBS_PER_SWEEP = 50
 PAUSE_S = 0.05
 
 
-def may_go(head: JobHead, kept_ms: float, epoch_ms: float) -> bool:
+def may_delete(head: JobHead, retention_ms: float, epoch_ms: float) -> bool:
     """Tell whether a job may be deleted: it is over, and its readers' time too."""
     if not (head.is_done or head.is_ended):
         return False
-    return epoch_ms > max(head.accepted_epoch_ms, head.due_epoch_ms) + kept_ms + MARGIN_MS
+    return (
+        epoch_ms > max(head.accepted_epoch_ms, head.due_epoch_ms) + retention_ms + CLOCK_MARGIN_MS
+    )
 
 
 class JobSweeper:
@@ -50,19 +52,19 @@
         store: JobStore,
         removal: JobRemoval,
         live: InstanceLiveness,
-        kept_ms: float,
+        retention_ms: float,
     ) -> None:
         """Use the parts handed in.
 
-        :param kept_ms: how long a job stays readable.
+        :param retention_ms: how long a job stays readable.
         """
         self._context = context
         self._store = store
         self._removal = removal
         self._live = live
-        self._kept_ms = kept_ms
+        self._retention_ms = retention_ms
         #: Until when a job cannot be deleted, so that its head is not read each time.
-        self._not_before_ms: dict[JobId, float] = {}
+        self._retained_until_ms: dict[JobId, float] = {}
 
     def start(self, tasks: Tasks) -> None:
         """Begin."""
@@ -74,12 +76,12 @@
         if isinstance(listed, PlatformFailure):
             return 0
         known = set(listed)
-        self._not_before_ms = {
-            job_id: until for job_id, until in self._not_before_ms.items() if job_id in known
+        self._retained_until_ms = {
+            job_id: until for job_id, until in self._retained_until_ms.items() if job_id in known
         }
         deleted = 0
         for job_id in listed:
-            if self._is_own(job_id) and self._sweep_one(job_id):
+            if self._is_assigned_here(job_id) and self._sweep_one(job_id):
                 deleted += 1
                 gevent.sleep(PAUSE_S)
             if deleted >= JOBS_PER_SWEEP:
@@ -88,21 +90,21 @@
             log.info('jobs.swept', extra={'deleted': deleted, 'kept': len(listed) - deleted})
         return deleted
 
-    def _is_own(self, job_id: JobId) -> bool:
+    def _is_assigned_here(self, job_id: JobId) -> bool:
         names = self._live.live_instances()
         chosen = max(names, key=lambda name: rendezvous_weight(name, job_id))
         return chosen == self._context.instance_id
 
     def _sweep_one(self, job_id: JobId) -> bool:
         epoch_ms = self._context.epoch_ms()
-        if self._not_before_ms.get(job_id, 0.0) > epoch_ms:
+        if self._retained_until_ms.get(job_id, 0.0) > epoch_ms:
             return False
-        stored = self._store.head(job_id)
+        stored = self._store.current_head(job_id)
         if not isinstance(stored, StoredHead):
             return False
-        if not may_go(stored.head, self._kept_ms, epoch_ms):
-            over_ms = max(stored.head.accepted_epoch_ms, stored.head.due_epoch_ms)
-            self._not_before_ms[job_id] = over_ms + self._kept_ms + MARGIN_MS
+        if not may_delete(stored.head, self._retention_ms, epoch_ms):
+            finished_ms = max(stored.head.accepted_epoch_ms, stored.head.due_epoch_ms)
+            self._retained_until_ms[job_id] = finished_ms + self._retention_ms + CLOCK_MARGIN_MS
             return False
         return self._removal.delete(stored) is CommitVerdict.DONE
 
--- a/citrondyke/gateway/jobs/observed_shares.py
+++ b/citrondyke/gateway/jobs/observed_shares.py
@@ -21,7 +21,7 @@
 __all__ = ('ObservedShares',)
 
 
-class _Seen(msgspec.Struct, frozen=True):
+class _ObservedVersion(msgspec.Struct, frozen=True):
     version: int
     since_ms: float
 
@@ -29,49 +29,54 @@
 class ObservedShares:
     """Dates each version of each share by this instance's own clock."""
 
-    def __init__(self, context: Context, life: str, facts: FleetQueries) -> None:
+    def __init__(self, context: Context, incarnation: str, queries: FleetQueries) -> None:
         """Start having seen none.
 
-        :param life: names this life of this instance.
+        :param incarnation: names this incarnation of this instance.
         """
         self._context = context
-        self._life = life
-        self._facts = facts
-        self._seen: dict[str, _Seen] = {}
+        self._incarnation = incarnation
+        self._queries = queries
+        self._observed: dict[str, _ObservedVersion] = {}
 
-    def note(self, read: SharesRead) -> None:
+    def observe(self, read: SharesRead) -> None:
         """Take in a read of all shares."""
         now_ms = self._context.now_ms()
-        for life, version in read.versions.items():
-            seen = self._seen.get(life)
-            if seen is None or seen.version != version:
-                self._seen[life] = _Seen(version, now_ms)
-        for life in [each for each in self._seen if each not in read.versions]:
-            del self._seen[life]
-
-    def lives(self) -> Iterable[str]:
-        """List the lives that have a share."""
-        return list(self._seen)
-
-    def others(self, read: SharesRead, route: RouteName) -> PeerShares:
+        for incarnation, version in read.versions.items():
+            observed = self._observed.get(incarnation)
+            if observed is None or observed.version != version:
+                self._observed[incarnation] = _ObservedVersion(version, now_ms)
+        for incarnation in [each for each in self._observed if each not in read.versions]:
+            del self._observed[incarnation]
+
+    def incarnations(self) -> Iterable[str]:
+        """List the incarnations that have a share."""
+        return list(self._observed)
+
+    def sum_others(self, read: SharesRead, route: RouteName) -> PeerShares:
         """Add up what others have by a read that was noted."""
-        return sum_peer_shares(read.shares, self._life, self._standing, self._facts.heads(), route)
+        return sum_peer_shares(
+            read.shares, self._incarnation, self._validity_of, self._queries.heads(), route
+        )
 
-    def gone(self, read: SharesRead) -> Iterable[tuple[str, int]]:
-        """List the lives, with their shares' versions, that count no more."""
+    def dead(self, read: SharesRead) -> Iterable[tuple[str, int]]:
+        """List the incarnations, with their shares' versions, that count no more."""
         return [
-            (life, self._seen[life].version)
-            for life, share in read.shares.items()
-            if life != self._life and self._standing(life, share) is ShareValidity.DEAD
+            (incarnation, self._observed[incarnation].version)
+            for incarnation, share in read.shares.items()
+            if incarnation != self._incarnation
+            and self._validity_of(incarnation, share) is ShareValidity.DEAD
         ]
 
-    def _standing(self, life: str, share: TokenShare) -> ShareValidity:
-        seen = self._seen[life]
-        gone_ms = self._facts.dead_for_ms(share.instance, life, seen.version, seen.since_ms)
+    def _validity_of(self, incarnation: str, share: TokenShare) -> ShareValidity:
+        observed = self._observed[incarnation]
+        dead_ms = self._queries.dead_for_ms(
+            share.instance, incarnation, observed.version, observed.since_ms
+        )
         if share.has_left:
             # From then on it counts as gone, though its heartbeats go on until its jobs are given
             # back; what it had sent before may have been seen late.
-            gone_ms = max(gone_ms or 0.0, self._context.now_ms() - seen.since_ms)
-        if gone_ms is None:
+            dead_ms = max(dead_ms or 0.0, self._context.now_ms() - observed.since_ms)
+        if dead_ms is None:
             return ShareValidity.ALIVE
-        return ShareValidity.UNCERTAIN if gone_ms < UNCERTAIN_MS else ShareValidity.DEAD
+        return ShareValidity.UNCERTAIN if dead_ms < UNCERTAIN_MS else ShareValidity.DEAD
--- a/citrondyke/gateway/jobs/own_token_share.py
+++ b/citrondyke/gateway/jobs/own_token_share.py
@@ -1,4 +1,4 @@
-"""The share of a route's bound that this life of this instance holds, and its row."""
+"""The share of a route's bound that this incarnation of this instance holds, and its row."""
 
 from __future__ import annotations
 
@@ -27,35 +27,37 @@
     believed, as others may have filled the rest, and the next look writes again.
     """
 
-    def __init__(self, route: RouteName, life: str, shares: TokenShares) -> None:
+    def __init__(self, route: RouteName, incarnation: str, shares: TokenShares) -> None:
         """Hold nothing yet.
 
-        :param life: names this life of this instance.
+        :param incarnation: names this incarnation of this instance.
         """
         self._route = route
-        self._life = life
+        self._incarnation = incarnation
         self._shares = shares
         #: ``None`` where there is no row for certain, or none is known.
         self.share: TokenShare | None = None
         self._version = 0
         #: Whether the row may differ from the share.
-        self.is_in_doubt = False
+        self.is_uncertain = False
 
     def is_certain_at_version(self, config_version: ConfigVersion) -> bool:
         """Tell whether the row certainly is a share that was given under a configuration."""
         share = self.share
-        return share is not None and not self.is_in_doubt and share.config_version == config_version
+        return (
+            share is not None and not self.is_uncertain and share.config_version == config_version
+        )
 
     def allows(self, config_version: ConfigVersion, used: int) -> bool:
         """Tell whether so much may be used without asking anybody."""
         share = self.share
         return share is not None and share.config_version == config_version and used <= share.held
 
-    def take_read(self, read: SharesRead) -> None:
+    def apply_read(self, read: SharesRead) -> None:
         """Take in a write whose reply was lost."""
-        share, version = read.shares.get(self._life), read.versions.get(self._life, 0)
+        share, version = read.shares.get(self._incarnation), read.versions.get(self._incarnation, 0)
         if share is not None and version > self._version:
-            self._take(share, version)
+            self._set_confirmed(share, version)
 
     def grow(
         self, read: SharesRead, share: TokenShare
@@ -63,17 +65,17 @@
         """Write a larger share, if nobody's grew since the read."""
         answer = self._shares.grow(self._route, read, share)
         if isinstance(answer, PartCommitted):
-            self._take(share, answer.version)
+            self._set_confirmed(share, answer.version)
         elif isinstance(answer, PlatformFailure):
             # Done without a reply, it would keep the room from the others for good.
-            self.is_in_doubt = True
+            self.is_uncertain = True
         return answer
 
     def write(self, read: SharesRead, share: TokenShare) -> None:
         """Bring the row to a share, by what was read of the others'."""
         before = self.share
         # Until the answer is there, and for good where none comes.
-        self.is_in_doubt = True
+        self.is_uncertain = True
         if before is None or share.held > before.held:
             answer = self._shares.grow(self._route, read, share)
         else:
@@ -83,7 +85,7 @@
             else:
                 answer = self._shares.renew(self._route, read, share)
         if isinstance(answer, PartCommitted):
-            self._take(share, answer.version)
+            self._set_confirmed(share, answer.version)
             log.info(
                 'tokens.share',
                 extra={
@@ -102,29 +104,29 @@
             extra={'route': self._route, 'used': share.used, 'reason': reason},
         )
 
-    def withdraw(self, in_place: TokenShare) -> PlatformFailure | None:
+    def withdraw(self, replacement: TokenShare) -> PlatformFailure | None:
         """Take the row away.
 
-        :param in_place: written first where it is in doubt which row there is.
+        :param replacement: written first where it is in doubt which row there is.
         """
-        if self.is_in_doubt and not self._make_certain(in_place):
+        if self.is_uncertain and not self._overwrite_uncertain(replacement):
             return UNAVAILABLE
         if self.share is None:
             return None
-        answer = self._shares.drop(self._route, self._life, self._version)
+        answer = self._shares.drop(self._route, self._incarnation, self._version)
         if isinstance(answer, PartCommitted):
             self.share = None
             return None
-        self.is_in_doubt = True
+        self.is_uncertain = True
         return UNAVAILABLE
 
-    def leave(self, used: int, finished: int) -> None:
+    def mark_left(self, used: int, finished: int) -> None:
         """Mark the row as one that only counts, or take it away where there is nothing to count."""
         share = self.share
         if share is None:
             return
         if not used and not finished:
-            self._shares.drop(self._route, self._life, self._version)
+            self._shares.drop(self._route, self._incarnation, self._version)
             return
         left = msgspec.structs.replace(
             share, held=max(share.held, used), used=used, finished=finished, has_left=True
@@ -140,16 +142,16 @@
             },
         )
 
-    def _make_certain(self, share: TokenShare) -> bool:
+    def _overwrite_uncertain(self, share: TokenShare) -> bool:
         """Write a share so that no earlier write of it can come any more.
 
         Those that would make it grow, or bring it back, need the turn as it was before.
         """
-        read = self._shares.read_fresh(self._route, [self._life])
+        read = self._shares.read_fresh(self._route, [self._incarnation])
         if isinstance(read, PlatformFailure):
             return False
         return isinstance(self.grow(read, share), PartCommitted)
 
-    def _take(self, share: TokenShare, version: int) -> None:
+    def _set_confirmed(self, share: TokenShare, version: int) -> None:
         self.share, self._version = share, version
-        self.is_in_doubt = False
+        self.is_uncertain = False
--- a/citrondyke/gateway/jobs/owned_jobs.py
+++ b/citrondyke/gateway/jobs/owned_jobs.py
@@ -26,34 +26,34 @@
         self.by_id: dict[JobId, OwnedJob] = {}
         #: Set at a planned stop: jobs are given back, and no new ones are taken.
         self.is_stopping = False
-        self._listed: dict[JobId, Event] = {}
+        self._result_events: dict[JobId, Event] = {}
         self._on_lost: Callable[[OwnedJob], None] = _ignore
-        self._has_some = Event()
-        self.note_taken_over: Callable[[], None] = _nobody
+        self._has_jobs = Event()
+        self.notify_taken_over: Callable[[], None] = _notify_nothing
 
-    def on_owner_lost(self, on_lost: Callable[[OwnedJob], None]) -> None:
+    def on_ownership_lost(self, on_lost: Callable[[OwnedJob], None]) -> None:
         """Have somebody told of each job that is let go while its items may run."""
         self._on_lost = on_lost
 
     def on_job_taken_over(self, on_taken_over: Callable[[], None]) -> None:
         """Have somebody told of jobs that belonged to another instance before."""
-        self.note_taken_over = on_taken_over
+        self.notify_taken_over = on_taken_over
 
     def add(self, job: OwnedJob) -> None:
         """Take a job in."""
         self.by_id[job.head.job_id] = job
-        self._has_some.set()
+        self._has_jobs.set()
 
     def drop(self, job_id: JobId) -> OwnedJob | None:
         """Let a job go that is done or given back."""
         job = self.by_id.pop(job_id, None)
         if not self.by_id:
-            self._has_some.clear()
+            self._has_jobs.clear()
         return job
 
-    def wait_for_results(self) -> None:
+    def wait_for_jobs(self) -> None:
         """Wait until there is a job; most instances have none most of the time."""
-        self._has_some.wait()
+        self._has_jobs.wait()
 
     def owned(self, job_id: JobId) -> OwnedJob | None:
         """Give a job that is this instance's; ``None`` when it is not."""
@@ -76,19 +76,19 @@
         self._on_lost(job)
         self.wake_readers(job_id)
 
-    def wait_listed(self, job_id: JobId, timeout_ms: float) -> None:
+    def wait_for_results(self, job_id: JobId, timeout_ms: float) -> None:
         """Wait until more results of a job are durable."""
-        event = self._listed.setdefault(job_id, Event())
+        event = self._result_events.setdefault(job_id, Event())
         event.wait(timeout_ms / 1e3)
 
     def wake_readers(self, job_id: JobId) -> None:
         """Have those who wait for a job's results look again."""
-        event = self._listed.pop(job_id, None)
+        event = self._result_events.pop(job_id, None)
         if event is not None:
             event.set()
 
 
-def _nobody() -> None:
+def _notify_nothing() -> None:
     """Stand in until somebody wants to be told."""
 
 
--- a/citrondyke/gateway/jobs/route_backlog_tokens.py
+++ b/citrondyke/gateway/jobs/route_backlog_limiter.py
@@ -33,7 +33,7 @@
     from citrondyke.gateway.replication.fleet_queries import FleetQueries
     from citrondyke.ids import ConfigVersion, JobId, RouteName
 
-__all__ = ('NEAR_LIMIT_POLL_MS', 'BacklogReservation', 'RouteBacklogTokens')
+__all__ = ('NEAR_LIMIT_POLL_MS', 'BacklogReservation', 'RouteBacklogLimiter')
 
 log = logbook.Logger(__name__)
 
@@ -53,37 +53,37 @@
     NOT_NEEDED = 'not_needed'
 
 
-class RouteBacklogTokens:
+class RouteBacklogLimiter:
     """Reserves room for jobs, and tells the others what is used."""
 
     def __init__(
         self,
         context: Context,
-        life: str,
+        incarnation: str,
         name: RouteName,
         shares: TokenShares,
         owned: OwnedJobs,
-        facts: FleetQueries,
+        queries: FleetQueries,
         overshoot: float,
-        look_again: Callable[[], None],
+        request_poll: Callable[[], None],
     ) -> None:
         """Hold nothing yet.
 
         :param overshoot: tolerated part of the bound beyond it.
-        :param look_again: asks for a look soon.
+        :param request_poll: asks for a look soon.
         """
         self._context = context
-        self._life = life
+        self._incarnation = incarnation
         self._name = name
         self._shares = shares
-        self._facts = facts
+        self._queries = queries
         self._overshoot = overshoot
-        self._look_again = look_again
+        self._request_poll = request_poll
         self._lock = BoundedSemaphore(1)
-        self._own = OwnTokenShare(name, life, shares)
-        self._is_leaving = False
-        self._count = BacklogCount(context, life, name, owned, facts)
-        self._seen = ObservedShares(context, life, facts)
+        self._own = OwnTokenShare(name, incarnation, shares)
+        self._is_shutting_down = False
+        self._count = BacklogCount(context, incarnation, name, owned, queries)
+        self._observed = ObservedShares(context, incarnation, queries)
         self._rate = DrainRate()
         #: Whether the bound is near, so that what is finished must be told soon.
         self.is_near_limit = False
@@ -103,11 +103,11 @@
         """
         if self._count.has(job_id):
             return BacklogReservation.NOT_NEEDED
-        if not self._lock.locked() and self._fits_share(config_version, tokens):
+        if not self._lock.locked() and self._fits_own_share(config_version, tokens):
             self._add(job_id, tokens)
-            if not self._fits_share(config_version, tokens):
+            if not self._fits_own_share(config_version, tokens):
                 # The next one is to find room without waiting for the store.
-                self._look_again()
+                self._request_poll()
             return BacklogReservation.DONE
         with self._lock:
             return self._reserve_by_store(route, config_version, job_id, tokens, until_ms)
@@ -122,52 +122,53 @@
         With it others would go by what it says if the bound came back. Without it they count this
         instance's jobs by their heads.
         """
-        if self._own.share is None and not self._own.is_in_doubt:
+        if self._own.share is None and not self._own.is_uncertain:
             return None
         with self._lock:
             used = self._count.used()
             return self._own.withdraw(self._share(used, used, NO_CONFIGURATION))
 
-    def leave(self) -> None:
+    def shutdown(self) -> None:
         """Accept nothing more before a planned stop; the jobs are given back after it.
 
-        The others count the share from now on like that of a life that is gone. An acceptance in
-        doubt may still be done late, and a job that was accepted a moment ago may not be known to
-        them: with the share gone, its room would be given away and the bound passed.
+        Peers count the share from then on like the share of a dead incarnation. An uncertain
+        acceptance may still take effect late, and peers may not know of a job that was accepted a
+        moment ago: if the share were removed, its tokens would be granted to others and the limit
+        would be exceeded.
         """
         # As it stands now; jobs may be given back while the lock is waited for.
         used, finished = self._count.used(), self._count.finished()
-        self._is_leaving = True
+        self._is_shutting_down = True
         with self._lock:
-            self._own.leave(used, finished)
+            self._own.mark_left(used, finished)
 
-    def look(self, route: Route, config_version: ConfigVersion) -> None:
+    def poll(self, route: Route, config_version: ConfigVersion) -> None:
         """Bring the own share to what is used, and the knowledge of the others up to date.
 
         An instance without a job holds a small share too, so that a job that fits into it costs no
         call of the store besides the acceptance.
         """
-        if not self._count.used() and self._is_share_right(route, config_version):
+        if not self._count.used() and self._is_share_adequate(route, config_version):
             return
         with self._lock:
             read = self._read(route)
-            if isinstance(read, PlatformFailure) or self._is_leaving:
+            if isinstance(read, PlatformFailure) or self._is_shutting_down:
                 return
             used = self._count.used()
             self._rate.record_used(used)
-            others = self._seen.others(read, route.name)
-            bound = self._bound(route)
-            self.is_near_limit = bound.is_near_limit(others.used + used)
+            others = self._observed.sum_others(read, route.name)
+            backlog_limit = self._backlog_limit(route)
+            self.is_near_limit = backlog_limit.is_near_limit(others.used + used)
             self._rate.record_peer_usage(others.left, self._context.now_ms())
-            held = bound.share_to_hold(used, others)
-            is_within_ceiling = bound.is_within_ceiling(held, others)
+            held = backlog_limit.share_to_hold(used, others)
+            is_within_ceiling = backlog_limit.is_within_ceiling(held, others)
             share = self._share(
                 held, used, config_version if is_within_ceiling else NO_CONFIGURATION
             )
-            if self._is_to_be_written(bound, share):
+            if self._must_write(backlog_limit, share):
                 self._own.write(read, share)
-            for life, version in self._seen.gone(read):
-                self._shares.drop(route.name, life, version)
+            for incarnation, version in self._observed.dead(read):
+                self._shares.drop(route.name, incarnation, version)
 
     def _reserve_by_store(
         self,
@@ -177,21 +178,21 @@
         tokens: int,
         until_ms: float,
     ) -> BacklogReservation | BacklogFull | PlatformFailure:
-        bound = self._bound(route)
+        backlog_limit = self._backlog_limit(route)
         is_fresh = False
-        while not self._is_leaving:
-            if self._fits_share(config_version, tokens):
+        while not self._is_shutting_down:
+            if self._fits_own_share(config_version, tokens):
                 self._add(job_id, tokens)
                 return BacklogReservation.DONE
             read = self._read(route, is_fresh=is_fresh)
             if isinstance(read, PlatformFailure):
                 return read
             used = self._count.used()
-            others = self._seen.others(read, route.name)
-            self.is_near_limit = bound.is_near_limit(others.used + used)
-            decided = bound.check(used, tokens, others, self._rate.tokens_per_s)
+            others = self._observed.sum_others(read, route.name)
+            self.is_near_limit = backlog_limit.is_near_limit(others.used + used)
+            decided = backlog_limit.check(used, tokens, others, self._rate.tokens_per_s)
             if isinstance(decided, BacklogFull):
-                self._log_no_room(route, job_id, tokens, used, others, decided)
+                self._log_backlog_full(route, job_id, tokens, used, others, decided)
                 return decided
             self._add(job_id, tokens)
             share = self._share(decided.held, used + tokens, config_version)
@@ -200,7 +201,7 @@
                 return BacklogReservation.DONE
             self._undo_reservation(job_id, tokens)
             if isinstance(answer, PlatformFailure):
-                self._look_again()
+                self._request_poll()
                 return answer
             # Somebody else's share grew first, or the read was seconds old.
             is_fresh = True
@@ -210,16 +211,16 @@
             gevent.sleep(pause_ms / 1e3)
         return UNAVAILABLE
 
-    def _fits_share(self, config_version: ConfigVersion, tokens: int) -> bool:
-        if self._is_leaving:
+    def _fits_own_share(self, config_version: ConfigVersion, tokens: int) -> bool:
+        if self._is_shutting_down:
             return False
         return self._own.allows(config_version, self._count.used() + tokens)
 
-    def _is_share_right(self, route: Route, config_version: ConfigVersion) -> bool:
+    def _is_share_adequate(self, route: Route, config_version: ConfigVersion) -> bool:
         share = self._own.share
         if share is None or not self._own.is_certain_at_version(config_version):
             return False
-        return self._bound(route).is_headroom_in_range(share.held, 0)
+        return self._backlog_limit(route).is_headroom_in_range(share.held, 0)
 
     def _add(self, job_id: JobId, tokens: int) -> None:
         self._count.add(job_id, tokens)
@@ -231,18 +232,22 @@
 
     def _read(self, route: Route, *, is_fresh: bool = False) -> SharesRead | PlatformFailure:
         if is_fresh:
-            lives = {self._life, *self._seen.lives(), *self._facts.lives()}
-            read = self._shares.read_fresh(route.name, sorted(lives))
+            incarnations = {
+                self._incarnation,
+                *self._observed.incarnations(),
+                *self._queries.lives(),
+            }
+            read = self._shares.read_fresh(route.name, sorted(incarnations))
         else:
             read = self._shares.read(route.name)
         if isinstance(read, PlatformFailure):
             return read
-        self._seen.note(read)
-        self._own.take_read(read)
+        self._observed.observe(read)
+        self._own.apply_read(read)
         return read
 
-    def _bound(self, route: Route) -> BacklogLimit:
-        instances_count = len(list(self._facts.lives())) + 1
+    def _backlog_limit(self, route: Route) -> BacklogLimit:
+        instances_count = len(list(self._queries.lives())) + 1
         return BacklogLimit(route.waiting_tokens_limit, self._overshoot, instances_count)
 
     def _share(self, held: int, used: int, config_version: ConfigVersion) -> TokenShare:
@@ -255,22 +260,24 @@
             self._count.finished(),
         )
 
-    def _is_to_be_written(self, bound: BacklogLimit, share: TokenShare) -> bool:
+    def _must_write(self, backlog_limit: BacklogLimit, share: TokenShare) -> bool:
         own = self._own.share
         if own is None or not self._own.is_certain_at_version(share.config_version):
             return True
-        is_right = bound.is_headroom_in_range(own.held, share.used) or own.held == share.held
-        off = max(abs(own.used - share.used), abs(own.finished - share.finished))
-        return not is_right or off > (0 if self.is_near_limit else share.held - share.used)
+        is_adequate = (
+            backlog_limit.is_headroom_in_range(own.held, share.used) or own.held == share.held
+        )
+        deviation = max(abs(own.used - share.used), abs(own.finished - share.finished))
+        return not is_adequate or deviation > (0 if self.is_near_limit else share.held - share.used)
 
     @staticmethod
-    def _log_no_room(
+    def _log_backlog_full(
         route: Route,
         job_id: JobId,
         tokens: int,
         used: int,
         others: PeerShares,
-        no_room: BacklogFull,
+        backlog_full: BacklogFull,
     ) -> None:
         log.info(
             'tokens.no_room',
@@ -282,7 +289,7 @@
                 'used_here': used,
                 'used_elsewhere': others.used,
                 'held_elsewhere': others.held,
-                'excess': no_room.excess,
-                'retry_in_ms': no_room.retry_in_ms,
+                'excess': backlog_full.excess,
+                'retry_in_ms': backlog_full.retry_in_ms,
             },
         )
--- a/citrondyke/gateway/jobs/token_shares.py
+++ b/citrondyke/gateway/jobs/token_shares.py
@@ -30,30 +30,30 @@
 __all__ = ('SharesRead', 'TokenShares')
 
 SHARES_TABLE = 'batch_tokens'
-#: Changed by each write that lets a share grow; no life has this name.
-TURN_KEY = 'turn'
+#: Changed by each write that lets a share grow; no incarnation has this name.
+GROWTH_KEY = 'turn'
 #: Rows that one transaction names at the most.
-ROWS_IN_CALL = 100
+ROWS_PER_TRANSACTION = 100
 
 
 class SharesRead(msgspec.Struct):
-    """All shares of a route as of one moment, by life."""
+    """All shares of a route as of one moment, by incarnation."""
 
     shares: dict[str, TokenShare] = {}
     versions: dict[str, int] = {}
-    turn_version: int = 0
+    growth_version: int = 0
 
 
 class TokenShares:
     """Reads and writes shares; one part of a table for each route."""
 
-    def __init__(self, table: PartitionedTable, own_life: str) -> None:
+    def __init__(self, table: PartitionedTable, own_incarnation: str) -> None:
         """Use the store's client.
 
-        :param own_life: names this life of this instance.
+        :param own_incarnation: names this incarnation of this instance.
         """
         self._table = table
-        self._own_life = own_life
+        self._own_incarnation = own_incarnation
         self._unreadable = UnreadableRows(SHARES_TABLE)
 
     def read(self, route: RouteName) -> SharesRead | PlatformFailure:
@@ -63,16 +63,16 @@
             return listing
         return self._decoded(route, listing.rows)
 
-    def read_fresh(self, route: RouteName, lives: list[str]) -> SharesRead | PlatformFailure:
-        """Read the shares of some lives as they stand now, though plain reads may be old."""
+    def read_fresh(self, route: RouteName, incarnations: list[str]) -> SharesRead | PlatformFailure:
+        """Read the shares of some incarnations as they stand now, though plain reads may be old."""
         rows: list[PartRow] = []
-        keys = [TURN_KEY, *lives]
+        keys = [GROWTH_KEY, *incarnations]
         # The turn is read first: a share that grows between two of these calls changes it, so that
         # no write that rests on them goes through.
-        for start in range(0, len(keys), ROWS_IN_CALL):
+        for start in range(0, len(keys), ROWS_PER_TRANSACTION):
             conditions = tuple(
                 RowCondition(SHARES_TABLE, key, IMPOSSIBLE_VERSION)
-                for key in keys[start : start + ROWS_IN_CALL]
+                for key in keys[start : start + ROWS_PER_TRANSACTION]
             )
             answer = self._table.transact(PartTransaction(route, conditions))
             if isinstance(answer, PlatformFailure):
@@ -87,9 +87,9 @@
         """Write a larger share, if nobody's grew since the read."""
         return self._write(
             route,
-            read.versions.get(self._own_life, 0),
-            (RowCondition(SHARES_TABLE, TURN_KEY, read.turn_version),),
-            (self._put(share), RowPut(SHARES_TABLE, TURN_KEY, self._own_life.encode())),
+            read.versions.get(self._own_incarnation, 0),
+            (RowCondition(SHARES_TABLE, GROWTH_KEY, read.growth_version),),
+            (self._put(share), RowPut(SHARES_TABLE, GROWTH_KEY, self._own_incarnation.encode())),
         )
 
     def renew(
@@ -101,8 +101,8 @@
         """
         return self._write(
             route,
-            read.versions.get(self._own_life, 0),
-            (RowCondition(SHARES_TABLE, TURN_KEY, read.turn_version),),
+            read.versions.get(self._own_incarnation, 0),
+            (RowCondition(SHARES_TABLE, GROWTH_KEY, read.growth_version),),
             (self._put(share),),
         )
 
@@ -113,15 +113,15 @@
         return self._write(route, own_version, (), (self._put(share),))
 
     def drop(
-        self, route: RouteName, life: str, version: int
+        self, route: RouteName, incarnation: str, version: int
     ) -> PartCommitted | PartConflict | PlatformFailure:
-        """Take a life's share away."""
+        """Take a incarnation's share away."""
         return self._table.transact(
             PartTransaction(
                 route,
-                (RowCondition(SHARES_TABLE, life, version),),
+                (RowCondition(SHARES_TABLE, incarnation, version),),
                 (),
-                (RowRemoval(SHARES_TABLE, life),),
+                (RowRemoval(SHARES_TABLE, incarnation),),
             )
         )
 
@@ -134,14 +134,14 @@
     ) -> PartCommitted | PartConflict | PlatformFailure:
         # An own write may be done late, after the next one; without its version it would bring
         # an old share back.
-        own = RowCondition(SHARES_TABLE, self._own_life, own_version)
+        own = RowCondition(SHARES_TABLE, self._own_incarnation, own_version)
         return self._table.transact(PartTransaction(route, (own, *conditions), puts))
 
     def _decoded(self, route: RouteName, rows: Iterable[PartRow]) -> SharesRead:
         read = SharesRead()
         for row in rows:
-            if row.key == TURN_KEY:
-                read.turn_version = row.version
+            if row.key == GROWTH_KEY:
+                read.growth_version = row.version
                 continue
             try:
                 read.shares[row.key] = decode_json(row.value or b'', TokenShare)
@@ -151,4 +151,4 @@
         return read
 
     def _put(self, share: TokenShare) -> RowPut:
-        return RowPut(SHARES_TABLE, self._own_life, msgspec.json.encode(share))
+        return RowPut(SHARES_TABLE, self._own_incarnation, msgspec.json.encode(share))
--- a/tests/test_batch/test_batch_backlog_limit.py
+++ b/tests/test_batch/test_batch_backlog_limit.py
@@ -22,7 +22,7 @@
 from citrondyke.decisions.batch.owned_job import OwnedJob, RunResult
 from citrondyke.decisions.forwarding.route import Route, RouteKind, ServiceShare
 from citrondyke.decisions.forwarding.route_table import RouteTable
-from citrondyke.gateway.jobs.backlog_tokens import BacklogTokens
+from citrondyke.gateway.jobs.backlog_limiter import BacklogLimiter
 from citrondyke.gateway.jobs.job_rows import (
     HEAD_KEY,
     HEADS_TABLE,
@@ -32,7 +32,7 @@
 )
 from citrondyke.gateway.jobs.job_store import JobStore
 from citrondyke.gateway.jobs.owned_jobs import OwnedJobs
-from citrondyke.gateway.jobs.route_backlog_tokens import BacklogReservation
+from citrondyke.gateway.jobs.route_backlog_limiter import BacklogReservation
 from citrondyke.gateway.jobs.token_shares import TokenShares
 from citrondyke.gateway.replication.fleet_queries import FleetQueries
 from citrondyke.ids import ConfigVersion, InstanceId, JobId, RouteName, ServiceName
@@ -97,7 +97,7 @@
         self.context = manual_context(fleet.clock, self.instance_id)
         self.owned = OwnedJobs()
         self.store = JobStore(fleet.table, MemoryObjects(), 65_536)
-        self.waiting = BacklogTokens(
+        self.waiting = BacklogLimiter(
             self.context,
             life,
             TokenShares(fleet.table, life),
@@ -192,7 +192,7 @@
         """Stop a node as planned, with a failure of the first store call that this makes."""
         self.table.trouble = trouble
         node.owned.is_stopping = True
-        leaving = gevent.spawn(node.waiting.leave)
+        leaving = gevent.spawn(node.waiting.shutdown)
         gevent.sleep(0)
         for job in list(node.owned.by_id.values()):
             if node.store.release(job, []) is CommitVerdict.DONE:
@@ -264,7 +264,7 @@
     def poll_all(self) -> None:
         self.clock.ms += 300.0
         for node in self.nodes:
-            node.waiting.look(self.route, self.config.version)
+            node.waiting.poll(self.route, self.config.version)
 
 
 class BacklogMachine(RuleBasedStateMachine):
@@ -314,7 +314,7 @@
             items = node.store.items(head)
             if isinstance(claimed, StoredHead) and isinstance(items, list):
                 node.owned.add(OwnedJob(claimed.head, claimed.version, items))
-        node.waiting.look(self.fleet.route, self.fleet.config.version)
+        node.waiting.poll(self.fleet.route, self.fleet.config.version)
 
     @rule(number=WHO)
     def end(self, number: int) -> None:
@@ -326,7 +326,7 @@
     @rule(number=WHO, trouble=TROUBLES)
     def look(self, number: int, trouble: Trouble) -> None:
         self.fleet.table.trouble = trouble
-        self.fleet.nodes[number].waiting.look(self.fleet.route, self.fleet.config.version)
+        self.fleet.nodes[number].waiting.poll(self.fleet.route, self.fleet.config.version)
         self.fleet.table.trouble = Trouble.NONE
 
     @rule()
@@ -447,7 +447,7 @@
     # instance accepts jobs, and the limit is restored: by the row those jobs would not exist.
     fleet = Fleet(3 * JOB_TOKENS)
     fleet.table.trouble = Trouble.REPLY_LOST
-    fleet.nodes[8].waiting.look(fleet.route, fleet.config.version)
+    fleet.nodes[8].waiting.poll(fleet.route, fleet.config.version)
     fleet.route = route(0)
     assert fleet.burst([0, 0, 8]) == [202] * 3
     fleet.route = route(3 * JOB_TOKENS)
@@ -528,7 +528,7 @@
     assert fleet.burst([0] * 4) == [202] * 4
     fleet.nodes[0].finish(4 * ITEMS)
     fleet.table.trouble = Trouble.REPLY_LOST
-    fleet.nodes[0].waiting.look(fleet.route, fleet.config.version)
+    fleet.nodes[0].waiting.poll(fleet.route, fleet.config.version)
     assert fleet.burst([1] * 8) == [202] * 8
     assert fleet.burst([0] * 4) == [429] * 4
 
--- a/tests/test_batch/test_batch_machine.py
+++ b/tests/test_batch/test_batch_machine.py
@@ -71,7 +71,7 @@
 
     @rule(owner=OWNERS, trouble=TROUBLES)
     def claim(self, owner: int, trouble: Trouble) -> None:
-        stored = self.store.head(JOB)
+        stored = self.store.current_head(JOB)
         if isinstance(stored, NoJob) or stored.head.is_done or stored.head.is_ended:
             return
         self.table.trouble = trouble
@@ -119,7 +119,7 @@
 
     @rule(trouble=TROUBLES)
     def end(self, trouble: Trouble) -> None:
-        stored = self.store.head(JOB)
+        stored = self.store.current_head(JOB)
         if isinstance(stored, NoJob) or stored.head.is_ended:
             return
         self.table.trouble = trouble
@@ -130,7 +130,7 @@
     @invariant()
     def accepted_job_is_there(self) -> None:
         if self.told:
-            assert isinstance(self.store.head(JOB), StoredHead)
+            assert isinstance(self.store.current_head(JOB), StoredHead)
 
     @invariant()
     def results_only_grow(self) -> None:
@@ -150,7 +150,7 @@
     def teardown(self) -> None:
         """A last owner on a store without failures finishes the job."""
         self.table.apply_late()
-        stored = self.store.head(JOB)
+        stored = self.store.current_head(JOB)
         if isinstance(stored, NoJob):
             assert not self.told
             return
--- a/tests/test_gateway/test_jobs/test_jobs.py
+++ b/tests/test_gateway/test_jobs/test_jobs.py
@@ -136,13 +136,13 @@
     assert fleet.submit('job-1', 4, at=0).status == 202
     first = fleet.instances[0]
     job = first.batch.owned.by_id[msgspec.convert('job-1', str)]  # type: ignore[index]
-    stored = first.batch.keeper.store.head(job.head.job_id)
+    stored = first.batch.claimer.store.current_head(job.head.job_id)
     taken = msgspec.structs.replace(
         stored.head,  # type: ignore[union-attr]
         owner=fleet.instances[1].context.instance_id,
         owner_life='gone',
     )
-    first.batch.keeper.store.change_head(stored, taken)  # type: ignore[arg-type]
+    first.batch.claimer.store.change_head(stored, taken)  # type: ignore[arg-type]
     results = fleet.wait_done('job-1', at=1)
     assert sorted(each['id'] for each in results) == [f'job-1-{n}' for n in range(4)]
 
@@ -185,7 +185,7 @@
         monkeypatch.undo()
         begin(*arguments)
         for run in runner._runs.values():
-            run.cut()
+            run.preempt()
 
     monkeypatch.setattr(runner, '_begin', begin_and_cut)
     assert fleet.submit('job-1', 3).status == 202
--- a/tests/test_gateway/test_jobs/test_jobs_job_intake.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_acceptor.py
@@ -39,5 +39,5 @@
     request = CallerRequest(b'POST', b'/batch-stream/job', [], b'', instance.clock.now_ms())
     for within_ms, is_held in ((None, False), (5_000.0, True)):
         metadata = RequestMetadata(request_id=RequestId('job-1'), within_ms=within_ms)
-        wait = instance.batch.intake._begin_wait(request, metadata, route)
+        wait = instance.batch.acceptor._begin_deadline(request, metadata, route)
         assert (wait.latest_answer_ms > wait.redirect_at_ms) is is_held
--- a/tests/test_gateway/test_jobs/test_jobs_job_keeper.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_claimer.py
@@ -32,7 +32,7 @@
         assert isinstance(store.accept(head, ITEMS), StoredHead)
     table.transactions_count = 0
     context = manual_context(name='instance-7')
-    keeper = JobClaimer(
+    claimer = JobClaimer(
         context,
         'life',
         table,
@@ -45,6 +45,6 @@
         lambda: 1.0,
         Tasks(),
     )
-    keeper.list_once()
-    assert keeper.open_count == JOBS
+    claimer.list_once()
+    assert claimer.open_count == JOBS
     assert table.transactions_count == 0
--- a/tests/test_gateway/test_jobs/test_jobs_job_committer.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_committer.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from citrondyke.decisions.batch.owned_job import OwnedJob
-from citrondyke.gateway.jobs.job_committer import SAVE_EVERY_MS, SAVE_FACTOR, JobCommitter
+from citrondyke.gateway.jobs.job_committer import SAVE_EVERY_MS, SAVE_INTERVAL_FACTOR, JobCommitter
 from citrondyke.gateway.jobs.job_rows import StoredHead
 from citrondyke.gateway.jobs.job_store import JobStore
 from citrondyke.gateway.jobs.owned_jobs import OwnedJobs
@@ -83,7 +83,7 @@
     assert isinstance(stale, Listing)
     owner.end_elsewhere()
     owner.table.stale = stale
-    owner.committer.look_at(JOB)
+    owner.committer.check_job(JOB)
     gevent.sleep(0)
     assert owner.owned.owned(JOB) is None
 
@@ -94,7 +94,7 @@
     owner = _Owner()
     assert owner.committer.save_pause_ms() == SAVE_EVERY_MS
     owner.table.call_ms = 450.0
-    assert owner.committer.save_pause_ms() == 450.0 * SAVE_FACTOR
+    assert owner.committer.save_pause_ms() == 450.0 * SAVE_INTERVAL_FACTOR
 
 
 def test_instance_without_jobs_waits_for_one() -> None:
@@ -103,14 +103,14 @@
     owner = _Owner()
     job = owner.owned.drop(JOB)
     assert job is not None
-    waiting = gevent.spawn(owner.owned.wait_for_results)
+    waiting = gevent.spawn(owner.owned.wait_for_jobs)
     gevent.sleep(0)
     assert not waiting.dead
     owner.owned.add(job)
     waiting.join(timeout=1.0)
     assert waiting.dead
     owner.owned.lose(JOB, 'ended')
-    again = gevent.spawn(owner.owned.wait_for_results)
+    again = gevent.spawn(owner.owned.wait_for_jobs)
     gevent.sleep(0)
     assert not again.dead
     again.kill()
--- a/tests/test_gateway/test_jobs/test_jobs_job_reader.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_reader.py
@@ -8,8 +8,8 @@
 from citrondyke.decisions.batch.job import ItemResult, ItemState
 from citrondyke.decisions.batch.owned_job import OwnedJob
 from citrondyke.gateway.jobs.job_reader import (
+    CACHE_BYTES,
     HEAD_BYTES,
-    REMEMBERED_BYTES,
     JobReader,
     JobView,
 )
@@ -56,10 +56,10 @@
     # An instance answers callers of very many jobs. Memory of those that it forgets must be given
     # back whole: what is counted must be what is held, or the bound on it means nothing.
     reader = JobReader(manual_context(), JobStore(FlakyTable(), MemoryObjects(), 65_536))
-    for number in range(REMEMBERED_BYTES // HEAD_BYTES + 1_000):
-        reader.remember(msgspec.structs.replace(new_head(0), job_id=JobId(f'{number:016x}')))
-    assert reader.remembered_bytes == reader.remembered_count * HEAD_BYTES
-    assert reader.remembered_bytes <= REMEMBERED_BYTES
+    for number in range(CACHE_BYTES // HEAD_BYTES + 1_000):
+        reader.cache_head(msgspec.structs.replace(new_head(0), job_id=JobId(f'{number:016x}')))
+    assert reader.cached_bytes == reader.cached_count * HEAD_BYTES
+    assert reader.cached_bytes <= CACHE_BYTES
 
 
 def test_results_of_a_forgotten_job_are_not_counted() -> None:
@@ -72,9 +72,9 @@
     reader = JobReader(manual_context(), store)
     view = reader.view(JOB)
     assert isinstance(view, JobView)
-    for number in range(REMEMBERED_BYTES // HEAD_BYTES):
-        reader.remember(msgspec.structs.replace(new_head(0), job_id=JobId(f'{number:016x}')))
+    for number in range(CACHE_BYTES // HEAD_BYTES):
+        reader.cache_head(msgspec.structs.replace(new_head(0), job_id=JobId(f'{number:016x}')))
     results = [ItemResult(item.id, ItemState.COMPLETED, 'x' * 1_000) for item in ITEMS[:3]]
     assert store.commit(job, results) is CommitVerdict.DONE
     assert reader.results(view, 0, 0.0) == results
-    assert reader.remembered_bytes == reader.remembered_count * HEAD_BYTES
+    assert reader.cached_bytes == reader.cached_count * HEAD_BYTES
--- a/tests/test_gateway/test_jobs/test_jobs_job_sweeper.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_sweeper.py
@@ -13,7 +13,7 @@
 from citrondyke.gateway.jobs.job_removal import JobRemoval
 from citrondyke.gateway.jobs.job_rows import CommitVerdict, NoJob, StoredHead
 from citrondyke.gateway.jobs.job_store import JobStore
-from citrondyke.gateway.jobs.job_sweeper import MARGIN_MS, JobSweeper
+from citrondyke.gateway.jobs.job_sweeper import CLOCK_MARGIN_MS, JobSweeper
 from tests.support.flaky_table import FlakyTable, MemoryObjects, Trouble
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.test_batch.test_batch_machine import ITEMS, JOB, new_head
@@ -52,10 +52,10 @@
     shelf.finish()
     shelf.clock.ms += KEPT_MS
     assert shelf.sweeper.sweep() == 0
-    assert isinstance(shelf.store.head(JOB), StoredHead)
-    shelf.clock.ms += MARGIN_MS + 1.0
+    assert isinstance(shelf.store.current_head(JOB), StoredHead)
+    shelf.clock.ms += CLOCK_MARGIN_MS + 1.0
     assert shelf.sweeper.sweep() == 1
-    assert isinstance(shelf.store.head(JOB), NoJob)
+    assert isinstance(shelf.store.current_head(JOB), NoJob)
     assert shelf.removal.all_jobs() == []
 
 
@@ -71,7 +71,7 @@
     noise = ''.join(random.Random(1).choices(string.printable, k=120_000))
     shelf.finish(noise)
     assert shelf.objects.objects
-    shelf.clock.ms += KEPT_MS + MARGIN_MS + 1.0
+    shelf.clock.ms += KEPT_MS + CLOCK_MARGIN_MS + 1.0
     assert shelf.sweeper.sweep() == 1
     assert not shelf.objects.objects
 
@@ -81,8 +81,8 @@
     # next sweep finds the job and goes on.
     shelf = Shelf()
     shelf.finish()
-    shelf.clock.ms += KEPT_MS + MARGIN_MS + 1.0
-    stored = shelf.store.head(JOB)
+    shelf.clock.ms += KEPT_MS + CLOCK_MARGIN_MS + 1.0
+    stored = shelf.store.current_head(JOB)
     assert isinstance(stored, StoredHead)
     shelf.table.trouble = Trouble.REFUSED
     assert shelf.removal.delete(stored) is CommitVerdict.NOT_WRITTEN
--- a/tests/test_gateway/test_servers/test_servers_crashes.py
+++ b/tests/test_gateway/test_servers/test_servers_crashes.py
@@ -172,7 +172,7 @@
 
     def preempt_all(*_: object) -> None:
         for run in list(runner._runs.values()):
-            run.cut()
+            run.preempt()
         gevent.sleep(0.05)
 
     monkeypatch.setattr(fleet.instances[0].guard, '_check_exit', preempt_all)
