--- a/citrondyke/gateway/instance.py
+++ b/citrondyke/gateway/instance.py
@@ -137,7 +137,7 @@
         )
         limits = StewardRateLimiter(
             self.context,
-            self.membership.everybody,
+            self.membership.all_instances,
             self.replicated.config.find_account,
             settings.limit_tolerance,
             began_ms,
@@ -202,11 +202,11 @@
             self.replicated,
             self.store,
             self.suspects,
-            self._loads.take,
+            self._loads.on_message,
             self.batch.committer.look_at,
             self.guard.on_message,
             self.batch.take_needs,
-            self._evidence.take,
+            self._evidence.on_message,
             adapters.table,
             PeerTraffic(self.context, self.metrics),
             self._live,
@@ -215,8 +215,8 @@
             self._batch_window_ms,
             self._tasks,
         )
-        self.book.on_choose(self.peers.look)
-        self.batch.use_peers(self.peers.look, self.peers.send)
+        self.book.on_choose(self.peers.receive_pending)
+        self.batch.use_peers(self.peers.receive_pending, self.peers.send)
         self.jobs = self.batch.door(self.peers.notify_job_changed)
         self.gate = StartupGate(
             self.context,
@@ -260,7 +260,7 @@
             port = settings.metrics_port
             self._listen(settings.ip, port, self._operator_pages.on_connection)
         self._sockets.close()
-        readers = self.peers.list_readers
+        readers = self.peers.list_read_delegation
         config_follower, servers_follower = follow_replicated_state(
             self.context,
             self._adapters,
@@ -367,7 +367,7 @@
             )
             self._live.timeout_factor = self._store_interval_factor()
             self.replicated.reconcile('grace')
-            self.peers.list_readers.look()
+            self.peers.list_read_delegation.update_role()
 
     def _store_interval_factor(self) -> float:
         return self.book.topology.store_interval_factor
@@ -389,7 +389,7 @@
 
     def _on_load_change(self, state: ServerState) -> None:
         """Publish the load, and preempt batch items on a server with online requests."""
-        self._loads.note_change()
+        self._loads.mark_changed()
         self._evidence.record_outcome(state)
         if state.own.batch and state.own.online:
             self.batch.runner.preempt_items()
--- a/citrondyke/gateway/peers/config_read_delegation.py
+++ b/citrondyke/gateway/peers/config_read_delegation.py
@@ -13,7 +13,7 @@
 
 __all__ = ('ConfigReadDelegation',)
 
-LOOK_MS = 20.0
+POLL_MS = 20.0
 
 
 class ConfigReadDelegation(ReadDelegation):
@@ -46,4 +46,4 @@
         if not self._wait_for_decision():
             return
         while self._is_awaited():
-            gevent.sleep(LOOK_MS / 1e3)
+            gevent.sleep(POLL_MS / 1e3)
--- a/citrondyke/gateway/peers/need_codec.py
+++ b/citrondyke/gateway/peers/demand_codec.py
@@ -10,18 +10,18 @@
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.util.decoding import decode_msgpack
 
-__all__ = ('pack_needs', 'unpack_needs')
+__all__ = ('pack_demand', 'unpack_demand')
 
 #: More than a server list has places.
 COUNT_LIMIT = 1_000_000
 
 
-def pack_needs(needs: list[DemandNotice]) -> bytes:
+def pack_demand(needs: list[DemandNotice]) -> bytes:
     """Encode needs."""
     return msgspec.msgpack.encode(needs)
 
 
-def unpack_needs(data: bytes) -> list[DemandNotice]:
+def unpack_demand(data: bytes) -> list[DemandNotice]:
     """Decode needs.
 
     :raises ValueError: when the bytes are none, or say what cannot be.
--- a/citrondyke/gateway/peers/evidence_exchange.py
+++ b/citrondyke/gateway/peers/evidence_exchange.py
@@ -28,11 +28,11 @@
 class EvidenceExchange:
     """Carries results between this instance's view of the servers and its peers."""
 
-    def __init__(self, context: Context, book: ServerRegistry) -> None:
+    def __init__(self, context: Context, registry: ServerRegistry) -> None:
         """Start with nothing to tell."""
-        self._book = book
-        self._notices = EvidenceNotices(context, book)
-        self._has_news = Event()
+        self._registry = registry
+        self._notices = EvidenceNotices(context, registry)
+        self._has_updates = Event()
 
     def start(self, tasks: Tasks, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
         """Begin to tell.
@@ -44,9 +44,9 @@
     def record_outcome(self, state: ServerState) -> None:
         """Have peers told of a server where there is something new."""
         if state.health_record.has_update:
-            self._has_news.set()
+            self._has_updates.set()
 
-    def take(self, sender: InstanceId, news: EvidenceNews) -> None:
+    def on_message(self, sender: InstanceId, news: EvidenceNews) -> None:
         """Take in what a peer tells."""
         self._notices.record_peer_evidence(sender, news.rows)
 
@@ -54,14 +54,14 @@
         while True:
             pause_ms = self._notices.next_pause_ms()
             if pause_ms is None:
-                self._has_news.clear()
-                self._has_news.wait()
+                self._has_updates.clear()
+                self._has_updates.wait()
                 continue
             if pause_ms > 0:
-                self._has_news.clear()
-                self._has_news.wait(pause_ms / 1e3)
+                self._has_updates.clear()
+                self._has_updates.wait(pause_ms / 1e3)
                 continue
             rows = self._notices.take_due()
             for start in range(0, len(rows), ROWS_PER_DATAGRAM):
                 part = rows[start : start + ROWS_PER_DATAGRAM]
-                send(EvidenceNews(part), self._book.topology.all_peers())
+                send(EvidenceNews(part), self._registry.topology.all_peers())
--- a/citrondyke/gateway/peers/limit_codec.py
+++ b/citrondyke/gateway/peers/limit_codec.py
@@ -33,7 +33,7 @@
 _WORK = struct.Struct('<I')
 
 
-class _Counts(msgspec.Struct, array_like=True):
+class _FloorsMessage(msgspec.Struct, array_like=True):
     """A steward's floors, or the answer to them where there is no copy."""
 
     slot: int
@@ -61,17 +61,17 @@
         lease.slot, lease.number = message.slot, message.number
         lease.isRenewal, lease.isEarly = message.is_renewal, message.is_early
     elif isinstance(message, LeaseAnswered):
-        word = built.init('leaseAnswered')
-        word.slot, word.number = message.slot, message.number
-        word.isGranted, word.freeMs = message.is_granted, message.free_ms
+        answered = built.init('leaseAnswered')
+        answered.slot, answered.number = message.slot, message.number
+        answered.isGranted, answered.freeMs = message.is_granted, message.free_ms
         if message.copy is not None:
-            word.copy = msgspec.msgpack.encode(message.copy)
+            answered.copy = msgspec.msgpack.encode(message.copy)
     elif isinstance(message, FloorsTold):
         copy = message.copy
-        told = _Counts(message.slot, copy.era, copy.number, copy)
-        built.useCounts = msgspec.msgpack.encode(told)
+        floors_message = _FloorsMessage(message.slot, copy.era, copy.number, copy)
+        built.useCounts = msgspec.msgpack.encode(floors_message)
     elif isinstance(message, FloorsAcknowledged):
-        heard = _Counts(message.slot, message.era, message.number)
+        heard = _FloorsMessage(message.slot, message.era, message.number)
         built.useCounts = msgspec.msgpack.encode(heard)
     else:
         raise TypeError(type(message).__name__)
@@ -117,21 +117,21 @@
 
 
 def _read_lease_answered(read: Any) -> LeaseAnswered:
-    word = read.leaseAnswered
+    answered = read.leaseAnswered
     copy = None
-    if word.copy:
-        copy = _checked(msgspec.msgpack.decode(bytes(word.copy), type=SlotCopy))
-    return LeaseAnswered(word.slot, word.number, word.isGranted, word.freeMs, copy)
+    if answered.copy:
+        copy = _validate_copy(msgspec.msgpack.decode(bytes(answered.copy), type=SlotCopy))
+    return LeaseAnswered(answered.slot, answered.number, answered.isGranted, answered.freeMs, copy)
 
 
 def _read_counts(read: Any) -> LimitMessage:
-    counts = msgspec.msgpack.decode(bytes(read.useCounts), type=_Counts)
+    counts = msgspec.msgpack.decode(bytes(read.useCounts), type=_FloorsMessage)
     if counts.copy is None:
         return FloorsAcknowledged(counts.slot, counts.era, counts.number)
-    return FloorsTold(counts.slot, _checked(counts.copy))
+    return FloorsTold(counts.slot, _validate_copy(counts.copy))
 
 
-def _checked(copy: SlotCopy) -> SlotCopy:
+def _validate_copy(copy: SlotCopy) -> SlotCopy:
     """Refuse a copy with levels that are no numbers; compared, they would hold nothing back.
 
     :raises ValueError: when there is one.
--- a/citrondyke/gateway/peers/load_exchange.py
+++ b/citrondyke/gateway/peers/load_exchange.py
@@ -23,21 +23,21 @@
 #: Servers in one datagram: 12 bytes each at the most, and it must fit one packet.
 LOADS_PER_DATAGRAM = 80
 #: Time without a change after which it is looked whether counts are to be told again.
-LOOK_S = 0.25
+POLL_S = 0.25
 
 
 class LoadExchange:
     """Carries counts between this instance's view of the servers and its peers."""
 
     def __init__(
-        self, notices: LoadNotices, neighbours: PeerTopology, on_loads: Callable[[], None]
+        self, notices: LoadNotices, topology: PeerTopology, on_loads: Callable[[], None]
     ) -> None:
         """Use the decisions handed in.
 
         :param on_loads: called after a peer's counts were taken in.
         """
         self._notices = notices
-        self._neighbours = neighbours
+        self._topology = topology
         self._on_loads = on_loads
         self._changed = Event()
 
@@ -48,11 +48,11 @@
         """
         tasks.supervise(lambda: self._run(send))
 
-    def note_change(self) -> None:
+    def mark_changed(self) -> None:
         """Have peers told soon."""
         self._changed.set()
 
-    def take(self, sender: InstanceId, text: LoadNotice | LoadTotals) -> None:
+    def on_message(self, sender: InstanceId, text: LoadNotice | LoadTotals) -> None:
         """Take in what a peer tells."""
         if isinstance(text, LoadNotice):
             self._notices.record_peer_counts(sender, text.loads)
@@ -62,7 +62,7 @@
 
     def _run(self, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
         while True:
-            self._changed.wait(LOOK_S)
+            self._changed.wait(POLL_S)
             pause_ms = self._notices.next_pause_ms()
             if pause_ms > 0:
                 gevent.sleep(pause_ms / 1e3)
@@ -74,6 +74,6 @@
             totals = self._notices.take_totals()
             if not totals:
                 continue
-            receivers = self._neighbours.one_peer_per_remote_zone(self._notices.totals_rotation)
+            receivers = self._topology.one_peer_per_remote_zone(self._notices.totals_rotation)
             for start in range(0, len(totals), LOADS_PER_DATAGRAM):
                 send(LoadTotals(totals[start : start + LOADS_PER_DATAGRAM]), receivers)
--- a/citrondyke/gateway/peers/membership.py
+++ b/citrondyke/gateway/peers/membership.py
@@ -76,10 +76,10 @@
         :param address: of this instance, for its peers.
         """
         self._context = context
-        self._life = life
+        self._incarnation = life
         self._address = address
         self._table = table
-        self._live = live
+        self._liveness = live
         self._number = 0
         self._is_leaving = False
         self._unreadable = UnreadableRows(INSTANCES_TABLE)
@@ -88,7 +88,7 @@
         #: Whether a whole list of the instances was seen, by the store or a peer.
         self.is_known = False
         self._known = Event()
-        self._everybody: tuple[InstanceId, ...] = ()
+        self._all_instances: tuple[InstanceId, ...] = ()
         #: Told with each heartbeat.
         self.list_bytes = 0
 
@@ -107,64 +107,66 @@
         for row in rows:
             instance_id = InstanceId(row.key)
             if row.value is None:
-                self._forget(instance_id)
+                self._remove_peer(instance_id)
                 continue
             try:
-                beat = decode_json(row.value, Heartbeat)
+                heartbeat = decode_json(row.value, Heartbeat)
             except UnreadableBytesError as error:
                 self._unreadable.log_once(row.key, row.version, error.message)
                 continue
-            is_news = self._live.record_row(instance_id, beat.life, row.version)
+            is_news = self._liveness.record_row(instance_id, heartbeat.life, row.version)
             if is_news and instance_id != self._context.instance_id:
-                self._learn(instance_id, beat)
+                self._add_peer(instance_id, heartbeat)
 
     def on_listing(self, rows: list[PartRow], _: int) -> None:
         """Take in a read of the whole table."""
         self.on_rows(rows)
-        self._note_known()
-        self._live.record_poll()
-        self._drop_silent({row.key: row.version for row in rows})
+        self._mark_known()
+        self._liveness.record_poll()
+        self._drop_dead_peers({row.key: row.version for row in rows})
 
-    def _drop_silent(self, versions: dict[str, int]) -> None:
+    def _drop_dead_peers(self, versions: dict[str, int]) -> None:
         """Forget peers that are gone; one of the others takes their rows away.
 
         A machine that was removed for good leaves its row behind. Calls that go by way of a peer
         would try it each time and wait for a connection that never comes.
         """
-        for instance_id in self._live.unresponsive(DEAD_AFTER_MS):
+        for instance_id in self._liveness.unresponsive(DEAD_AFTER_MS):
             if self.peers.pop(instance_id, None) is not None:
                 log.info('peer.gone', extra={'peer': instance_id, 'silent_ms': DEAD_AFTER_MS})
-        names = self._live.live_instances()
+        names = self._liveness.live_instances()
         if names[0] != self._context.instance_id:
             return
-        for instance_id in self._live.unresponsive(ROW_EXPIRY_MS):
+        for instance_id in self._liveness.unresponsive(ROW_EXPIRY_MS):
             version = versions.get(instance_id)
             if version is None:
-                self._live.record_removed(instance_id)
+                self._liveness.record_removed(instance_id)
                 continue
             condition = RowCondition(INSTANCES_TABLE, instance_id, version)
             removal = RowRemoval(INSTANCES_TABLE, instance_id)
             self._table.transact(PartTransaction('', (condition,), (), (removal,)))
 
-    def own_beat(self) -> Heartbeat:
+    def own_heartbeat(self) -> Heartbeat:
         """Give this instance's row."""
         ip, port = self._address
-        return Heartbeat(self._life, ip, port, self._context.zone, self._number, self.list_bytes)
+        return Heartbeat(
+            self._incarnation, ip, port, self._context.zone, self._number, self.list_bytes
+        )
 
-    def learn_from_peer(self, beats: dict[InstanceId, Heartbeat]) -> None:
+    def merge_from_peer(self, heartbeats: dict[InstanceId, Heartbeat]) -> None:
         """Take in the addresses that a peer knows; they prove nobody's life."""
-        for instance_id, beat in beats.items():
+        for instance_id, heartbeat in heartbeats.items():
             if instance_id != self._context.instance_id and instance_id not in self.peers:
-                self._learn(instance_id, beat)
-        if beats:
-            self._note_known()
+                self._add_peer(instance_id, heartbeat)
+        if heartbeats:
+            self._mark_known()
 
     def wait_known(self, longest_ms: float) -> bool:
         """Wait until a whole list of the instances was seen; tell whether one was."""
         self._known.wait(longest_ms / 1e3)
         return self.is_known
 
-    def _note_known(self) -> None:
+    def _mark_known(self) -> None:
         self.is_known = True
         self._known.set()
 
@@ -173,38 +175,43 @@
         """Count the instances that are known, this one included."""
         return len(self.peers) + 1
 
-    def everybody(self) -> tuple[InstanceId, ...]:
+    def all_instances(self) -> tuple[InstanceId, ...]:
         """List all instances, this one included; none while they are not known.
 
         The same object as long as nobody comes or goes.
         """
         if not self.is_known:
             return ()
-        if len(self._everybody) != self.count or not self.peers.keys() <= set(self._everybody):
-            self._everybody = (*self.peers, self._context.instance_id)
-        return self._everybody
+        if len(self._all_instances) != self.count or not self.peers.keys() <= set(
+            self._all_instances
+        ):
+            self._all_instances = (*self.peers, self._context.instance_id)
+        return self._all_instances
 
-    def _learn(self, instance_id: InstanceId, beat: Heartbeat) -> None:
+    def _add_peer(self, instance_id: InstanceId, heartbeat: Heartbeat) -> None:
         known = self.peers.get(instance_id)
-        self.peers[instance_id] = beat
-        if known is None or known.life != beat.life:
-            log.info('peer.known', extra={'peer': instance_id, 'life': beat.life, 'ip': beat.ip})
+        self.peers[instance_id] = heartbeat
+        if known is None or known.life != heartbeat.life:
+            log.info(
+                'peer.known',
+                extra={'peer': instance_id, 'life': heartbeat.life, 'ip': heartbeat.ip},
+            )
 
-    def _forget(self, instance_id: InstanceId) -> None:
-        self._live.record_removed(instance_id)
+    def _remove_peer(self, instance_id: InstanceId) -> None:
+        self._liveness.record_removed(instance_id)
         if self.peers.pop(instance_id, None) is not None:
             log.info('peer.left', extra={'peer': instance_id})
 
     def _run(self) -> None:
         while not self._is_leaving:
             self._number += 1
-            value = msgspec.json.encode(self.own_beat())
+            value = msgspec.json.encode(self.own_heartbeat())
             put = RowPut(INSTANCES_TABLE, self._context.instance_id, value)
             answer = self._table.transact(PartTransaction('', puts=(put,)))
             if isinstance(answer, PartCommitted):
-                self._live.record_own_heartbeat()
+                self._liveness.record_own_heartbeat()
             elif isinstance(answer, PlatformFailure):
                 log.info('heartbeat.failed', extra={'reason': answer.reason.value})
             gevent.sleep(
-                self._context.jittered_ms(HEARTBEAT_EVERY_MS * self._live.timeout_factor) / 1e3
+                self._context.jittered_ms(HEARTBEAT_EVERY_MS * self._liveness.timeout_factor) / 1e3
             )
--- a/citrondyke/gateway/peers/peer_codec.py
+++ b/citrondyke/gateway/peers/peer_codec.py
@@ -18,9 +18,9 @@
 from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
 from citrondyke.decisions.servers.server_evidence import ServerEvidence
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
+from citrondyke.gateway.peers.demand_codec import pack_demand, unpack_demand
 from citrondyke.gateway.peers.evidence_codec import pack_evidence, unpack_evidence
 from citrondyke.gateway.peers.limit_codec import LIMIT_READERS, build_limit
-from citrondyke.gateway.peers.need_codec import pack_needs, unpack_needs
 from citrondyke.ids import ConfigVersion, ContentDigest, InstanceId, JobId
 from citrondyke.util.decoding import decode_msgpack
 
@@ -252,7 +252,7 @@
     LoadTotals: _field('loadTotalsBytes', lambda text: _pack_loads(text.loads)),
     CrashNews: _write_suspects,
     EvidenceNews: _field('serverEvidence', lambda text: pack_evidence(text.rows)),
-    BatchNeeds: _field('batchNeed', lambda text: pack_needs(text.needs)),
+    BatchNeeds: _field('batchNeed', lambda text: pack_demand(text.needs)),
     JobChanged: _field('jobChanged', lambda text: text.job_id),
     KnowledgeWanted: _write_wanted,
     KnowledgeData: _field('knowledge', lambda text: text.data),
@@ -271,7 +271,7 @@
     'suspects': lambda read: CrashNews(
         read.suspects.server, _unpack_suspects(read.suspects.requests)
     ),
-    'batchNeed': lambda read: BatchNeeds(unpack_needs(bytes(read.batchNeed))),
+    'batchNeed': lambda read: BatchNeeds(unpack_demand(bytes(read.batchNeed))),
     'serverEvidence': lambda read: EvidenceNews(unpack_evidence(read.serverEvidence)),
     'jobChanged': lambda read: JobChanged(JobId(read.jobChanged)),
     'knowledgeAsked': lambda read: KnowledgeWanted(
--- a/citrondyke/gateway/peers/peer_traffic.py
+++ b/citrondyke/gateway/peers/peer_traffic.py
@@ -34,7 +34,7 @@
         self._metrics = metrics
         self._since_line: Counter[str] = Counter()
 
-    def note(
+    def record_sent(
         self, text: PeerText, size_bytes: int, zones: Sequence[AvailabilityZone | None]
     ) -> None:
         """Count a message that was sent, once for all of its receivers.
--- a/citrondyke/gateway/peers/peers.py
+++ b/citrondyke/gateway/peers/peers.py
@@ -30,8 +30,8 @@
     encode_message,
 )
 from citrondyke.gateway.peers.relayed_table import StoreAnswer, StoreCall, perform
-from citrondyke.gateway.peers.server_list_readers import ServerListReaders
-from citrondyke.gateway.peers.store_state_exchange import ASK_AFTER_MS, StoreStateExchange
+from citrondyke.gateway.peers.server_list_read_delegation import ServerListReadDelegation
+from citrondyke.gateway.peers.store_state_exchange import STORE_UNRESPONSIVE_MS, StoreStateExchange
 from citrondyke.gateway.sockets import connect, tune
 from citrondyke.ids import InstanceId
 from citrondyke.storage.failure import PlatformFailureReason
@@ -59,12 +59,12 @@
 
 STREAM_TIMEOUT_S = 1.5
 #: Peers that are asked to make one call of the store.
-RELAY_TRIES = 2
-CONNECT_MS = 300.0
+RELAY_ATTEMPTS = 2
+CONNECT_TIMEOUT_MS = 300.0
 FRAME_LIMIT_BYTES = 16 * 1024 * 1024
 DATAGRAM_LIMIT_BYTES = 65_535
 #: Datagrams that are taken before others get their turn.
-DATAGRAMS_AT_ONCE = 64
+DATAGRAMS_PER_TURN = 64
 
 
 class Peers:
@@ -82,14 +82,14 @@
         on_loads: Callable[[InstanceId, LoadNotice | LoadTotals], None],
         on_job: Callable[[JobId], None],
         on_crash: Callable[[CrashNews], None],
-        on_needs: Callable[[InstanceId, BatchNeeds], None],
+        on_demand: Callable[[InstanceId, BatchNeeds], None],
         on_evidence: Callable[[InstanceId, EvidenceNews], None],
         table: PartitionedTable,
         traffic: PeerTraffic,
         live: InstanceLiveness,
         metrics: Metrics,
-        pace: Callable[[], float],
-        gather_ms: Callable[[], float],
+        store_interval_factor: Callable[[], float],
+        batch_window_ms: Callable[[], float],
         tasks: Tasks,
     ) -> None:
         """Use the parts handed in; nothing is sent before ``start``.
@@ -97,16 +97,16 @@
         :param on_loads: takes what a peer tells of its counts.
         :param on_job: called when a job's head changed.
         :param on_crash: takes what a peer tells of servers that ended.
-        :param on_needs: takes what a peer tells of batch items that wait there.
+        :param on_demand: takes what a peer tells of batch items that wait there.
         :param on_evidence: takes what a peer tells of servers that fail.
         :param table: the store by the direct way, for peers that it does not answer.
         :param traffic: told of what is sent.
         :param live: judges silences of peers.
         :param pace: gives the factor by which calls are rarer than in a small fleet.
-        :param gather_ms: gives the time for which datagrams may wait; 0 for none.
+        :param batch_window_ms: gives the time for which datagrams may wait; 0 for none.
         """
         self._context = context
-        self._gather_ms = gather_ms
+        self._batch_window_ms = batch_window_ms
         self._port = port
         self.seed_ips = seed_ips
         self._membership = membership
@@ -115,14 +115,14 @@
         self._on_loads = on_loads
         self._on_job = on_job
         self._on_crash = on_crash
-        self._on_needs = on_needs
+        self._on_demand = on_demand
         self._on_evidence = on_evidence
         self._table = table
         self._tasks = tasks
         self._streams: StreamServer | None = None
         self._datagrams: socket.socket | None = None
         self._receiver: socket.socket | None = None
-        self.knowledge = StoreStateExchange(
+        self.store_state = StoreStateExchange(
             context,
             lambda: self.seed_ips,
             membership,
@@ -130,12 +130,12 @@
             store,
             suspects,
             self._exchange,
-            pace,
-            lambda: self.list_readers.is_holding,
+            store_interval_factor,
+            lambda: self.list_read_delegation.is_first_read_delayed,
             tasks,
         )
         self._traffic = traffic
-        self.list_readers = ServerListReaders(
+        self.list_read_delegation = ServerListReadDelegation(
             context, membership, live, replicated, metrics, self.send, self._exchange, tasks
         )
 
@@ -148,7 +148,7 @@
         self._receiver.setblocking(False)
         self._streams = StreamServer((ip, self._port), self._on_stream)
         self._streams.start()
-        self.knowledge.start()
+        self.store_state.start()
         self._tasks.supervise(self._run_datagrams)
         self._tasks.supervise(self._traffic.run)
 
@@ -164,22 +164,22 @@
         """Have a peer make a call of the store."""
         peers = list(self._membership.peers.values())
         self._context.random.shuffle(peers)
-        peers.sort(key=lambda beat: beat.zone != self._context.zone)
+        peers.sort(key=lambda heartbeat: heartbeat.zone != self._context.zone)
         failure = PlatformFailureReason.UNAVAILABLE
-        for beat in peers[:RELAY_TRIES]:
+        for heartbeat in peers[:RELAY_ATTEMPTS]:
             data = StoreCallData(msgspec.msgpack.encode(call))
             try:
-                message = self._exchange(beat.ip, data)
+                message = self._exchange(heartbeat.ip, data)
                 if isinstance(message.text, StoreAnswerData):
                     answer = decode_msgpack(message.text.data, StoreAnswer)
                     if answer.failure is not PlatformFailureReason.UNAVAILABLE:
                         return answer
             except BrokenReplyError as error:
-                log.info('peer.silent', extra={'ip': beat.ip, 'detail': error.message})
+                log.info('peer.silent', extra={'ip': heartbeat.ip, 'detail': error.message})
             except (OSError, ValueError) as error:
                 # The peer may have made the call.
                 failure = PlatformFailureReason.AMBIGUOUS
-                log.info('peer.silent', extra={'ip': beat.ip, 'detail': str(error)[:200]})
+                log.info('peer.silent', extra={'ip': heartbeat.ip, 'detail': str(error)[:200]})
         return StoreAnswer(failure=failure)
 
     def notify_job_changed(self, job_id: JobId, owner: InstanceId) -> None:
@@ -191,25 +191,25 @@
         data = encode_message(self._message(text))
         zones: list[AvailabilityZone | None] = []
         for receiver in receivers:
-            beat = self._membership.peers.get(receiver)
-            if beat is None or self._datagrams is None:
+            heartbeat = self._membership.peers.get(receiver)
+            if heartbeat is None or self._datagrams is None:
                 continue
-            zones.append(beat.zone)
+            zones.append(heartbeat.zone)
             try:
-                self._datagrams.sendto(data, (beat.ip, beat.peer_port))
+                self._datagrams.sendto(data, (heartbeat.ip, heartbeat.peer_port))
             except OSError as error:
                 log.info(
                     'peer.send_failed', extra={'peer': receiver, 'detail': type(error).__name__}
                 )
-        self._traffic.note(text, len(data), zones)
+        self._traffic.record_sent(text, len(data), zones)
 
     def _message(self, text: PeerText) -> PeerMessage:
         return PeerMessage(self._context.instance_id, self._replicated.config.table.version, text)
 
-    def look(self) -> None:
+    def receive_pending(self) -> None:
         """Take the datagrams that have come; called before a choice that rests on them."""
-        if self._receiver is not None and self._gather_ms() > 0:
-            self._take_datagrams(self._receiver)
+        if self._receiver is not None and self._batch_window_ms() > 0:
+            self._receive_datagrams(self._receiver)
 
     def _run_datagrams(self) -> None:
         """Take datagrams as they come, in a large fleet those of a while at once.
@@ -220,23 +220,23 @@
         if self._receiver is None:
             return
         while True:
-            gather_ms = self._gather_ms()
-            if gather_ms > 0:
-                gevent.sleep(gather_ms / 1e3)
+            batch_window_ms = self._batch_window_ms()
+            if batch_window_ms > 0:
+                gevent.sleep(batch_window_ms / 1e3)
             else:
                 wait_read(self._receiver.fileno())
-            while self._take_datagrams(self._receiver) == DATAGRAMS_AT_ONCE:
+            while self._receive_datagrams(self._receiver) == DATAGRAMS_PER_TURN:
                 gevent.sleep(0)
 
-    def _take_datagrams(self, receiver: socket.socket) -> int:
+    def _receive_datagrams(self, receiver: socket.socket) -> int:
         """Take what has come, a bounded number at once; tell how many."""
-        for count in range(DATAGRAMS_AT_ONCE):
+        for count in range(DATAGRAMS_PER_TURN):
             try:
                 data, address = receiver.recvfrom(DATAGRAM_LIMIT_BYTES)
             except BlockingIOError:
                 return count
             self._on_datagram(data, address)
-        return DATAGRAMS_AT_ONCE
+        return DATAGRAMS_PER_TURN
 
     def _on_datagram(self, data: bytes, address: tuple[str, int]) -> None:
         try:
@@ -244,18 +244,18 @@
         except ValueError as error:
             log.info('peer.unreadable', extra={'ip': address[0], 'detail': str(error)})
             return
-        self.knowledge.record_version(message.config_version, address[0])
+        self.store_state.record_version(message.config_version, address[0])
         text = message.text
         if isinstance(text, LoadNotice | LoadTotals):
             self._on_loads(message.sender, text)
         elif isinstance(text, BatchNeeds):
-            self._on_needs(message.sender, text)
+            self._on_demand(message.sender, text)
         elif isinstance(text, JobChanged):
             self._on_job(text.job_id)
         elif isinstance(text, CrashNews):
             self._on_crash(text)
         elif isinstance(text, ListTold | ListOffered):
-            self.list_readers.take(message.sender, address[0], text)
+            self.list_read_delegation.on_message(message.sender, address[0], text)
         elif isinstance(text, EvidenceNews):
             self._on_evidence(message.sender, text)
 
@@ -265,7 +265,7 @@
         :raises BrokenReplyError: when it was not reached.
         :raises OSError: when it may have been.
         """
-        with connect(ip, self._port, CONNECT_MS) as sock:
+        with connect(ip, self._port, CONNECT_TIMEOUT_MS) as sock:
             sock.settimeout(STREAM_TIMEOUT_S)
             self._write_frame(sock, ip, text)
             return self._read_frame(sock)
@@ -276,10 +276,10 @@
             sock.settimeout(STREAM_TIMEOUT_S)
             message = self._read_frame(sock)
             if isinstance(message.text, KnowledgeWanted):
-                known = self.knowledge.answer(message.text, message.config_version)
+                known = self.store_state.answer(message.text, message.config_version)
                 self._write_frame(sock, address[0], known)
             elif isinstance(message.text, ListTold):
-                offered = self.list_readers.answer(message.text, message.config_version)
+                offered = self.list_read_delegation.answer(message.text, message.config_version)
                 self._write_frame(sock, address[0], offered)
             elif isinstance(message.text, StoreCallData):
                 call: StoreCall = decode_msgpack(message.text.data, StoreCall)  # type: ignore[arg-type]
@@ -292,15 +292,15 @@
             sock.close()
 
     def _perform(self, call: StoreCall) -> StoreAnswer:
-        if self._store.unanswered_ms > ASK_AFTER_MS * 2:
+        if self._store.unanswered_ms > STORE_UNRESPONSIVE_MS * 2:
             return StoreAnswer(failure=PlatformFailureReason.UNAVAILABLE)
         return perform(self._table, call)
 
     def _write_frame(self, sock: socket.socket, ip: str, text: PeerText) -> None:
         data = encode_message(self._message(text))
         peers = self._membership.peers.values()
-        zone = next((beat.zone for beat in peers if beat.ip == ip), None)
-        self._traffic.note(text, len(data), [zone])
+        zone = next((heartbeat.zone for heartbeat in peers if heartbeat.ip == ip), None)
+        self._traffic.record_sent(text, len(data), [zone])
         write_frame(sock, data)
 
     @staticmethod
--- a/citrondyke/gateway/peers/relayed_table.py
+++ b/citrondyke/gateway/peers/relayed_table.py
@@ -47,11 +47,11 @@
 HEDGE_MS = 150.0
 #: ... or after this many times its usual time, so that a slow store is not asked twice for all.
 HEDGE_FACTOR = 3.0
-USUAL_SHARE = 0.2
+LATENCY_WEIGHT = 0.2
 #: After a direct call has failed, calls go to a peer first for so long.
-RELAY_TIMEOUT_MS = 400.0
+RELAY_FIRST_MS = 400.0
 #: A detour that begins within this time of the last one's end is the same trouble.
-UNRESPONSIVE_MS = 3_000.0
+SAME_OUTAGE_MS = 3_000.0
 
 
 class TransactCall(msgspec.Struct, frozen=True, tag='transact'):
@@ -136,13 +136,13 @@
         self._relay = relay
         self._store = store
         self._tasks = tasks
-        self._usual_ms = 10.0
-        self._detour_until_ms = 0.0
+        self._mean_latency_ms = 10.0
+        self._relay_until_ms = 0.0
 
     @property
     def usual_ms(self) -> float:
         """Give the mean time of the direct calls that were answered."""
-        return self._usual_ms
+        return self._mean_latency_ms
 
     def transact(
         self, transaction: PartTransaction
@@ -172,16 +172,16 @@
         started_ms = self._clock.now_ms()
         self._tasks.spawn(self._run_direct, call, started_ms, answers)
         first = None
-        if started_ms >= self._detour_until_ms:
-            hedge_ms = max(HEDGE_MS, HEDGE_FACTOR * self._usual_ms)
+        if started_ms >= self._relay_until_ms:
+            hedge_ms = max(HEDGE_MS, HEDGE_FACTOR * self._mean_latency_ms)
             first = _next(answers, hedge_ms)
-            if first is not None and not _may_be_answered_elsewhere(first):
+            if first is not None and not _should_relay(first):
                 return first
         self._tasks.spawn(self._run_relay, call, answers)
         failures = [first] if first is not None else []
         while len(failures) < 2:  # noqa: PLR2004
             answer: StoreAnswer = answers.get()
-            if not _may_be_answered_elsewhere(answer):
+            if not _should_relay(answer):
                 return answer
             failures.append(answer)
         in_doubt = any(each.failure is PlatformFailureReason.AMBIGUOUS for each in failures)
@@ -195,21 +195,21 @@
         self._store.record_call()
         answer = perform(self._direct, call)
         now_ms = self._clock.now_ms()
-        if answer.failure is not None and _may_be_answered_elsewhere(answer):
-            if now_ms >= self._detour_until_ms + UNRESPONSIVE_MS:
+        if answer.failure is not None and _should_relay(answer):
+            if now_ms >= self._relay_until_ms + SAME_OUTAGE_MS:
                 log.info('store.detour', extra={'reason': answer.failure.value})
-            self._detour_until_ms = now_ms + RELAY_TIMEOUT_MS
+            self._relay_until_ms = now_ms + RELAY_FIRST_MS
             self._store.record_failure(f'call: {answer.failure.value}')
         else:
             self._store.record_answer()
-            self._usual_ms += USUAL_SHARE * (now_ms - started_ms - self._usual_ms)
+            self._mean_latency_ms += LATENCY_WEIGHT * (now_ms - started_ms - self._mean_latency_ms)
         answers.put(answer)
 
     def _run_relay(self, call: StoreCall, answers: Queue[StoreAnswer]) -> None:
         answers.put(self._relay(call))
 
 
-def _may_be_answered_elsewhere(answer: StoreAnswer) -> bool:
+def _should_relay(answer: StoreAnswer) -> bool:
     return answer.failure in (PlatformFailureReason.UNAVAILABLE, PlatformFailureReason.AMBIGUOUS)
 
 
--- a/citrondyke/gateway/peers/server_list_publisher.py
+++ b/citrondyke/gateway/peers/server_list_publisher.py
@@ -11,7 +11,7 @@
 
 from citrondyke.decisions.server_list.server_list_cursor import ServerListCursor
 from citrondyke.decisions.server_list.server_list_update import ServerListUpdate
-from citrondyke.gateway.peers.list_codec import encode_offer
+from citrondyke.gateway.peers.list_codec import encode_update
 from citrondyke.gateway.peers.peer_codec import ListOffered, ListTold
 
 if TYPE_CHECKING:
@@ -30,13 +30,13 @@
 log = logbook.Logger(__name__)
 
 #: Three words are lost or late before a follower takes its reader for silent.
-TELL_EVERY_MS = 300.0
+PUBLISH_EVERY_MS = 300.0
 #: Changes that come within it are told together; pages of a whole read too.
 COALESCE_MS = 60.0
 #: More is fetched over a stream: a datagram of many packets is lost with any of them.
-DATAGRAM_BYTES = 8_192
+DATAGRAM_LIMIT_BYTES = 8_192
 #: Encoded answers that are kept, as all of a zone ask for the same.
-KEPT_ANSWERS = 6
+CACHED_ANSWERS = 6
 
 
 class ServerListPublisher:
@@ -48,7 +48,7 @@
         replicated: ReplicatedState,
         metrics: Metrics,
         send: Callable[[PeerText, list[InstanceId]], None],
-        audience: Callable[[], list[InstanceId]],
+        zone_peers: Callable[[], list[InstanceId]],
         tasks: Tasks,
     ) -> None:
         """Start as no reader.
@@ -56,19 +56,19 @@
         :param send: sends a datagram to some peers.
         :param audience: gives the other instances of the zone.
         """
-        self._life = f'{context.random.getrandbits(64):016x}'
+        self._incarnation = f'{context.random.getrandbits(64):016x}'
         self._replicated = replicated
         self._metrics = metrics
         self._send = send
-        self._audience = audience
+        self._zone_peers = zone_peers
         self._tasks = tasks
         self._follower: TableFollower | None = None
         self._config_follower: TableFollower | None = None
         self._is_reader = False
         self._woken = Event()
         #: Up to which number the zone was told.
-        self._told = 0
-        self._kept: OrderedDict[tuple[int, int, int], bytes] = OrderedDict()
+        self._published_number = 0
+        self._encoded_updates: OrderedDict[tuple[int, int, int], bytes] = OrderedDict()
 
     @property
     def is_reader(self) -> bool:
@@ -85,27 +85,27 @@
         self._follower = follower
         self._tasks.supervise(self._run)
 
-    def become_reader(self, *, is_reader: bool) -> None:
+    def set_reader(self, *, is_reader: bool) -> None:
         """Take in whether this instance is a reader."""
         if is_reader == self._is_reader:
             return
         self._is_reader = is_reader
-        followers = len(self._audience())
+        followers = len(self._zone_peers())
         log.info('list.reader', extra={'is_reader': is_reader, 'followers': followers})
         self._woken.set()
 
-    def note_change(self) -> None:
+    def mark_changed(self) -> None:
         """Have the zone told soon where the list has changed."""
-        if self._is_reader and self._replicated.list_revision != self._told:
+        if self._is_reader and self._replicated.list_revision != self._published_number:
             self._woken.set()
 
-    def position(self) -> ServerListCursor:
+    def cursor(self) -> ServerListCursor:
         """Give how far the list is known here."""
         follower, config = self._follower, self._config_follower
         if follower is None or config is None:
-            return ServerListCursor(self._life, 0)
+            return ServerListCursor(self._incarnation, 0)
         return ServerListCursor(
-            self._life,
+            self._incarnation,
             self._replicated.list_revision,
             self._replicated.list_digest,
             follower.has_read_all and self._is_reader,
@@ -123,19 +123,19 @@
         :param config_version: that it has.
         """
         number = self._replicated.list_revision
-        since = asked.number if asked.life == self._life else -1
+        since = asked.number if asked.life == self._incarnation else -1
         has_config = self._replicated.config.table.version <= config_version
         key = (since, number, 0 if has_config else self._replicated.config.table.version)
-        kept = self._kept.get(key)
+        kept = self._encoded_updates.get(key)
         if kept is None:
-            kept = encode_offer(self._offer(since, with_config=not has_config))
-            self._kept[key] = kept
-            while len(self._kept) > KEPT_ANSWERS:
-                self._kept.popitem(last=False)
+            kept = encode_update(self._build_update(since, with_config=not has_config))
+            self._encoded_updates[key] = kept
+            while len(self._encoded_updates) > CACHED_ANSWERS:
+                self._encoded_updates.popitem(last=False)
         self._metrics.counters['list_answers'] += 1
-        return ListOffered(kept, self.position())
+        return ListOffered(kept, self.cursor())
 
-    def _offer(self, since: int, *, with_config: bool) -> ServerListUpdate:
+    def _build_update(self, since: int, *, with_config: bool) -> ServerListUpdate:
         config = self._replicated.config
         changes = None if since < 0 else self._replicated.servers_since(since)
         listing_version = None
@@ -146,7 +146,7 @@
             # A list that was not read whole says of no server that it is gone.
             listing_version = version or None
         return ServerListUpdate(
-            self._life,
+            self._incarnation,
             since,
             self._replicated.list_revision,
             changes,
@@ -161,20 +161,20 @@
                 self._woken.clear()
                 self._woken.wait()
                 continue
-            if self._woken.wait(TELL_EVERY_MS / 1e3):
+            if self._woken.wait(PUBLISH_EVERY_MS / 1e3):
                 gevent.sleep(COALESCE_MS / 1e3)
             self._woken.clear()
             if self._is_reader:
-                self._tell()
+                self._publish()
 
-    def _tell(self) -> None:
-        audience = self._audience()
+    def _publish(self) -> None:
+        zone_peers = self._zone_peers()
         number = self._replicated.list_revision
-        if 0 < self._told < number and audience:
-            offered = encode_offer(self._offer(self._told, with_config=False))
-            if len(offered) <= DATAGRAM_BYTES:
-                self._told = number
-                self._send(ListOffered(offered, self.position()), audience)
+        if 0 < self._published_number < number and zone_peers:
+            offered = encode_update(self._build_update(self._published_number, with_config=False))
+            if len(offered) <= DATAGRAM_LIMIT_BYTES:
+                self._published_number = number
+                self._send(ListOffered(offered, self.cursor()), zone_peers)
                 return
-        self._told = number
-        self._send(ListTold(self.position()), audience)
+        self._published_number = number
+        self._send(ListTold(self.cursor()), zone_peers)
--- a/citrondyke/gateway/peers/server_list_readers.py
+++ b/citrondyke/gateway/peers/server_list_read_delegation.py
@@ -32,30 +32,30 @@
     from citrondyke.gateway.tasks import Tasks
     from citrondyke.ids import ConfigVersion, InstanceId
 
-__all__ = ('ServerListReaders',)
+__all__ = ('ServerListReadDelegation',)
 
 log = logbook.Logger(__name__)
 
 #: At its start an instance waits so long at most to learn of the others.
-MEMBERS_WITHIN_MS = 250.0
+MEMBERS_TIMEOUT_MS = 250.0
 #: ... of which the read of the configuration waits no longer than this.
-DECIDED_WITHIN_MS = 60.0
+DECISION_TIMEOUT_MS = 60.0
 #: ... and so long at least for what readers read that start at the same moment: their start takes
 #: some hundred ms, the read of the list as much again.
-HOLD_MS = 1_200.0
+FIRST_READ_DELAY_MS = 1_200.0
 #: Bytes a second that all instances together take from the store when nobody has read for them:
 #: a quarter of what its link carries. They begin at a time drawn from the span that this needs.
 START_BYTES_PER_S = 125_000_000.0
-ASK_EVERY_MS = 200.0
+REQUEST_EVERY_MS = 200.0
 #: A machine without power answers nothing, not even a refusal; the second reader is asked then.
-NEXT_AFTER_MS = 50.0
+NEXT_READER_AFTER_MS = 50.0
 #: A row takes twice the bytes of its value on the store's link.
 WIRE_FACTOR = 2.0
 #: An instance is taken for gone after so long without a heartbeat, when readers are chosen.
-SILENT_MS = 3_000.0
+READER_DEAD_AFTER_MS = 3_000.0
 
 
-class ServerListReaders(ReadDelegation):
+class ServerListReadDelegation(ReadDelegation):
     """Decides by itself whether this instance reads, tells, or listens."""
 
     def __init__(
@@ -76,23 +76,25 @@
         """
         self._context = context
         self._membership = membership
-        self._live = live
+        self._liveness = live
         self._replicated = replicated
         self._tasks = tasks
-        self._rule = ReaderElection(context)
+        self._election = ReaderElection(context)
         self._follower: TableFollower | None = None
         self._config_follower: TableFollower | None = None
         self._decided = Event()
         #: Whether the first read is left to the readers of the zone at this moment.
-        self.is_holding = False
-        self.config_delegation = ConfigReadDelegation(self._wait_decided, self._is_config_awaited)
-        self._teller = ServerListPublisher(
-            context, replicated, metrics, send, self._audience, tasks
+        self.is_first_read_delayed = False
+        self.config_delegation = ConfigReadDelegation(
+            self._wait_for_decision, self._is_config_awaited
         )
-        self._listener = ServerListSubscriber(context, replicated, metrics, exchange, tasks)
-        replicated.on_reconciled(self._teller.note_change)
+        self._publisher = ServerListPublisher(
+            context, replicated, metrics, send, self._zone_peers, tasks
+        )
+        self._subscriber = ServerListSubscriber(context, replicated, metrics, exchange, tasks)
+        replicated.on_reconciled(self._publisher.mark_changed)
         for name, read in (
-            ('list_is_reader', lambda: float(self._teller.is_reader)),
+            ('list_is_reader', lambda: float(self._publisher.is_reader)),
             ('list_is_covered', lambda: float(self.is_delegated)),
             ('list_store_age_ms', self._store_age_ms),
         ):
@@ -106,34 +108,34 @@
         """
         self._config_follower = config_follower
         self._follower = follower
-        self._teller.start(config_follower, follower)
-        self._listener.start(config_follower, follower)
+        self._publisher.start(config_follower, follower)
+        self._subscriber.start(config_follower, follower)
 
     @property
     def is_delegated(self) -> bool:
         """Tell whether a reader of the zone reads the list for this instance."""
-        return self._listener.watch.is_delegated and not self._teller.is_reader
+        return self._subscriber.tracker.is_delegated and not self._publisher.is_reader
 
     @property
     def is_delegate_reader(self) -> bool:
         """Tell whether this instance is a reader."""
-        return self._teller.is_reader
+        return self._publisher.is_reader
 
-    def look(self) -> None:
+    def update_role(self) -> None:
         """Judge anew whether this instance is a reader."""
-        self._teller.become_reader(is_reader=self._context.instance_id in self._readers())
-        self._listener.look()
+        self._publisher.set_reader(is_reader=self._context.instance_id in self._readers())
+        self._subscriber.record_delegation_change()
         if self._follower is not None and self._replicated.has_servers:
             self._membership.list_bytes = self._list_bytes()
 
-    def take(self, sender: InstanceId, ip: str, text: ListTold | ListOffered) -> None:
+    def on_message(self, sender: InstanceId, ip: str, text: ListTold | ListOffered) -> None:
         """Take in what a reader told; another reader's word is no news to one."""
-        if not self._teller.is_reader:
-            self._listener.take(sender, ip, text)
+        if not self._publisher.is_reader:
+            self._subscriber.on_message(sender, ip, text)
 
     def answer(self, asked: ListTold, config_version: ConfigVersion) -> ListOffered:
         """Give what who asks lacks."""
-        return self._teller.answer(asked.position, config_version)
+        return self._publisher.answer(asked.position, config_version)
 
     def delay_first_read(self) -> None:
         """Leave the first read to the readers of the zone, for a bounded time.
@@ -141,36 +143,38 @@
         After a loss of all, all instances would read the whole list within the same second, more
         than the store's link carries, and each whose read is refused would begin anew.
         """
-        list_bytes = self._hold_bytes()
-        self.is_holding = list_bytes > 0
+        list_bytes = self._delayed_list_bytes()
+        self.is_first_read_delayed = list_bytes > 0
         self._decided.set()
-        if not self.is_holding:
+        if not self.is_first_read_delayed:
             return
         span_ms = list_bytes * WIRE_FACTOR * self._membership.count / START_BYTES_PER_S * 1e3
-        until_ms = self._context.now_ms() + HOLD_MS + self._context.random.random() * span_ms
+        until_ms = (
+            self._context.now_ms() + FIRST_READ_DELAY_MS + self._context.random.random() * span_ms
+        )
         log.info('list.first_read_held', extra={'list_bytes': list_bytes})
         try:
             while self._is_missing_rows and self._context.now_ms() < until_ms:
-                self._ask_readers()
-                self.look()
-                if self._teller.is_reader:
+                self._request_from_readers()
+                self.update_role()
+                if self._publisher.is_reader:
                     return
-                gevent.sleep(self._context.jittered_ms(ASK_EVERY_MS, 0.5) / 1e3)
+                gevent.sleep(self._context.jittered_ms(REQUEST_EVERY_MS, 0.5) / 1e3)
         finally:
-            self.is_holding = False
+            self.is_first_read_delayed = False
 
-    def _hold_bytes(self) -> int:
+    def _delayed_list_bytes(self) -> int:
         """Give the bytes of the list if its first read is left to readers; else 0."""
-        if not self._membership.wait_known(MEMBERS_WITHIN_MS):
+        if not self._membership.wait_known(MEMBERS_TIMEOUT_MS):
             return 0
-        self.look()
-        if self._teller.is_reader or not self._readers():
+        self.update_role()
+        if self._publisher.is_reader or not self._readers():
             return 0
         return self._list_bytes()
 
-    def _wait_decided(self) -> bool:
-        self._decided.wait(DECIDED_WITHIN_MS / 1e3)
-        return self.is_holding
+    def _wait_for_decision(self) -> bool:
+        self._decided.wait(DECISION_TIMEOUT_MS / 1e3)
+        return self.is_first_read_delayed
 
     @property
     def _is_missing_rows(self) -> bool:
@@ -178,19 +182,19 @@
 
     def _is_config_awaited(self) -> bool:
         config = self._config_follower
-        return self.is_holding and config is not None and not config.has_read_all
+        return self.is_first_read_delayed and config is not None and not config.has_read_all
 
-    def _ask_readers(self) -> None:
+    def _request_from_readers(self) -> None:
         """Ask those who should be readers, until one is heard of."""
-        if self._listener.watch.has_reader and not self.is_delegated:
+        if self._subscriber.tracker.has_reader and not self.is_delegated:
             # Its next word says what is missing; what comes then is on its way.
             return
         for reader in self._readers():
-            beat = self._membership.peers.get(reader)
-            if beat is None:
+            heartbeat = self._membership.peers.get(reader)
+            if heartbeat is None:
                 continue
-            asked = self._tasks.spawn(self._listener.ask, reader, beat.ip)
-            asked.join(NEXT_AFTER_MS / 1e3)
+            asked = self._tasks.spawn(self._subscriber.request, reader, heartbeat.ip)
+            asked.join(NEXT_READER_AFTER_MS / 1e3)
             if asked.value:
                 return
 
@@ -198,18 +202,20 @@
         """Name the readers of the own zone; none where everybody reads."""
         if not self._membership.is_known:
             return []
-        if not self._rule.is_worthwhile(self._list_bytes(), self._membership.count):
+        if not self._election.is_worthwhile(self._list_bytes(), self._membership.count):
             return []
-        gone = set(self._live.unresponsive(SILENT_MS * self._live.timeout_factor))
-        members = [each for each in self._audience() if each not in gone]
-        return self._rule.elect_readers([*members, self._context.instance_id])
+        gone = set(
+            self._liveness.unresponsive(READER_DEAD_AFTER_MS * self._liveness.timeout_factor)
+        )
+        members = [each for each in self._zone_peers() if each not in gone]
+        return self._election.elect_readers([*members, self._context.instance_id])
 
-    def _audience(self) -> list[InstanceId]:
+    def _zone_peers(self) -> list[InstanceId]:
         """List the other instances of the zone that can be told."""
         return [
             instance_id
-            for instance_id, beat in self._membership.peers.items()
-            if beat.zone == self._context.zone and beat.list_bytes >= 0
+            for instance_id, heartbeat in self._membership.peers.items()
+            if heartbeat.zone == self._context.zone and heartbeat.list_bytes >= 0
         ]
 
     def _list_bytes(self) -> int:
@@ -220,7 +226,9 @@
             own_bytes = int(follower.row_bytes * self._replicated.servers_count)
             if own_bytes := max(own_bytes, follower.size_bytes):
                 return own_bytes
-        return max((beat.list_bytes for beat in self._membership.peers.values()), default=0)
+        return max(
+            (heartbeat.list_bytes for heartbeat in self._membership.peers.values()), default=0
+        )
 
     def _store_age_ms(self) -> float:
         return 0.0 if self._follower is None else min(1e9, self._follower.answer_age_ms)
--- a/citrondyke/gateway/peers/store_state_exchange.py
+++ b/citrondyke/gateway/peers/store_state_exchange.py
@@ -14,7 +14,7 @@
 from citrondyke.decisions.forwarding.server_list_entry import ServerListEntry
 from citrondyke.errors.broken_reply import BrokenReplyError
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
-from citrondyke.gateway.peers.list_codec import compress_large, expand
+from citrondyke.gateway.peers.list_codec import compress_bytes, decompress_if_needed
 from citrondyke.gateway.peers.membership import Heartbeat
 from citrondyke.gateway.peers.peer_codec import (
     KnowledgeData,
@@ -35,28 +35,28 @@
     from citrondyke.gateway.replication.replicated_state import ReplicatedState
     from citrondyke.gateway.tasks import Tasks
 
-__all__ = ('ASK_AFTER_MS', 'StoreState', 'StoreStateExchange')
+__all__ = ('STORE_UNRESPONSIVE_MS', 'StoreState', 'StoreStateExchange')
 
 log = logbook.Logger(__name__)
 
 #: While the store does not answer this instance, a peer is asked so often what it knows. In a
 #: large fleet all ask more rarely, as all call the store more rarely: an outage must not turn
 #: into traffic that grows with the square of the instances.
-ASK_EVERY_MS = 400.0
+REQUEST_EVERY_MS = 400.0
 #: Whoever starts asks so soon: longer than the store takes for a configuration and one page of
 #: servers, while callers wait for the first instance that is back where the store is away.
-FIRST_ASK_MS = 150.0
+FIRST_REQUEST_MS = 150.0
 #: The store counts as out of reach for that when its calls had no answer for so long.
-ASK_AFTER_MS = 700.0
+STORE_UNRESPONSIVE_MS = 700.0
 #: A peer with a newer configuration is asked for it after so long, if the store's feed has not
 #: brought it: it comes within 750 ms in the largest fleets, and thousands of routes are MB.
 STALE_AFTER_MS = 1_000.0
 #: A peer that heard from the store within this time knows which servers are gone.
-WHOLE_MS = 1_500.0
+COMPLETE_LIST_MS = 1_500.0
 #: Smaller answers are sent as they are: they take few packets in any case.
 COMPRESS_FROM_BYTES = 4_096
 #: Share of the questions that go to the own zone. All of a zone may be cut off from the store.
-NEAR_SHARE = 0.7
+LOCAL_ZONE_SHARE = 0.7
 
 
 class StoreState(msgspec.Struct, frozen=True):
@@ -93,8 +93,8 @@
         store: Dependency,
         suspects: SuspectRegistry,
         exchange: Callable[[str, PeerText], PeerMessage],
-        pace: Callable[[], float],
-        is_served_elsewhere: Callable[[], bool],
+        store_interval_factor: Callable[[], float],
+        is_list_requested: Callable[[], bool],
         tasks: Tasks,
     ) -> None:
         """Use the parts handed in.
@@ -102,7 +102,7 @@
         :param seed_ips: gives instances to ask before any is known.
         :param exchange: asks the instance with an IP over a stream.
         :param pace: gives the factor by which calls are rarer than in a small fleet.
-        :param is_served_elsewhere: tells whether readers of the zone are asked at this moment.
+        :param is_list_requested: tells whether readers of the zone are asked at this moment.
         """
         self._context = context
         self._seed_ips = seed_ips
@@ -111,10 +111,10 @@
         self._store = store
         self._suspects = suspects
         self._exchange = exchange
-        self._pace = pace
-        self._is_served_elsewhere = is_served_elsewhere
+        self._store_interval_factor = store_interval_factor
+        self._is_list_requested = is_list_requested
         self._tasks = tasks
-        self._is_asking = False
+        self._is_requesting = False
 
     def start(self) -> None:
         """Begin to ask when there is need."""
@@ -123,8 +123,8 @@
     def record_version(self, version: ConfigVersion, ip: str) -> None:
         """Take in which configuration a peer has."""
         self._replicated.config.record_peer_version(version)
-        if version > self._replicated.config.table.version and not self._is_asking:
-            self._is_asking = True
+        if version > self._replicated.config.table.version and not self._is_requesting:
+            self._is_requesting = True
             self._tasks.spawn(self._request_if_stale, version, ip)
 
     def answer(self, wanted: KnowledgeWanted, asker_version: ConfigVersion) -> KnowledgeData:
@@ -133,8 +133,11 @@
         config = self._replicated.config
         has_same = self._replicated.list_digest == wanted.list_digest != 0
         is_newer = config.table.version > asker_version
-        peers = {**self._membership.peers, self._context.instance_id: self._membership.own_beat()}
-        knowledge = StoreState(
+        peers = {
+            **self._membership.peers,
+            self._context.instance_id: self._membership.own_heartbeat(),
+        }
+        state = StoreState(
             b'',
             config.age_ms(self._context.now_ms()),
             [] if has_same else rows,
@@ -145,67 +148,69 @@
             config.table if is_newer else None,
             has_same,
         )
-        data = msgspec.msgpack.encode(knowledge)
+        data = msgspec.msgpack.encode(state)
         if wanted.takes_compressed and len(data) >= COMPRESS_FROM_BYTES:
-            data = compress_large(data)
+            data = compress_bytes(data)
         return KnowledgeData(data)
 
     def _run(self) -> None:
         """Ask peers while the store does not answer, or before it first has."""
-        pause_ms = FIRST_ASK_MS
+        pause_ms = FIRST_REQUEST_MS
         while True:
             gevent.sleep(self._context.jittered_ms(pause_ms) / 1e3)
-            pause_ms = ASK_EVERY_MS * (self._pace() if self._replicated.is_complete else 1.0)
-            is_silent = self._store.unanswered_ms >= ASK_AFTER_MS
-            if not is_silent and (self._replicated.is_complete or self._is_served_elsewhere()):
+            pause_ms = REQUEST_EVERY_MS * (
+                self._store_interval_factor() if self._replicated.is_complete else 1.0
+            )
+            is_silent = self._store.unanswered_ms >= STORE_UNRESPONSIVE_MS
+            if not is_silent and (self._replicated.is_complete or self._is_list_requested()):
                 continue
             candidates = self._candidates()
-            if candidates and not self._is_asking:
-                self._is_asking = True
-                self._ask(self._context.random.choice(candidates))
+            if candidates and not self._is_requesting:
+                self._is_requesting = True
+                self._request(self._context.random.choice(candidates))
 
     def _candidates(self) -> list[str]:
         peers = self._membership.peers.values()
-        near = [beat.ip for beat in peers if beat.zone == self._context.zone]
-        if near and self._context.random.random() < NEAR_SHARE:
+        near = [heartbeat.ip for heartbeat in peers if heartbeat.zone == self._context.zone]
+        if near and self._context.random.random() < LOCAL_ZONE_SHARE:
             return sorted(near)
-        return sorted({*self._seed_ips(), *(beat.ip for beat in peers)})
+        return sorted({*self._seed_ips(), *(heartbeat.ip for heartbeat in peers)})
 
     def _request_if_stale(self, version: ConfigVersion, ip: str) -> None:
         gevent.sleep(self._context.jittered_ms(STALE_AFTER_MS) / 1e3)
         if version <= self._replicated.config.table.version:
-            self._is_asking = False
+            self._is_requesting = False
             return
-        self._ask(ip)
+        self._request(ip)
 
-    def _ask(self, ip: str) -> None:
+    def _request(self, ip: str) -> None:
         wanted = KnowledgeWanted(
             len(self._membership.peers) + 1, self._replicated.list_digest, takes_compressed=True
         )
         try:
             message = self._exchange(ip, wanted)
             if isinstance(message.text, KnowledgeData):
-                knowledge = decode_msgpack(expand(message.text.data), StoreState)
-                self._take(ip, message.config_version, knowledge)
+                state = decode_msgpack(decompress_if_needed(message.text.data), StoreState)
+                self._merge(ip, message.config_version, state)
         except (BrokenReplyError, UnreadableBytesError, OSError, ValueError) as error:
             log.info('peer.silent', extra={'ip': ip, 'detail': str(error)[:200]})
         finally:
-            self._is_asking = False
+            self._is_requesting = False
 
-    def _take(self, ip: str, version: ConfigVersion, knowledge: StoreState) -> None:
+    def _merge(self, ip: str, version: ConfigVersion, state: StoreState) -> None:
         config = self._replicated.config
-        if knowledge.table is not None:
-            self._replicated.apply_route_table(knowledge.table, f'peer {ip}')
-        elif knowledge.config:
-            self._replicated.apply_config(knowledge.config, f'peer {ip}')
+        if state.table is not None:
+            self._replicated.apply_route_table(state.table, f'peer {ip}')
+        elif state.config:
+            self._replicated.apply_config(state.config, f'peer {ip}')
         if version == config.table.version:
-            config.confirm(self._context.now_ms() - knowledge.config_age_ms)
-        if not knowledge.has_same_servers:
+            config.confirm(self._context.now_ms() - state.config_age_ms)
+        if not state.has_same_servers:
             self._replicated.merge_servers(
-                knowledge.servers,
-                knowledge.servers_version,
-                is_whole=knowledge.store_age_ms < WHOLE_MS,
+                state.servers,
+                state.servers_version,
+                is_whole=state.store_age_ms < COMPLETE_LIST_MS,
             )
-        self._membership.learn_from_peer(knowledge.peers)
-        for row in knowledge.suspects:
+        self._membership.merge_from_peer(state.peers)
+        for row in state.suspects:
             self._suspects.merge(row)
--- a/citrondyke/gateway/servers/poison_request_guard.py
+++ b/citrondyke/gateway/servers/poison_request_guard.py
@@ -130,7 +130,7 @@
         was_known = self.publisher.is_known_to_all(survivor)
         if self._suspects.record_survived(survivor):
             self._log_cleared(survivor, 'own')
-            self.publisher.notify_survived(survivor, is_wide=was_known)
+            self.publisher.notify_survived(survivor, is_broadcast=was_known)
             self._store.save(survivor)
 
     def record_interrupted(
--- a/citrondyke/peer/node.py
+++ b/citrondyke/peer/node.py
@@ -21,7 +21,7 @@
     from citrondyke.decisions.instance import Instance
     from citrondyke.peer.codec import PeerCodec
 
-__all__ = ('PeerNode', 'PeerTraffic')
+__all__ = ('PeerNode', 'TrafficCounts')
 
 log = logbook.Logger(__name__)
 
@@ -32,7 +32,7 @@
 STREAMS_LIMIT = 32
 
 
-class PeerTraffic(msgspec.Struct):
+class TrafficCounts(msgspec.Struct):
     """What went over the wire so far, datagrams and streams together."""
 
     sent_count: int = 0
@@ -47,7 +47,7 @@
 
     def __init__(self, codec: PeerCodec, ip: str, port: int) -> None:
         """Listen on nothing before ``start``."""
-        self.traffic = PeerTraffic()
+        self.traffic = TrafficCounts()
         self._codec = codec
         self._ip = ip
         self._port = port
@@ -139,7 +139,7 @@
             self.traffic.rejected_count += 1
             return None
         # Before its lease is there an instance has no epoch yet; its numbers prove nothing.
-        if envelope.epoch and not self._window.take(
+        if envelope.epoch and not self._window.accept(
             envelope.sender, envelope.epoch, envelope.number
         ):
             self.traffic.rejected_count += 1
--- a/citrondyke/peer/replay_window.py
+++ b/citrondyke/peer/replay_window.py
@@ -13,11 +13,11 @@
 __all__ = ('ReplayWindow',)
 
 #: Numbers behind the highest one that may still arrive late.
-WINDOW = 128
+WINDOW_SIZE = 128
 SENDERS_LIMIT = 4096
 
 
-class _Seen(msgspec.Struct):
+class _SenderState(msgspec.Struct):
     epoch: int
     highest: int
     #: Bit ``n`` stands for the number ``highest - n``.
@@ -29,13 +29,13 @@
 
     def __init__(self) -> None:
         """Start having seen nothing."""
-        self._seen: OrderedDict[InstanceId, _Seen] = OrderedDict()
+        self._seen: OrderedDict[InstanceId, _SenderState] = OrderedDict()
 
-    def take(self, sender: InstanceId, epoch: int, number: int) -> bool:
+    def accept(self, sender: InstanceId, epoch: int, number: int) -> bool:
         """Tell whether a datagram is new; a replayed one could bring an old load or state back."""
         seen = self._seen.get(sender)
         if seen is None or epoch > seen.epoch:
-            self._seen[sender] = _Seen(epoch, number, 1)
+            self._seen[sender] = _SenderState(epoch, number, 1)
             self._seen.move_to_end(sender)
             if len(self._seen) > SENDERS_LIMIT:
                 self._seen.popitem(last=False)
@@ -44,11 +44,13 @@
             return False
         if number > seen.highest:
             shift = number - seen.highest
-            seen.bits = ((seen.bits << shift) | 1) & ((1 << WINDOW) - 1) if shift < WINDOW else 1
+            seen.bits = (
+                ((seen.bits << shift) | 1) & ((1 << WINDOW_SIZE) - 1) if shift < WINDOW_SIZE else 1
+            )
             seen.highest = number
             return True
         offset = seen.highest - number
-        if offset >= WINDOW or seen.bits >> offset & 1:
+        if offset >= WINDOW_SIZE or seen.bits >> offset & 1:
             return False
         seen.bits |= 1 << offset
         return True
--- a/tests/test_batch/test_batch_demand.py
+++ b/tests/test_batch/test_batch_demand.py
@@ -16,7 +16,7 @@
 )
 from citrondyke.decisions.batch.item_priority import LATE_SLACK_MS, batch_demand_of, priority_of
 from citrondyke.decisions.batch.online_headroom import WARMUP_MS, WARMUP_RISE_PART, OnlineHeadroom
-from citrondyke.gateway.peers.need_codec import pack_needs, unpack_needs
+from citrondyke.gateway.peers.demand_codec import pack_demand, unpack_demand
 from citrondyke.gateway.peers.peer_codec import (
     BatchNeeds,
     PeerMessage,
@@ -176,10 +176,10 @@
         msgspec.msgpack.encode([['lm', 3, 1, 0.0]]),
         msgspec.msgpack.encode([['lm', 0, -1, 0.0]]),
         msgspec.msgpack.encode([['lm', 0, 10**9, 0.0]]),
-        pack_needs([DemandNotice(SERVICE, DOABLE, 1, math.nan)]),
-        pack_needs([DemandNotice(SERVICE, DOABLE, 1, math.inf)]),
+        pack_demand([DemandNotice(SERVICE, DOABLE, 1, math.nan)]),
+        pack_demand([DemandNotice(SERVICE, DOABLE, 1, math.inf)]),
     ],
 )
 def test_invalid_demand_is_rejected(data: bytes) -> None:
     with pytest.raises(ValueError, match=r'.'):
-        unpack_needs(data)
+        unpack_demand(data)
--- a/tests/test_gateway/test_callers/test_callers_keys.py
+++ b/tests/test_gateway/test_callers/test_callers_keys.py
@@ -124,9 +124,9 @@
 
 def test_peer_receives_digests_and_no_keys(keyed: GatewayFleet) -> None:
     # Messages between instances are sent unencrypted.
-    knowledge = keyed.instances[0].peers.knowledge
+    exchange = keyed.instances[0].peers.store_state
 
-    told = knowledge.answer(KnowledgeWanted(0), ConfigVersion(0)).data
+    told = exchange.answer(KnowledgeWanted(0), ConfigVersion(0)).data
     assert HOST.encode() in told
     assert ACME.encode() not in told
 
--- a/tests/test_gateway/test_peers/test_peers_knowledge.py
+++ b/tests/test_gateway/test_peers/test_peers_knowledge.py
@@ -6,7 +6,7 @@
 import pytest
 
 from citrondyke.gateway.peers import store_state_exchange
-from citrondyke.gateway.peers.list_codec import expand
+from citrondyke.gateway.peers.list_codec import decompress_if_needed
 from citrondyke.gateway.peers.peer_codec import KnowledgeData, KnowledgeWanted
 from citrondyke.gateway.peers.store_state_exchange import StoreState
 from citrondyke.ids import ConfigVersion
@@ -16,7 +16,7 @@
 
 def known(fleet: GatewayFleet, instances_count: int, version: int) -> StoreState:
     """Ask the first instance without a socket."""
-    exchange = fleet.instances[0].peers.knowledge
+    exchange = fleet.instances[0].peers.store_state
     data = exchange.answer(KnowledgeWanted(instances_count), ConfigVersion(version))
     assert isinstance(data, KnowledgeData)
     return decode_msgpack(data.data, StoreState)
@@ -62,7 +62,7 @@
     # While the store is away 300 instances ask each other more than once a second; each answer
     # brought 500 KB of servers, though all had the same ones.
     asking = fleet.instances[1].replicated
-    exchange = fleet.instances[0].peers.knowledge
+    exchange = fleet.instances[0].peers.store_state
     data = exchange.answer(
         KnowledgeWanted(2, asking.list_digest), fleet.instances[1].replicated.config.table.version
     )
@@ -72,9 +72,9 @@
     whole = exchange.answer(KnowledgeWanted(0, takes_compressed=True), ConfigVersion(0))
     plain = exchange.answer(KnowledgeWanted(), ConfigVersion(0))
     assert len(whole.data) <= len(plain.data)
-    assert decode_msgpack(expand(whole.data), StoreState).servers
+    assert decode_msgpack(decompress_if_needed(whole.data), StoreState).servers
     before = list(asking.server_rows()[0])
-    fleet.instances[1].peers.knowledge._ask(fleet.instances[0].address.ip)
+    fleet.instances[1].peers.store_state._request(fleet.instances[0].address.ip)
     assert asking.server_rows()[0] == before
 
 
@@ -86,6 +86,6 @@
     fleet.store.faults.refused_ips = {'*'}
     fleet.store.faults.is_silent = True
     # Nobody but the first question can bring it.
-    monkeypatch.setattr(store_state_exchange, 'ASK_EVERY_MS', 1e6)
+    monkeypatch.setattr(store_state_exchange, 'REQUEST_EVERY_MS', 1e6)
     started = fleet.start_instance(seed_ips=(fleet.instances[0].address.ip,))
     wait_until_seen(lambda: started.replicated.is_complete, 'the new instance to serve')
--- a/tests/test_gateway/test_peers/test_peers_list_readers.py
+++ b/tests/test_gateway/test_peers/test_peers_list_readers.py
@@ -11,7 +11,7 @@
 
 from citrondyke.decisions.server_list import reader_election
 from citrondyke.gateway.instance import GatewayInstance
-from citrondyke.gateway.peers import server_list_readers
+from citrondyke.gateway.peers import server_list_read_delegation
 from citrondyke.gateway.peers.membership import INSTANCES_TABLE
 from citrondyke.gateway.peers.server_list_subscriber import ServerListSubscriber
 from citrondyke.gateway.settings import Address
@@ -44,10 +44,12 @@
         self._wsgi.application = counted
 
     def reading(self) -> list[GatewayInstance]:
-        return [each for each in self.instances if each.peers.list_readers.is_delegate_reader]
+        return [
+            each for each in self.instances if each.peers.list_read_delegation.is_delegate_reader
+        ]
 
     def following(self) -> list[GatewayInstance]:
-        return [each for each in self.instances if each.peers.list_readers.is_delegated]
+        return [each for each in self.instances if each.peers.list_read_delegation.is_delegated]
 
     def wait_covered(self) -> None:
         wait_until_seen(
@@ -83,8 +85,8 @@
     All instances share one process: on a busy machine each would be slow for the others.
     """
     monkeypatch.setattr(reader_election, 'WORTHWHILE_BYTES', 1)
-    monkeypatch.setattr(server_list_readers, 'MEMBERS_WITHIN_MS', 2_500.0)
-    monkeypatch.setattr(server_list_readers, 'DECIDED_WITHIN_MS', 2_000.0)
+    monkeypatch.setattr(server_list_read_delegation, 'MEMBERS_TIMEOUT_MS', 2_500.0)
+    monkeypatch.setattr(server_list_read_delegation, 'DECISION_TIMEOUT_MS', 2_000.0)
     made = ReadersFleet()
     try:
         made.configure()
@@ -101,8 +103,8 @@
 
 def silence(instance: GatewayInstance) -> None:
     """Let nothing that an instance sends arrive, and nothing be answered."""
-    instance.peers.list_readers._teller._send = lambda *_: None
-    instance.peers.list_readers.answer = lambda *_: gevent.sleep(30.0)  # type: ignore[method-assign]
+    instance.peers.list_read_delegation._publisher._send = lambda *_: None
+    instance.peers.list_read_delegation.answer = lambda *_: gevent.sleep(30.0)  # type: ignore[method-assign]
 
 
 def test_followers_leave_the_list_to_two_readers(readers: ReadersFleet) -> None:
@@ -118,8 +120,8 @@
 def test_small_fleet_reads_as_before(fleet: GatewayFleet) -> None:
     # Few bytes are no reason to rely on a neighbour.
     gevent.sleep(0.5)
-    assert not any(each.peers.list_readers.is_delegate_reader for each in fleet.instances)
-    assert not any(each.peers.list_readers.is_delegated for each in fleet.instances)
+    assert not any(each.peers.list_read_delegation.is_delegate_reader for each in fleet.instances)
+    assert not any(each.peers.list_read_delegation.is_delegated for each in fleet.instances)
 
 
 @pytest.mark.parametrize('count', [1, 2])
@@ -150,7 +152,7 @@
 def test_reader_that_lies_behind_is_not_believed(readers: ReadersFleet) -> None:
     # Its feed and its reads show an old list, and it tells that it is up to date.
     behind = readers.reading()[0]
-    servers = behind.peers.list_readers._follower
+    servers = behind.peers.list_read_delegation._follower
     assert servers is not None
     servers._on_rows = lambda _: None
     servers._on_listing = lambda *_: None
@@ -164,7 +166,7 @@
 def test_lost_datagrams_are_made_up_by_the_next_position(readers: ReadersFleet) -> None:
     sends = []
     for reader in readers.reading():
-        publisher = reader.peers.list_readers._teller
+        publisher = reader.peers.list_read_delegation._publisher
         sends.append((publisher, publisher._send))
         publisher._send = lambda *_: None
     readers.list_server('app-1', 'app', state='draining', seq=2)
@@ -219,7 +221,7 @@
 def test_zone_with_one_instance_reads_for_itself(readers: ReadersFleet) -> None:
     alone = readers.start_instance(zone=AvailabilityZone('zone-b'))
     readers.wait_ready()
-    assert not alone.peers.list_readers.is_delegated
+    assert not alone.peers.list_read_delegation.is_delegated
     readers.check_drain()
 
 
@@ -228,11 +230,11 @@
 ) -> None:
     # All lost power, and the machine of the first reader is the last to have it back: connections
     # to it hang. Whoever waits for it has no list until it reads one itself.
-    dark = readers.instances[0].peers.list_readers._readers()[0]
+    dark = readers.instances[0].peers.list_read_delegation._readers()[0]
     dark_ip = next(
         each.address.ip for each in readers.instances if each.context.instance_id == dark
     )
-    ask = ServerListSubscriber.ask
+    ask = ServerListSubscriber.request
     powered = Event()
 
     def hanging(listener: ServerListSubscriber, reader: InstanceId, ip: str) -> bool:
@@ -241,9 +243,11 @@
             return False
         return ask(listener, reader, ip)
 
-    follower = next(each for each in readers.instances if each.peers.list_readers.is_delegated)
+    follower = next(
+        each for each in readers.instances if each.peers.list_read_delegation.is_delegated
+    )
     readers.drop(follower)
-    monkeypatch.setattr(ServerListSubscriber, 'ask', hanging)
+    monkeypatch.setattr(ServerListSubscriber, 'request', hanging)
     for each in readers.instances:
         if each.context.instance_id == dark:
             silence(each)
--- a/tests/test_gateway/test_peers/test_peers_membership.py
+++ b/tests/test_gateway/test_peers/test_peers_membership.py
@@ -33,8 +33,8 @@
 
     def peer_beats(self) -> None:
         self.number += 1
-        beat = Heartbeat('a', '10.0.0.9', 1, AvailabilityZone('zone-a'), self.number)
-        put = RowPut(INSTANCES_TABLE, PEER, msgspec.json.encode(beat))
+        heartbeat = Heartbeat('a', '10.0.0.9', 1, AvailabilityZone('zone-a'), self.number)
+        put = RowPut(INSTANCES_TABLE, PEER, msgspec.json.encode(heartbeat))
         self.table.transact(PartTransaction('', puts=(put,)))
 
     def look(self) -> None:
--- a/tests/test_gateway/test_servers/test_servers_crash_fleet.py
+++ b/tests/test_gateway/test_servers/test_servers_crash_fleet.py
@@ -84,7 +84,7 @@
         ]:
             self.clock.ms += min(pauses)
             for member in self.members.values():
-                for news, receivers in member.guard.publisher.take():
+                for news, receivers in member.guard.publisher.take_due():
                     self.sent_count += len(receivers)
                     for receiver in receivers:
                         is_lost = self._random.random() < self._lost_share
--- a/tests/test_peer/test_peer_codec.py
+++ b/tests/test_peer/test_peer_codec.py
@@ -71,7 +71,7 @@
 @given(st.lists(st.integers(1, 400), min_size=1, max_size=200))
 def test_no_number_is_taken_twice(numbers: list[int]) -> None:
     window = ReplayWindow()
-    taken = [n for n in numbers if window.take(InstanceId('a'), 1, n)]
+    taken = [n for n in numbers if window.accept(InstanceId('a'), 1, n)]
     assert len(taken) == len(set(taken))
-    assert not window.take(InstanceId('a'), 0, 1000), 'an older life'
-    assert window.take(InstanceId('a'), 2, 1), 'a newer life'
+    assert not window.accept(InstanceId('a'), 0, 1000), 'an older life'
+    assert window.accept(InstanceId('a'), 2, 1), 'a newer life'
