--- a/citrondyke/decisions/at_most_once/group_committer.py
+++ b/citrondyke/decisions/at_most_once/group_committer.py
@@ -105,14 +105,14 @@
     def _take_group(self) -> list[_Write]:
         """Take writes to different rows; a second write to a row waits for the next group."""
         group: dict[RowKey, _Write] = {}
-        left: deque[_Write] = deque()
+        deferred: deque[_Write] = deque()
         while self._waiting and len(group) < GROUP_LIMIT:
             write = self._waiting.popleft()
             if write.key in group:
-                left.append(write)
+                deferred.append(write)
                 continue
             group[write.key] = write
-        self._waiting.extendleft(reversed(left))
+        self._waiting.extendleft(reversed(deferred))
         return list(group.values())
 
     def _commit_group(self, group: list[_Write]) -> Workflow[None]:
@@ -131,15 +131,15 @@
             group = [write for write in group if write.key not in result.broken]
 
     def _commit(self, group: list[_Write]) -> Workflow[Committed | Conflict | CommitFailure]:
-        wanted = transaction(
+        txn = transaction(
             self._context,
             [(write.key, write.expected_version) for write in group],
             [(write.key, write.value) for write in group],
         )
-        result = yield from commit_once(wanted)
+        result = yield from commit_once(txn)
         if isinstance(result, CommitFailure) and result.reason is CommitFailureReason.MAYBE_WRITTEN:
             until_ms = self._context.now_ms() + RESOLUTION_TIMEOUT_MS
-            resolved = yield from commit(self._context, wanted, until_ms)
+            resolved = yield from commit(self._context, txn, until_ms)
             # The first attempt may have been written: a later NOT_WRITTEN does not change that.
             return result if isinstance(resolved, CommitFailure) else resolved
         return result
--- a/citrondyke/decisions/at_most_once/once_executor.py
+++ b/citrondyke/decisions/at_most_once/once_executor.py
@@ -46,7 +46,7 @@
 #: How long storing an outcome may take before the caller gets it as not durable.
 OUTCOME_TIMEOUT_MS = 4000.0
 FIRST_POLL_MS = 50.0
-LONGEST_POLL_MS = 500.0
+MAX_POLL_MS = 500.0
 #: Pause between two attempts to store an outcome that the caller already has.
 PERSIST_PAUSE_MS = 1000.0
 
@@ -115,26 +115,26 @@
                 # closed the intent as unknown. A dispatch now would run a request that
                 # was already reported as unknown.
                 return (yield from self._close(key, claim, version, IntentState.NOT_RUN))
-            end = yield from self._online.serve(request)
-            return (yield from self._settle(key, claim, version, end))
+            online_result = yield from self._online.serve(request)
+            return (yield from self._settle(key, claim, version, online_result))
         finally:
             del self._running[key]
             done.fire(None)
 
     def _settle(
-        self, key: RowKey, claim: IntentRow, version: int, end: OnlineResult
+        self, key: RowKey, claim: IntentRow, version: int, online_result: OnlineResult
     ) -> Workflow[OnceResult]:
-        if end.kind is OnlineResultKind.ANSWERED and end.reply is not None:
-            body = end.reply.body or b''.join(
-                b'data: ' + frame + b'\n\n' for frame in end.reply.frames
+        if online_result.kind is OnlineResultKind.ANSWERED and online_result.reply is not None:
+            body = online_result.reply.body or b''.join(
+                b'data: ' + frame + b'\n\n' for frame in online_result.reply.frames
             )
-            reply = StoredReply(end.reply.status, end.reply.content_type, body)
+            reply = StoredReply(online_result.reply.status, online_result.reply.content_type, body)
             return (yield from self._close(key, claim, version, IntentState.DONE, reply=reply))
-        if end.may_have_run:
+        if online_result.may_have_run:
             return (yield from self._close(key, claim, version, IntentState.UNKNOWN))
         return (
             yield from self._close(
-                key, claim, version, IntentState.NOT_RUN, rejection=end.rejection
+                key, claim, version, IntentState.NOT_RUN, rejection=online_result.rejection
             )
         )
 
@@ -234,7 +234,7 @@
                 yield from sleep_until(resume_ms)
             else:
                 yield from wait_for(local, resume_ms)
-            poll_ms = min(poll_ms * 2, LONGEST_POLL_MS)
+            poll_ms = min(poll_ms * 2, MAX_POLL_MS)
             polled = yield from self._poll_intent(key, row, stored)
             if polled is not None:
                 row = polled.row
--- a/citrondyke/decisions/configuration/config_replica.py
+++ b/citrondyke/decisions/configuration/config_replica.py
@@ -149,8 +149,8 @@
         change = self._change(proposal, who)
         key = log_row_key(change.version)
         until_ms = self._context.now_ms() + (PROPOSAL_TIMEOUT_MS if reached else 0.0)
-        wanted = transaction(self._context, [(key, None)], [(key, change)])
-        result = yield from commit(self._context, wanted, until_ms)
+        txn = transaction(self._context, [(key, None)], [(key, change)])
+        result = yield from commit(self._context, txn, until_ms)
         if isinstance(result, CommitFailure):
             return result
         if isinstance(result, Conflict):
@@ -199,8 +199,8 @@
                 return
         version = None if row is None else row.version
         pointer = SnapshotRow(snapshot.version, key)
-        wanted = transaction(self._context, [(SNAPSHOT_ROW, version)], [(SNAPSHOT_ROW, pointer)])
-        yield from commit(self._context, wanted, self._context.now_ms() + PROPOSAL_TIMEOUT_MS)
+        txn = transaction(self._context, [(SNAPSHOT_ROW, version)], [(SNAPSHOT_ROW, pointer)])
+        yield from commit(self._context, txn, self._context.now_ms() + PROPOSAL_TIMEOUT_MS)
 
     def _pause(self) -> Workflow[None]:
         pause_ms = self._context.jittered_ms(self._poll_every_ms)
--- a/citrondyke/decisions/core/commit.py
+++ b/citrondyke/decisions/core/commit.py
@@ -79,20 +79,20 @@
     )
 
 
-def commit_once(wanted: Transaction) -> Workflow[Committed | Conflict | CommitFailure]:
+def commit_once(txn: Transaction) -> Workflow[Committed | Conflict | CommitFailure]:
     """Try a transaction once and classify the reply."""
-    result = yield from transact_once(wanted)
+    result = yield from transact_once(txn)
     if isinstance(result, Committed):
         return result
     if isinstance(result, Conflict):
-        return _own_write(result, wanted) or result
+        return _own_write(result, txn) or result
     if result.reason is PlatformFailureReason.UNAVAILABLE:
         return NOT_WRITTEN
     return MAYBE_WRITTEN
 
 
 def commit(
-    context: Context, wanted: Transaction, until_ms: float
+    context: Context, txn: Transaction, until_ms: float
 ) -> Workflow[Committed | Conflict | CommitFailure]:
     """Retry a transaction until there is a result or the time limit is reached.
 
@@ -105,7 +105,7 @@
     pause_ms = FIRST_PAUSE_MS
     reason = CommitFailureReason.NOT_WRITTEN
     while True:
-        result = yield from commit_once(wanted)
+        result = yield from commit_once(txn)
         if not isinstance(result, CommitFailure):
             return result
         if result.reason is CommitFailureReason.MAYBE_WRITTEN:
@@ -117,9 +117,9 @@
         pause_ms = min(pause_ms * 2, MAX_PAUSE_MS)
 
 
-def _own_write(conflict: Conflict, wanted: Transaction) -> Committed | None:
+def _own_write(conflict: Conflict, txn: Transaction) -> Committed | None:
     rows: Iterable[Row] = conflict.rows.values()
     for row in rows:
-        if row.write_id == wanted.write_id:
+        if row.write_id == txn.write_id:
             return Committed(row.version)
     return None
--- a/citrondyke/decisions/crashes/server_exit_detector.py
+++ b/citrondyke/decisions/crashes/server_exit_detector.py
@@ -15,12 +15,12 @@
 
 #: How long interrupted requests are kept until the server's exit is known: a server that exited
 #: silently is off the list after three heartbeats and a poll, about 5 s.
-KEPT_MS = 10_000.0
+INTERRUPTED_EXPIRY_MS = 10_000.0
 #: A connection accepted this soon after another one broke shows that the server is alive: a
 #: restart takes seconds.
 ALIVE_WITHIN_MS = 500.0
 #: Interrupted requests kept for each server (its capacity), and servers kept (a fleet's size).
-PER_SERVER_LIMIT = 64
+REQUESTS_PER_SERVER_LIMIT = 64
 SERVERS_LIMIT = 1_000
 
 
@@ -56,7 +56,7 @@
         if server in self._exited_ms:
             return True
         kept = self._interrupted.setdefault(server, [])
-        if len(kept) < PER_SERVER_LIMIT:
+        if len(kept) < REQUESTS_PER_SERVER_LIMIT:
             kept.append(InterruptedRequest(content, is_fresh, self._context.now_ms()))
         return False
 
@@ -79,22 +79,22 @@
         """Return whether a server is known to have exited."""
         return server in self._exited_ms
 
-    def record_server_alive(self, server: int, asked_ms: float) -> bool:
+    def record_server_alive(self, server: int, connect_started_ms: float) -> bool:
         """Record an accepted connection; return whether requests were interrupted since.
 
-        :param asked_ms: monotonic time at which the connection attempt started.
+        :param connect_started_ms: monotonic time at which the connection attempt started.
         """
         kept = [
             each
             for each in self._interrupted.pop(server, [])
-            if not 0.0 <= asked_ms - each.at_ms <= ALIVE_WITHIN_MS
+            if not 0.0 <= connect_started_ms - each.at_ms <= ALIVE_WITHIN_MS
         ]
         if kept:
             self._interrupted[server] = kept
-        return any(each.at_ms > asked_ms for each in kept)
+        return any(each.at_ms > connect_started_ms for each in kept)
 
     def _forget_old(self) -> None:
-        oldest_ms = self._context.now_ms() - KEPT_MS
+        oldest_ms = self._context.now_ms() - INTERRUPTED_EXPIRY_MS
         for server, kept in list(self._interrupted.items()):
             fresh = [each for each in kept if each.at_ms >= oldest_ms]
             if fresh:
--- a/citrondyke/decisions/crashes/suspect_registry.py
+++ b/citrondyke/decisions/crashes/suspect_registry.py
@@ -41,10 +41,10 @@
 ITEM_PROBE_PAUSE_MS = 5_000.0
 #: Probes rejected by a full server that may be repeated.
 REFUSED_LIMIT = 2
-#: While a probe is in flight, identical requests are told to retry, for at most this long.
+#: While a probe is in flight, identical requests get a retry time, for at most this long.
 PROBE_TIMEOUT_MS = 3_000.0
 #: Evidence expires after a day without another exit or probe.
-KEPT_MS = 86_400_000.0
+EVIDENCE_EXPIRY_MS = 86_400_000.0
 #: Suspects kept, about 400 bytes each; those with the lowest score are dropped first.
 SUSPECTS_LIMIT = 1_000
 #: Lowest score that is stored: a single exit is nearly always a coincidence.
@@ -126,7 +126,7 @@
 
     def merge(self, row: SuspectRow) -> bool:
         """Merge a row from a peer or the store; return whether anything changed."""
-        if row.changed_epoch_ms < self._context.epoch_ms() - KEPT_MS:
+        if row.changed_epoch_ms < self._context.epoch_ms() - EVIDENCE_EXPIRY_MS:
             return False
         content = RequestFingerprint(ContentDigest(row.digest), row.target)
         return self._suspect(content).merge(row)
@@ -179,24 +179,24 @@
 
     def forget_old(self) -> Iterable[ContentDigest]:
         """Drop expired suspects; return their digests."""
-        oldest_ms = self._context.epoch_ms() - KEPT_MS
-        gone = [
+        oldest_ms = self._context.epoch_ms() - EVIDENCE_EXPIRY_MS
+        expired = [
             digest
             for digest, suspect in self._by_digest.items()
             if suspect.changed_epoch_ms < oldest_ms
         ]
-        for digest in gone:
+        for digest in expired:
             self._drop(digest)
-        return gone
+        return expired
 
     def _suspect(self, content: RequestFingerprint) -> Suspect:
         suspect = self._by_digest.get(content.digest)
         if suspect is None:
             if len(self._by_digest) >= SUSPECTS_LIMIT:
-                least = min(
+                weakest = min(
                     self._by_digest.values(), key=lambda each: (each.score, each.changed_epoch_ms)
                 )
-                self._drop(least.content.digest)
+                self._drop(weakest.content.digest)
             suspect = Suspect(content, {}, [])
             self._by_digest[content.digest] = suspect
             self._targets[content.target] += 1
--- a/citrondyke/decisions/membership/session_lease.py
+++ b/citrondyke/decisions/membership/session_lease.py
@@ -96,8 +96,8 @@
             return
         self._is_released = True
         row = SessionRow(self._epoch, self._counter + 1, SessionState.RELEASED, *self.sealed)
-        wanted = transaction(self._context, [(self._key, self._version)], [(self._key, row)])
-        yield from commit(self._context, wanted, self._context.now_ms() + COMMIT_TIMEOUT_MS)
+        txn = transaction(self._context, [(self._key, self._version)], [(self._key, row)])
+        yield from commit(self._context, txn, self._context.now_ms() + COMMIT_TIMEOUT_MS)
 
     def _begin(self) -> Workflow[bool]:
         requested_ms = self._context.now_ms()
@@ -105,17 +105,15 @@
         if isinstance(found, PlatformFailure):
             return False
         row = found.get(self._key)
-        before = None if row is None else msgspec.json.decode(row.value, type=SessionRow)
-        self._epoch = 1 if before is None else before.epoch + 1
+        previous = None if row is None else msgspec.json.decode(row.value, type=SessionRow)
+        self._epoch = 1 if previous is None else previous.epoch + 1
         self._version = None if row is None else row.version
-        if before is not None:
-            self.sealed = (before.sealed_number, before.sealed_digest)
-            self.is_after_crash = before.state is SessionState.HELD
+        if previous is not None:
+            self.sealed = (previous.sealed_number, previous.sealed_digest)
+            self.is_after_crash = previous.state is SessionState.HELD
         value = SessionRow(self._epoch, 1, SessionState.HELD, *self.sealed)
-        wanted = transaction(self._context, [(self._key, self._version)], [(self._key, value)])
-        result = yield from commit(
-            self._context, wanted, self._context.now_ms() + COMMIT_TIMEOUT_MS
-        )
+        txn = transaction(self._context, [(self._key, self._version)], [(self._key, value)])
+        result = yield from commit(self._context, txn, self._context.now_ms() + COMMIT_TIMEOUT_MS)
         if not isinstance(result, Committed):
             return False
         self._counter = 1
@@ -126,8 +124,8 @@
     def _renew(self) -> Workflow[None]:
         requested_ms = self._context.now_ms()
         value = SessionRow(self._epoch, self._counter + 1, SessionState.HELD, *self.sealed)
-        wanted = transaction(self._context, [(self._key, self._version)], [(self._key, value)])
-        result = yield from commit_once(wanted)
+        txn = transaction(self._context, [(self._key, self._version)], [(self._key, value)])
+        result = yield from commit_once(txn)
         if isinstance(result, Committed):
             self._counter += 1
             self._version = result.version
--- a/citrondyke/decisions/online/admission.py
+++ b/citrondyke/decisions/online/admission.py
@@ -28,7 +28,7 @@
 WAIT_SHARE = 0.5
 #: The rate at which permits are released is averaged over about this long.
 RATE_WINDOW_MS = 1000.0
-SHORTEST_RETRY_MS = 100.0
+MIN_RETRY_MS = 100.0
 MAX_RETRY_MS = 30_000.0
 
 
@@ -91,7 +91,7 @@
         """
         servers = self._fleet.target(target)
         if servers is None or not any(view.accepts_work for view in servers.views):
-            return Rejection(RejectionReason.NO_SERVER, SHORTEST_RETRY_MS * 10)
+            return Rejection(RejectionReason.NO_SERVER, MIN_RETRY_MS * 10)
         state = self._states.setdefault(target, _TargetState())
         if self._has_capacity(state, servers, tenant_id):
             return self._admit(state, target, tenant_id)
@@ -101,9 +101,9 @@
         """Release a permit; it goes to the next waiting request."""
         state = self._states[permit.target]
         state.granted -= 1
-        left = state.granted_by_tenant[permit.tenant_id] - 1
-        if left:
-            state.granted_by_tenant[permit.tenant_id] = left
+        remaining = state.granted_by_tenant[permit.tenant_id] - 1
+        if remaining:
+            state.granted_by_tenant[permit.tenant_id] = remaining
         else:
             del state.granted_by_tenant[permit.tenant_id]
         self._update_release_rate(state)
@@ -234,9 +234,9 @@
 
     def _retry_in_ms(self, state: _TargetState) -> float:
         if state.release_rate_per_ms <= 0.0:
-            return SHORTEST_RETRY_MS * 10
+            return MIN_RETRY_MS * 10
         backlog_ms = (state.waiting_count + 1) / state.release_rate_per_ms
-        retry_ms = min(MAX_RETRY_MS, max(SHORTEST_RETRY_MS, backlog_ms))
+        retry_ms = min(MAX_RETRY_MS, max(MIN_RETRY_MS, backlog_ms))
         # Spread, so that callers that were rejected together do not retry together.
         return retry_ms * (1 + self._context.random.random())
 
--- a/citrondyke/decisions/online/router.py
+++ b/citrondyke/decisions/online/router.py
@@ -30,7 +30,7 @@
 SLOW_SLACK_MS = 20.0
 SLOW_SAMPLES = 5
 EJECT_MS = 1000.0
-LONGEST_EJECT_MS = 30_000.0
+MAX_EJECT_MS = 30_000.0
 #: Largest share of a target's servers that may be ejected at the same time.
 EJECTED_SHARE = 0.5
 NO_SERVER_RETRY_MS = 1000.0
@@ -170,7 +170,7 @@
         ejected = sum(1 for other in views if other.ejected_until_ms > now_ms)
         if ejected + 1 > max(1, int(len(views) * EJECTED_SHARE)):
             return
-        pause_ms = min(EJECT_MS * 2**view.ejections, LONGEST_EJECT_MS)
+        pause_ms = min(EJECT_MS * 2**view.ejections, MAX_EJECT_MS)
         view.ejected_until_ms = now_ms + self._context.jittered_ms(pause_ms)
         view.ejections += 1
         view.is_on_probation = False
--- a/citrondyke/decisions/steward.py
+++ b/citrondyke/decisions/steward.py
@@ -264,9 +264,9 @@
         return min((each.token_gap_target_ms for each in classes), default=DEFAULT_GAP_TARGET_MS)
 
     def _preempt_for_online(self, share: ServerShare, now_ms: float) -> None:
-        to_cut = share.runs_to_preempt(now_ms)
-        if to_cut:
-            self._on_preempt(to_cut)
+        preempted = share.runs_to_preempt(now_ms)
+        if preempted:
+            self._on_preempt(preempted)
 
     def _reply(
         self, sender: InstanceId, view: ServerView, share: ServerShare, *, has_more: bool
--- a/tests/test_crashes/test_crashes_life_watch.py
+++ b/tests/test_crashes/test_crashes_life_watch.py
@@ -7,7 +7,7 @@
 from citrondyke.decisions.crashes.request_fingerprint import RequestFingerprint, fingerprint_of
 from citrondyke.decisions.crashes.server_exit_detector import (
     ALIVE_WITHIN_MS,
-    KEPT_MS,
+    INTERRUPTED_EXPIRY_MS,
     ServerExitDetector,
 )
 from tests.support.manual_clock import ManualClock, manual_context
@@ -79,7 +79,7 @@
 
 def test_old_interruptions_expire(setup: DetectorSetup) -> None:
     setup.interrupt()
-    setup.clock.ms += KEPT_MS + 1.0
+    setup.clock.ms += INTERRUPTED_EXPIRY_MS + 1.0
     assert setup.exited() == []
 
 
--- a/tests/test_decisions/test_decisions_crash_points.py
+++ b/tests/test_decisions/test_decisions_crash_points.py
@@ -84,19 +84,19 @@
         order(victim, fleet, 'key', first)
         fleet.time.run_until(fleet.time.now_ms() + 30.0)
         victim.kill()
-        ends: list[Any] = []
+        results: list[Any] = []
         for _ in range(2):
-            order(other, fleet, 'key', ends)
+            order(other, fleet, 'key', results)
             fleet.time.run_until(fleet.time.now_ms() + 6 * LIMITS.lease_ms)
         runs = fleet.servers[next(each for each in fleet.servers if each == 'orders')].runs
         assert sum(runs.values()) <= 1, point
-        assert len(ends) == 2, point
-        assert ends[0].kind is ends[1].kind
-        assert ends[0].kind in (OnceResultKind.ANSWERED, OnceResultKind.UNKNOWN)
+        assert len(results) == 2, point
+        assert results[0].kind is results[1].kind
+        assert results[0].kind in (OnceResultKind.ANSWERED, OnceResultKind.UNKNOWN)
         if first and first[0].kind is OnceResultKind.ANSWERED:
-            assert ends[0].kind is OnceResultKind.ANSWERED
+            assert results[0].kind is OnceResultKind.ANSWERED
         if not runs:
-            assert ends[0].kind is OnceResultKind.UNKNOWN
+            assert results[0].kind is OnceResultKind.UNKNOWN
 
 
 @pytest.mark.parametrize('start', range(3))
--- a/tests/test_decisions/test_decisions_machine.py
+++ b/tests/test_decisions/test_decisions_machine.py
@@ -25,7 +25,7 @@
     @initialize(seed=st.integers(0, 2**16))
     def start(self, seed: int) -> None:
         self.fleet = make_fleet(seed, instances=3)
-        self.ends: dict[str, list[Any]] = {}
+        self.results: dict[str, list[Any]] = {}
         self.jobs: list[AcceptedJob] = []
         self.versions: dict[int, int] = {}
 
@@ -37,7 +37,7 @@
     def send_order(self, number: int, key: str) -> None:
         host = self.host(number)
         if host is not None and host.instance.is_ready:
-            order(host, self.fleet, key, self.ends.setdefault(key, []))
+            order(host, self.fleet, key, self.results.setdefault(key, []))
 
     @rule(number=NUMBERS)
     def submit_job(self, number: int) -> None:
@@ -109,8 +109,8 @@
             outcomes = job_outcomes(self.fleet, job)
             assert len(outcomes) == job.row.items_count
         self.no_order_runs_twice()
-        for ends in self.ends.values():
-            kinds = {end.kind for end in ends}
+        for results in self.results.values():
+            kinds = {end.kind for end in results}
             assert not {OnceResultKind.ANSWERED, OnceResultKind.UNKNOWN} <= kinds, kinds
 
 
--- a/tests/test_decisions/test_decisions_steward.py
+++ b/tests/test_decisions/test_decisions_steward.py
@@ -49,5 +49,7 @@
     fleet.time.run_until(fleet.time.now_ms() + 50.0)
     assert share.online_count == 5
     entry.kill()
-    gone = fleet.time.run_while(lambda: share.online_count > 0, fleet.time.now_ms() + 60_000.0)
-    assert gone
+    is_cleared = fleet.time.run_while(
+        lambda: share.online_count > 0, fleet.time.now_ms() + 60_000.0
+    )
+    assert is_cleared
