--- a/tests/test_forwarding/test_forwarding_send_history.py
+++ b/tests/test_forwarding/test_forwarding_send_history.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize('outcome', [SendOutcome.UNKNOWN, SendOutcome.FAILED])
 def test_request_that_may_have_run_once_is_not_sent_again(outcome: SendOutcome) -> None:
     # A server books an order and its answer is lost. The caller is told that it may have run;
-    # sending it to another server would registry it twice.
+    # sending it to another server would book it twice.
     history = SendHistory(route(RouteKind.ONCE))
     history.record_send(A, outcome)
     assert not history.may_send
