--- a/citrondyke/decisions/forwarding/server_registry.py
+++ b/citrondyke/decisions/forwarding/server_registry.py
@@ -249,7 +249,7 @@
     ) -> ServerState:
         """Choose the server of the lowest cost.
 
-        :param mean_ms: median latency; ``None`` if the servers report their slowdown.
+        :param median_ms: median latency; ``None`` if the servers report their slowdown.
         """
         request_cost = REQUEST_COST if median_ms is None else 1.0
         return min(
