--- a/citrondyke/decisions/jobs/worker.py
+++ b/citrondyke/decisions/jobs/worker.py
@@ -178,7 +178,7 @@
         held = [each for each in self._held.values() if each.job.target == target]
         if len(held) >= self._limits.held_limit or not all(each.is_queued for each in held):
             return False
-        return len(pending) < self._steward.room(target)
+        return len(pending) < self._steward.pending_items_target(target)
 
     def _start_items(self, target: TargetName, pending: PendingItems) -> list[Workflow[None]]:
         """Start items on all servers with free capacity."""
@@ -190,12 +190,12 @@
                 if share.batch_count == 0 and (suspect := pending.pop_suspect()) is not None:
                     started.append(self._runner.begin(*suspect, server_id, share, pending))
                 continue
-            room = share.free_capacity(self._context.now_ms())
-            while room > 0:
+            free_capacity = share.free_capacity(self._context.now_ms())
+            while free_capacity > 0:
                 taken = pending.pop()
                 if taken is None:
                     return started
-                room -= 1
+                free_capacity -= 1
                 started.append(self._runner.begin(*taken, server_id, share, pending))
         return started
 
