--- a/tests/test_batch/test_batch_demand.py
+++ b/tests/test_batch/test_batch_demand.py
@@ -78,7 +78,7 @@
     assert owner.share(6) == 0.0
 
 
-@pytest.mark.parametrize('prospect', [DOUBTFUL, LATE])
+@pytest.mark.parametrize('likelihood', [DOUBTFUL, LATE])
 def test_doubtful_and_late_items_yield_to_doable_ones(
     likelihood: CompletionLikelihood,
 ) -> None:
