--- a/citrondyke/gateway/jobs/batch_subsystem.py
+++ b/citrondyke/gateway/jobs/batch_subsystem.py
@@ -58,7 +58,7 @@
     live: InstanceLiveness
     metrics: Metrics
     #: Gives the factor by which calls of the store are rarer than in a small fleet.
-    store_interval_factor: Callable[[], float]
+    pace: Callable[[], float]
     tasks: Tasks
 
 
@@ -116,7 +116,7 @@
             self.runner,
             TakeoverSchedule(context, incarnation, collaborators.live),
             ReadBudget(context, settings.store.reads_per_s, lambda: collaborators.live.count),
-            collaborators.store_interval_factor,
+            collaborators.pace,
             tasks,
         )
         self.backlog_limiter = BacklogLimiter(
@@ -183,7 +183,7 @@
         self.runner.start()
         self.committer.start()
         self.claimer.start()
-        self.backlog_limiter.start(collaborators.tasks, collaborators.store_interval_factor)
+        self.backlog_limiter.start(collaborators.tasks, collaborators.pace)
         self._sweeper.start(collaborators.tasks)
 
     def transfer_ownership(self, until_ms: float) -> None:
