--- a/citrondyke/decisions/accounts/slot_steward.py
+++ b/citrondyke/decisions/accounts/slot_steward.py
@@ -43,7 +43,7 @@
 #: A caller may return this much before its due time: retry times are sent in whole milliseconds.
 EARLY_TOLERANCE_MS = 20.0
 #: Largest share of its remaining time that a caller waits before it returns.
-MAX_WAIT_SHARE = 1 / 3
+LONGEST_WAIT_SHARE = 1 / 3
 #: Part of that wait that a reservation leaves unused, for the round trip to the caller.
 ROUND_TRIP_SLACK_MS = 50.0
 #: Longest retry time sent to callers; a longer one is of no use to them.
@@ -267,7 +267,7 @@
         reservations = quota.reservations
         earliest_ms = max(start_ms, quota.local_rejection_until_ms)
         due_ms = reservations.next_due_ms(earliest_ms, 1e3 / (RESERVED_SHARE * account.rate_per_s))
-        is_in_reach = due_ms - now_ms <= need.left_ms * MAX_WAIT_SHARE - ROUND_TRIP_SLACK_MS
+        is_in_reach = due_ms - now_ms <= need.left_ms * LONGEST_WAIT_SHARE - ROUND_TRIP_SLACK_MS
         if need.work and is_in_reach and reservations.reserve(need.work, due_ms):
             return self._rejection(number, due_ms, now_ms, is_kept=True)
         quota.rejected_work.record((need.work,), now_ms)
--- a/citrondyke/decisions/batch/takeover.py
+++ b/citrondyke/decisions/batch/takeover.py
@@ -64,7 +64,7 @@
         self._heartbeats: dict[InstanceId, _Heartbeat] = {}
         #: Times of death of incarnations whose rows were removed, in the order of removal.
         self._removed: dict[str, float] = {}
-        self._heartbeat_ms = float('-inf')
+        self._heartbeat_seen_ms = float('-inf')
         self._polled_ms = float('-inf')
         self._first_poll_ms = 0.0
         #: Factor by which heartbeat intervals and timeouts exceed those of a small fleet.
@@ -98,7 +98,7 @@
         now_ms = self._context.now_ms()
         if not self.is_own_heartbeat_fresh:
             self._restart_timeouts(now_ms)
-        self._heartbeat_ms = now_ms
+        self._heartbeat_seen_ms = now_ms
 
     def record_poll(self) -> None:
         """Record that the heartbeats were polled; restart all timeouts after a gap."""
@@ -111,7 +111,10 @@
     @property
     def is_own_heartbeat_fresh(self) -> bool:
         """Return whether this instance's own heartbeats are being written."""
-        return self._context.now_ms() - self._heartbeat_ms <= HEARTBEAT_GAP_MS * self.timeout_factor
+        return (
+            self._context.now_ms() - self._heartbeat_seen_ms
+            <= HEARTBEAT_GAP_MS * self.timeout_factor
+        )
 
     def is_dead(
         self, owner: InstanceId, incarnation: str, row_version: int, since_ms: float
