--- a/citrondyke/gateway/peers/__init__.py
+++ b/citrondyke/gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Other instances: who they are and what is told between them."""
+"""Membership of the fleet, and messages between its instances."""
--- a/citrondyke/gateway/peers/demand_codec.py
+++ b/citrondyke/gateway/peers/demand_codec.py
@@ -1,4 +1,4 @@
-"""Batch items that wait at an instance, as bytes."""
+"""Encoding of the batch items that wait for capacity at an instance."""
 
 from __future__ import annotations
 
@@ -12,26 +12,28 @@
 
 __all__ = ('pack_demand', 'unpack_demand')
 
-#: More than a server list has places.
+#: More than all servers of a list can run at once.
 COUNT_LIMIT = 1_000_000
 
 
-def pack_demand(needs: list[DemandNotice]) -> bytes:
-    """Encode needs."""
-    return msgspec.msgpack.encode(needs)
+def pack_demand(notices: list[DemandNotice]) -> bytes:
+    """Encode notices of batch demand."""
+    return msgspec.msgpack.encode(notices)
 
 
 def unpack_demand(data: bytes) -> list[DemandNotice]:
-    """Decode needs.
+    """Decode notices of batch demand.
 
-    :raises ValueError: when the bytes are none, or say what cannot be.
+    :raises ValueError: if the data is malformed or a value is out of range.
     """
     try:
-        needs = decode_msgpack(data, list[DemandNotice])
+        notices = decode_msgpack(data, list[DemandNotice])
     except UnreadableBytesError as error:
         raise ValueError(error.message) from error
-    for need in needs:
-        CompletionLikelihood(need.likelihood)
-        if not 0 <= need.waiting_count <= COUNT_LIMIT or not math.isfinite(need.start_in_ms):
-            raise ValueError(f'a need of {need.waiting_count} items in {need.start_in_ms} ms')
-    return needs
+    for notice in notices:
+        CompletionLikelihood(notice.likelihood)
+        if not 0 <= notice.waiting_count <= COUNT_LIMIT or not math.isfinite(notice.start_in_ms):
+            raise ValueError(
+                f'out of range: {notice.waiting_count} items in {notice.start_in_ms} ms'
+            )
+    return notices
--- a/citrondyke/gateway/peers/evidence_codec.py
+++ b/citrondyke/gateway/peers/evidence_codec.py
@@ -1,4 +1,4 @@
-"""What instances tell of failing servers, as bytes: a row a server."""
+"""Encoding of the outcome counts of failing servers: one fixed-size row per server."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 #: A server's digest, four numbers and two ages in ms, little-endian.
 _ROW = struct.Struct('<IBBBBHH')
 COUNT_LIMIT = 255
-#: Stands for no age; older ones are told as a little less.
+#: Stands for no age; larger ages are encoded as one less.
 NO_AGE = 65_535
 
 
 def pack_evidence(rows: list[ServerEvidence]) -> bytes:
-    """Encode rows; larger numbers and ages are told as the largest that there are."""
+    """Encode rows; numbers and ages beyond the range are encoded as the largest value."""
     return b''.join(
         _ROW.pack(
             row.server,
@@ -34,7 +34,7 @@
 def unpack_evidence(data: bytes) -> list[ServerEvidence]:
     """Decode rows.
 
-    :raises struct.error: when the bytes are none.
+    :raises struct.error: if the data is not a sequence of whole rows.
     """
     return [
         ServerEvidence(
--- a/citrondyke/gateway/peers/evidence_exchange.py
+++ b/citrondyke/gateway/peers/evidence_exchange.py
@@ -1,4 +1,4 @@
-"""Tells all peers how requests ended at servers that fail, and takes in what they tell."""
+"""Exchange of the outcomes of requests at failing servers with all peers."""
 
 from __future__ import annotations
 
@@ -21,33 +21,33 @@
 
 __all__ = ('EvidenceExchange',)
 
-#: Servers in one datagram: 12 bytes each, and it must fit one packet.
+#: Servers in one datagram: 12 bytes each, and the datagram must fit into one packet.
 ROWS_PER_DATAGRAM = 80
 
 
 class EvidenceExchange:
-    """Carries results between this instance's view of the servers and its peers."""
+    """Publishes this instance's outcomes at failing servers, and merges those of its peers."""
 
     def __init__(self, context: Context, registry: ServerRegistry) -> None:
-        """Start with nothing to tell."""
+        """Start with nothing to publish."""
         self._registry = registry
         self._notices = EvidenceNotices(context, registry)
         self._has_updates = Event()
 
     def start(self, tasks: Tasks, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
-        """Begin to tell.
+        """Start publishing.
 
         :param send: sends a datagram to some peers.
         """
         tasks.supervise(lambda: self._run(send))
 
     def record_outcome(self, state: ServerState) -> None:
-        """Have peers told of a server where there is something new."""
+        """Publish the outcomes at a server soon if they have changed."""
         if state.health_record.has_update:
             self._has_updates.set()
 
     def on_message(self, sender: InstanceId, news: EvidenceNews) -> None:
-        """Take in what a peer tells."""
+        """Merge the outcomes that a peer has published."""
         self._notices.record_peer_evidence(sender, news.rows)
 
     def _run(self, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
--- a/citrondyke/gateway/peers/limit_codec.py
+++ b/citrondyke/gateway/peers/limit_codec.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of the uses of accounts, as bytes."""
+"""Encoding of the messages about the uses of accounts."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class _FloorsMessage(msgspec.Struct, array_like=True):
-    """A steward's floors, or the answer to them where there is no copy."""
+    """A steward's floors; without a copy, their acknowledgement."""
 
     slot: int
     era: int
@@ -43,9 +43,9 @@
 
 
 def build_limit(built: Any, message: LimitMessage) -> None:
-    """Put a message of limits into a message between instances.
+    """Write a limit message into a message between instances.
 
-    :raises TypeError: when there is no field for it.
+    :raises TypeError: if the schema has no field for the message.
     """
     if isinstance(message, UseAsked):
         asked = built.init('useAsked')
@@ -71,8 +71,8 @@
         floors_message = _FloorsMessage(message.slot, copy.era, copy.number, copy)
         built.useCounts = msgspec.msgpack.encode(floors_message)
     elif isinstance(message, FloorsAcknowledged):
-        heard = _FloorsMessage(message.slot, message.era, message.number)
-        built.useCounts = msgspec.msgpack.encode(heard)
+        acknowledgement = _FloorsMessage(message.slot, message.era, message.number)
+        built.useCounts = msgspec.msgpack.encode(acknowledgement)
     else:
         raise TypeError(type(message).__name__)
 
@@ -132,12 +132,15 @@
 
 
 def _validate_copy(copy: SlotCopy) -> SlotCopy:
-    """Refuse a copy with levels that are no numbers; compared, they would hold nothing back.
+    """Return the copy if all of its values are finite numbers.
 
-    :raises ValueError: when there is one.
+    Comparisons with NaN or infinity would let every use through, so the account would have no
+    limit.
+
+    :raises ValueError: if a value is NaN or infinite.
     """
     if not all(math.isfinite(each) for each in (copy.filled_ms, *copy.floors.values())):
-        raise ValueError('levels that are no numbers')
+        raise ValueError('time and floors must be finite numbers')
     return copy
 
 
--- a/citrondyke/gateway/peers/load_exchange.py
+++ b/citrondyke/gateway/peers/load_exchange.py
@@ -1,4 +1,4 @@
-"""Tells peers what this instance has on each server, and takes in what they have."""
+"""Exchange of the number of requests on each server with the peers."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 __all__ = ('LoadExchange',)
 
-#: Servers in one datagram: 12 bytes each at the most, and it must fit one packet.
+#: Servers in one datagram: at most 12 bytes each, and the datagram must fit into one packet.
 LOADS_PER_DATAGRAM = 80
-#: Time without a change after which it is looked whether counts are to be told again.
+#: Interval without a change after which counts are checked for being due again.
 POLL_S = 0.25
 
 
 class LoadExchange:
-    """Carries counts between this instance's view of the servers and its peers."""
+    """Publishes this instance's request counts per server, and applies those of its peers."""
 
     def __init__(
         self, notices: LoadNotices, topology: PeerTopology, on_loads: Callable[[], None]
     ) -> None:
-        """Use the decisions handed in.
+        """Start with nothing to publish.
 
-        :param on_loads: called after a peer's counts were taken in.
+        :param on_loads: called after a peer's counts were applied.
         """
         self._notices = notices
         self._topology = topology
@@ -42,22 +42,22 @@
         self._changed = Event()
 
     def start(self, tasks: Tasks, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
-        """Begin to tell.
+        """Start publishing.
 
         :param send: sends a datagram to some peers.
         """
         tasks.supervise(lambda: self._run(send))
 
     def mark_changed(self) -> None:
-        """Have peers told soon."""
+        """Publish changed counts soon."""
         self._changed.set()
 
-    def on_message(self, sender: InstanceId, text: LoadNotice | LoadTotals) -> None:
-        """Take in what a peer tells."""
-        if isinstance(text, LoadNotice):
-            self._notices.record_peer_counts(sender, text.loads)
+    def on_message(self, sender: InstanceId, notice: LoadNotice | LoadTotals) -> None:
+        """Apply the counts that a peer has published."""
+        if isinstance(notice, LoadNotice):
+            self._notices.record_peer_counts(sender, notice.loads)
         else:
-            self._notices.record_totals(text.loads)
+            self._notices.record_totals(notice.loads)
         self._on_loads()
 
     def _run(self, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
@@ -74,6 +74,6 @@
             totals = self._notices.take_totals()
             if not totals:
                 continue
-            receivers = self._topology.one_peer_per_remote_zone(self._notices.totals_rotation)
+            recipients = self._topology.one_peer_per_remote_zone(self._notices.totals_rotation)
             for start in range(0, len(totals), LOADS_PER_DATAGRAM):
-                send(LoadTotals(totals[start : start + LOADS_PER_DATAGRAM]), receivers)
+                send(LoadTotals(totals[start : start + LOADS_PER_DATAGRAM]), recipients)
--- a/citrondyke/gateway/peers/membership.py
+++ b/citrondyke/gateway/peers/membership.py
@@ -1,4 +1,4 @@
-"""Heartbeats of instances in the store."""
+"""Membership of the fleet, by heartbeats of the instances in the store."""
 
 from __future__ import annotations
 
@@ -35,75 +35,77 @@
 log = logbook.Logger(__name__)
 
 INSTANCES_TABLE = 'instances'
-#: A third of the silence after which an instance is taken for gone.
+#: A third of the time without a heartbeat after which an instance counts as dead.
 HEARTBEAT_EVERY_MS = 900.0
-#: Silence after which a peer is not sent anything any more: longer than a machine is frozen.
+#: Time without a heartbeat after which nothing is sent to a peer any more: longer than a machine
+#: freezes for.
 DEAD_AFTER_MS = 8_000.0
-#: Silence after which its row is taken away.
+#: Time without a heartbeat after which the row of an instance is removed.
 ROW_EXPIRY_MS = 60_000.0
 
 
-#: Peers are called by IP; anything else would be looked up as a name.
+#: Peers are addressed by IP; anything else would be resolved as a host name.
 IP_PATTERN = r'^\d{1,3}(\.\d{1,3}){3}$'
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """An instance's row."""
+    """Row of an instance in the store."""
 
     life: str
     ip: Annotated[str, msgspec.Meta(pattern=IP_PATTERN)]
     peer_port: Annotated[int, msgspec.Meta(ge=1, le=65_535)]
     zone: AvailabilityZone
     number: int
-    #: Of the values of the list of servers that it knows, for whoever starts; -1 from instances of
-    #: an earlier version, who neither tell nor listen.
+    #: Size of the values of the server list that the instance has, for instances that start; -1
+    #: from instances of an earlier version, which neither publish the list nor subscribe to it.
     list_bytes: int = -1
 
 
 class Membership:
-    """Writes this instance's heartbeat and takes in the others'."""
+    """Writes this instance's heartbeats, and reads those of its peers."""
 
     def __init__(
         self,
         context: Context,
-        life: str,
+        incarnation: str,
         address: tuple[str, int],
         table: PartitionedTable,
-        live: InstanceLiveness,
+        liveness: InstanceLiveness,
     ) -> None:
-        """Use the parts handed in.
+        """Start without known peers.
 
-        :param address: of this instance, for its peers.
+        :param incarnation: identifies this run of the instance.
+        :param address: address of this instance, for its peers.
         """
         self._context = context
-        self._incarnation = life
+        self._incarnation = incarnation
         self._address = address
         self._table = table
-        self._liveness = live
+        self._liveness = liveness
         self._number = 0
         self._is_leaving = False
         self._unreadable = UnreadableRows(INSTANCES_TABLE)
-        #: Peers by id, this instance left out.
+        #: Live peers by id, without this instance.
         self.peers: dict[InstanceId, Heartbeat] = {}
-        #: Whether a whole list of the instances was seen, by the store or a peer.
+        #: Whether a complete list of the instances was received, from the store or from a peer.
         self.is_known = False
         self._known = Event()
         self._all_instances: tuple[InstanceId, ...] = ()
-        #: Told with each heartbeat.
+        #: Published with each heartbeat: the size of the server list.
         self.list_bytes = 0
 
     def start(self, tasks: Tasks) -> None:
-        """Begin to write heartbeats."""
+        """Start writing heartbeats."""
         tasks.supervise(self._run)
 
     def leave(self) -> None:
-        """Take this instance's row away, so that others need not wait for its silence."""
+        """Remove this instance's row, so that peers need not wait until it counts as dead."""
         self._is_leaving = True
         removal = RowRemoval(INSTANCES_TABLE, self._context.instance_id)
         self._table.transact(PartTransaction('', removals=(removal,)))
 
     def on_rows(self, rows: Iterable[PartRow]) -> None:
-        """Take in changes."""
+        """Apply changed rows."""
         for row in rows:
             instance_id = InstanceId(row.key)
             if row.value is None:
@@ -114,28 +116,28 @@
             except UnreadableBytesError as error:
                 self._unreadable.log_once(row.key, row.version, error.message)
                 continue
-            is_news = self._liveness.record_row(instance_id, heartbeat.life, row.version)
-            if is_news and instance_id != self._context.instance_id:
+            is_new = self._liveness.record_row(instance_id, heartbeat.life, row.version)
+            if is_new and instance_id != self._context.instance_id:
                 self._add_peer(instance_id, heartbeat)
 
     def on_listing(self, rows: list[PartRow], _: int) -> None:
-        """Take in a read of the whole table."""
+        """Apply a full read of the table."""
         self.on_rows(rows)
         self._mark_known()
         self._liveness.record_poll()
         self._drop_dead_peers({row.key: row.version for row in rows})
 
     def _drop_dead_peers(self, versions: dict[str, int]) -> None:
-        """Forget peers that are gone; one of the others takes their rows away.
+        """Drop dead peers; the first live instance by name removes their rows.
 
-        A machine that was removed for good leaves its row behind. Calls that go by way of a peer
-        would try it each time and wait for a connection that never comes.
+        A machine that is removed for good leaves its row behind. If it were kept, store calls that
+        are relayed by a peer would try it each time and wait for a connection that never opens.
         """
         for instance_id in self._liveness.unresponsive(DEAD_AFTER_MS):
             if self.peers.pop(instance_id, None) is not None:
                 log.info('peer.gone', extra={'peer': instance_id, 'silent_ms': DEAD_AFTER_MS})
-        names = self._liveness.live_instances()
-        if names[0] != self._context.instance_id:
+        live_instances = self._liveness.live_instances()
+        if live_instances[0] != self._context.instance_id:
             return
         for instance_id in self._liveness.unresponsive(ROW_EXPIRY_MS):
             version = versions.get(instance_id)
@@ -147,23 +149,23 @@
             self._table.transact(PartTransaction('', (condition,), (), (removal,)))
 
     def own_heartbeat(self) -> Heartbeat:
-        """Give this instance's row."""
+        """Return this instance's row."""
         ip, port = self._address
         return Heartbeat(
             self._incarnation, ip, port, self._context.zone, self._number, self.list_bytes
         )
 
     def merge_from_peer(self, heartbeats: dict[InstanceId, Heartbeat]) -> None:
-        """Take in the addresses that a peer knows; they prove nobody's life."""
+        """Add the addresses that a peer knows; they don't prove that these instances live."""
         for instance_id, heartbeat in heartbeats.items():
             if instance_id != self._context.instance_id and instance_id not in self.peers:
                 self._add_peer(instance_id, heartbeat)
         if heartbeats:
             self._mark_known()
 
-    def wait_known(self, longest_ms: float) -> bool:
-        """Wait until a whole list of the instances was seen; tell whether one was."""
-        self._known.wait(longest_ms / 1e3)
+    def wait_known(self, timeout_ms: float) -> bool:
+        """Wait for a complete list of the instances; return whether it was received."""
+        self._known.wait(timeout_ms / 1e3)
         return self.is_known
 
     def _mark_known(self) -> None:
@@ -172,13 +174,13 @@
 
     @property
     def count(self) -> int:
-        """Count the instances that are known, this one included."""
+        """Return the number of known instances, including this one."""
         return len(self.peers) + 1
 
     def all_instances(self) -> tuple[InstanceId, ...]:
-        """List all instances, this one included; none while they are not known.
+        """Return all instances including this one, or none while they are not known.
 
-        The same object as long as nobody comes or goes.
+        The returned tuple is the same object until an instance joins or leaves.
         """
         if not self.is_known:
             return ()
--- a/citrondyke/gateway/peers/peer_codec.py
+++ b/citrondyke/gateway/peers/peer_codec.py
@@ -1,4 +1,4 @@
-"""Messages between gateway instances as Cap'n Proto."""
+"""Messages between gateway instances, encoded with Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -49,106 +49,112 @@
 
 _PACKAGE = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 _SCHEMA = capnp.load(os.path.join(_PACKAGE, 'peer', 'gateway.capnp'))
-#: Counts are 16 bits wide on the wire; a server has tens of places.
+#: Counts are 16 bits wide on the wire; a server runs tens of requests at once.
 COUNT_LIMIT = 65_535
-#: A server's digest and its counts.
+#: A server's digest and its counts of online and batch requests.
 _LOAD = struct.Struct('<IHH')
-#: A request's digest, the bucket of its target and what is told of it.
+#: A request's digest, the bucket of its target, and the kind of the update.
 _SUSPECT = struct.Struct('<10sIB')
 
 
 class PeerText(msgspec.Struct, frozen=True):
-    """What a message says."""
+    """Content of a message; a subclass for each kind."""
 
 
 class LoadNotice(PeerText, frozen=True):
-    """Requests that the sender has on servers."""
+    """Numbers of the sender's requests on servers."""
 
     loads: list[ServerLoad]
 
 
 class LoadTotals(PeerText, frozen=True):
-    """Requests that all instances have on the servers of the sender's availability zone."""
+    """Numbers of all instances' requests on the servers of the sender's availability zone."""
 
     loads: list[ServerLoad]
 
 
 class CrashNews(PeerText, frozen=True):
-    """Requests that were under way at a server that ended, or that were answered well."""
+    """Requests that were running on a server when it exited, or that ran to their end."""
 
-    #: Digest of the server's life; 0 where none has ended.
+    #: Digest of the server's incarnation; 0 if none has exited.
     server: int
     news: list[SuspectNews]
 
 
 class BatchNeeds(PeerText, frozen=True):
-    """Batch items that wait at the sender; none where the list is empty."""
+    """Batch items that wait for capacity at the sender; an empty list if there are none."""
 
     needs: list[DemandNotice]
 
 
 class JobChanged(PeerText, frozen=True):
-    """A job's head changed."""
+    """Notification that a job's head has changed."""
 
     job_id: JobId
 
 
 class EvidenceNews(PeerText, frozen=True):
-    """How requests of the sender ended at servers."""
+    """Outcomes of the sender's requests on servers."""
 
     rows: list[ServerEvidence]
 
 
 class KnowledgeWanted(PeerText, frozen=True):
-    """Asks for what the receiver knows beyond the sender, whose configuration the message names."""
+    """Requests the store state that the sender lacks.
 
-    #: Instances of which the sender has the address, itself included.
+    The header of the message has the version of the sender's configuration.
+    """
+
+    #: Number of instances whose address the sender has, including itself.
     instances_count: int = 0
-    #: Of the list of servers that the sender has; 0 for none.
+    #: Digest of the sender's server list; 0 for none.
     list_digest: int = 0
-    #: Instances of an earlier version do not.
+    #: Whether the answer may be compressed; instances of an earlier version cannot decompress it.
     takes_compressed: bool = False
 
 
 class KnowledgeData(PeerText, frozen=True):
-    """What an instance knows, encoded."""
+    """Encoded store state of an instance."""
 
     data: bytes
 
 
 class StoreCallData(PeerText, frozen=True):
-    """A call of the store, encoded."""
+    """Encoded call of the store that the receiver makes for the sender."""
 
     data: bytes
 
 
 class StoreAnswerData(PeerText, frozen=True):
-    """The answer to it."""
+    """Encoded answer of the store to a relayed call."""
 
     data: bytes
 
 
 class LimitText(PeerText, frozen=True):
-    """What is told of the uses of accounts."""
+    """Message about the uses of accounts."""
 
     message: LimitMessage
 
 
 class ListTold(PeerText, frozen=True):
-    """How far a reader knows the list of servers; over a stream, how far who asks has heard it."""
+    """A reader's cursor in the server list.
+
+    Over a stream it is a request: a follower's cursor in the changes of the receiving reader.
+    """
 
     position: ServerListCursor
 
 
 class ListOffered(PeerText, frozen=True):
-    """Rows of that list, encoded, and how far the reader is."""
+    """Encoded update of the server list, and the reader's cursor."""
 
     data: bytes
     position: ServerListCursor
 
 
 class PeerMessage(msgspec.Struct, frozen=True):
-    """A message and its sender."""
+    """A message with its header."""
 
     sender: InstanceId
     config_version: ConfigVersion
@@ -162,19 +168,19 @@
     built.configVersion = message.config_version
     write = _WRITERS.get(type(message.text))
     if write is None:
-        # Each kind has its field; a new one without would ask peers for something else.
+        # Without a field set, peers would decode the message as another kind.
         raise TypeError(type(message.text).__name__)
     write(built, message.text)
-    # Not packed: the library's packed writer ended processes by a segmentation fault on messages
-    # of over 8 KB whose packed form is longer than the plain one, as of compressed values.
+    # Not packed: the library's packed writer crashes with a segmentation fault on messages of over
+    # 8 KB whose packed form is longer than the plain one, as with compressed values.
     data: bytes = built.to_bytes()
     return data
 
 
 def _write_suspects(built: Any, text: CrashNews) -> None:
-    told = built.init('suspects')
-    told.server = text.server
-    told.requests = _pack_suspects(text.news)
+    suspects = built.init('suspects')
+    suspects.server = text.server
+    suspects.requests = _pack_suspects(text.news)
 
 
 def _write_wanted(built: Any, text: KnowledgeWanted) -> None:
@@ -184,7 +190,7 @@
 
 
 def _field(name: str, encode: Callable[[Any], Any]) -> Callable[[Any, Any], None]:
-    """Make what writes a kind of message that is one field."""
+    """Return a writer for a kind of message that consists of one field."""
 
     def write(built: Any, text: Any) -> None:
         setattr(built, name, encode(text))
@@ -195,7 +201,7 @@
 def decode_message(data: bytes) -> PeerMessage:
     """Decode a message.
 
-    :raises ValueError: when the bytes are none.
+    :raises ValueError: if the data is not a valid message.
     """
     try:
         with _SCHEMA.GatewayMessage.from_bytes(data) as read:
@@ -243,8 +249,8 @@
     ]
 
 
-def _read_loads(places: Any) -> list[ServerLoad]:
-    return [ServerLoad(each.server, each.online, each.batch) for each in places]
+def _read_loads(loads: Any) -> list[ServerLoad]:
+    return [ServerLoad(each.server, each.online, each.batch) for each in loads]
 
 
 _WRITERS: dict[type[PeerText], Callable[[Any, Any], None]] = {
@@ -265,7 +271,7 @@
 _READERS: dict[str, Any] = {
     'loadBytes': lambda read: LoadNotice(_unpack_loads(read.loadBytes)),
     'loadTotalsBytes': lambda read: LoadTotals(_unpack_loads(read.loadTotalsBytes)),
-    # From instances of an earlier version, during an upgrade.
+    # Sent by instances of an earlier version during an upgrade.
     'load': lambda read: LoadNotice(_read_loads(read.load)),
     'loadTotals': lambda read: LoadTotals(_read_loads(read.loadTotals)),
     'suspects': lambda read: CrashNews(
--- a/citrondyke/gateway/peers/peer_traffic.py
+++ b/citrondyke/gateway/peers/peer_traffic.py
@@ -1,4 +1,4 @@
-"""Counts what an instance sends to its peers, by kind of message and by how far it goes."""
+"""Counters of the traffic to peers, by message class and by local or remote zone."""
 
 from __future__ import annotations
 
@@ -20,40 +20,40 @@
 
 log = logbook.Logger(__name__)
 
-#: Time between two lines of the log: bytes between zones cost money, and a line every 10 s shows
-#: when and by what they grew, at no cost that shows.
+#: Interval between two log lines. Traffic between zones costs money; a line every 10 s shows when
+#: it grew and by which messages, at negligible cost.
 LOG_EVERY_S = 10.0
 
 
 class PeerTraffic:
-    """Shown as metrics, and in the log every 10 s."""
+    """Counts sent messages and bytes in the metrics, and logs the bytes every 10 s."""
 
     def __init__(self, context: Context, metrics: Metrics) -> None:
-        """Start at nothing."""
+        """Start at zero."""
         self._context = context
         self._metrics = metrics
-        self._since_line: Counter[str] = Counter()
+        self._bytes_since_log: Counter[str] = Counter()
 
     def record_sent(
         self, text: PeerText, size_bytes: int, zones: Sequence[AvailabilityZone | None]
     ) -> None:
-        """Count a message that was sent, once for all of its receivers.
+        """Count a message that was sent to one or more recipients.
 
-        :param zones: of the receivers; ``None`` for one whose zone is not known.
+        :param zones: zones of the recipients; ``None`` for a recipient whose zone is not known.
         """
-        near_count = zones.count(self._context.zone)
-        for where, count in (('near', near_count), ('far', len(zones) - near_count)):
+        local_zone_count = zones.count(self._context.zone)
+        for distance, count in (('near', local_zone_count), ('far', len(zones) - local_zone_count)):
             if not count:
                 continue
-            kind = f'{type(text).__name__}_{where}'
-            self._since_line[kind] += size_bytes * count
+            kind = f'{type(text).__name__}_{distance}'
+            self._bytes_since_log[kind] += size_bytes * count
             self._metrics.counters[f'peer_bytes_sent_{kind}'] += size_bytes * count
             self._metrics.counters[f'peer_messages_sent_{kind}'] += count
 
     def run(self) -> None:
-        """Log what was sent, for good."""
+        """Log the sent bytes periodically."""
         while True:
             gevent.sleep(LOG_EVERY_S)
-            if self._since_line:
-                log.info('peer.traffic', extra={'sent_bytes': dict(self._since_line)})
-                self._since_line.clear()
+            if self._bytes_since_log:
+                log.info('peer.traffic', extra={'sent_bytes': dict(self._bytes_since_log)})
+                self._bytes_since_log.clear()
--- a/citrondyke/gateway/peers/peers.py
+++ b/citrondyke/gateway/peers/peers.py
@@ -1,4 +1,4 @@
-"""Traffic between instances: datagrams for counts, a stream for what one knows."""
+"""Messages between instances: datagrams for counts and notices, streams for requests."""
 
 from __future__ import annotations
 
@@ -58,17 +58,17 @@
 log = logbook.Logger(__name__)
 
 STREAM_TIMEOUT_S = 1.5
-#: Peers that are asked to make one call of the store.
+#: Peers that are tried in turn to relay one call of the store.
 RELAY_ATTEMPTS = 2
 CONNECT_TIMEOUT_MS = 300.0
 FRAME_LIMIT_BYTES = 16 * 1024 * 1024
 DATAGRAM_LIMIT_BYTES = 65_535
-#: Datagrams that are taken before others get their turn.
+#: Datagrams that are received before other greenlets run.
 DATAGRAMS_PER_TURN = 64
 
 
 class Peers:
-    """One end of the traffic between instances."""
+    """Sends messages to the other instances, and receives theirs."""
 
     def __init__(
         self,
@@ -86,24 +86,26 @@
         on_evidence: Callable[[InstanceId, EvidenceNews], None],
         table: PartitionedTable,
         traffic: PeerTraffic,
-        live: InstanceLiveness,
+        liveness: InstanceLiveness,
         metrics: Metrics,
         store_interval_factor: Callable[[], float],
         batch_window_ms: Callable[[], float],
         tasks: Tasks,
     ) -> None:
-        """Use the parts handed in; nothing is sent before ``start``.
+        """Open no sockets; ``start`` does.
 
-        :param on_loads: takes what a peer tells of its counts.
-        :param on_job: called when a job's head changed.
-        :param on_crash: takes what a peer tells of servers that ended.
-        :param on_demand: takes what a peer tells of batch items that wait there.
-        :param on_evidence: takes what a peer tells of servers that fail.
-        :param table: the store by the direct way, for peers that it does not answer.
-        :param traffic: told of what is sent.
-        :param live: judges silences of peers.
-        :param pace: gives the factor by which calls are rarer than in a small fleet.
-        :param batch_window_ms: gives the time for which datagrams may wait; 0 for none.
+        :param on_loads: called with a peer's request counts.
+        :param on_job: called when a job's head has changed.
+        :param on_crash: called with a peer's updates of poison suspects.
+        :param on_demand: called with a peer's batch demand.
+        :param on_evidence: called with a peer's outcome counts of servers.
+        :param table: direct access to the store, for calls that are relayed for peers.
+        :param traffic: counts sent messages.
+        :param liveness: tells which peers count as dead.
+        :param store_interval_factor: returns the factor by which the intervals between store calls
+            are longer than in a small fleet.
+        :param batch_window_ms: returns the time for which received datagrams may wait to be
+            processed together; 0 to process each at once.
         """
         self._context = context
         self._batch_window_ms = batch_window_ms
@@ -136,14 +138,14 @@
         )
         self._traffic = traffic
         self.list_read_delegation = ServerListReadDelegation(
-            context, membership, live, replicated, metrics, self.send, self._exchange, tasks
+            context, membership, liveness, replicated, metrics, self.send, self._exchange, tasks
         )
 
     def start(self, ip: str) -> None:
-        """Listen and begin to send."""
+        """Open the sockets, and start the background tasks."""
         self._datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._datagrams.bind((ip, self._port))
-        # Reads never wait, while sends wait for room as they do on the other one.
+        # On this duplicate socket reads never block, while sends still wait for buffer space.
         self._receiver = socket.fromfd(self._datagrams.fileno(), socket.AF_INET, socket.SOCK_DGRAM)
         self._receiver.setblocking(False)
         self._streams = StreamServer((ip, self._port), self._on_stream)
@@ -153,7 +155,7 @@
         self._tasks.supervise(self._traffic.run)
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Close the sockets."""
         for sock in (self._datagrams, self._receiver):
             if sock is not None:
                 sock.close()
@@ -161,7 +163,7 @@
             self._streams.stop()
 
     def relay(self, call: StoreCall) -> StoreAnswer:
-        """Have a peer make a call of the store."""
+        """Have a peer make a call of the store, preferably one in the local zone."""
         peers = list(self._membership.peers.values())
         self._context.random.shuffle(peers)
         peers.sort(key=lambda heartbeat: heartbeat.zone != self._context.zone)
@@ -177,21 +179,24 @@
             except BrokenReplyError as error:
                 log.info('peer.silent', extra={'ip': heartbeat.ip, 'detail': error.message})
             except (OSError, ValueError) as error:
-                # The peer may have made the call.
+                # The peer was reached and may have made the call.
                 failure = PlatformFailureReason.AMBIGUOUS
                 log.info('peer.silent', extra={'ip': heartbeat.ip, 'detail': str(error)[:200]})
         return StoreAnswer(failure=failure)
 
     def notify_job_changed(self, job_id: JobId, owner: InstanceId) -> None:
-        """Tell a job's owner that its head changed; it would find out itself in a second."""
+        """Notify a job's owner that its head has changed.
+
+        Without the notification the owner would notice within a second.
+        """
         self.send(JobChanged(job_id), [owner])
 
-    def send(self, text: PeerText, receivers: list[InstanceId]) -> None:
-        """Send a datagram to some peers; who is not known is left out."""
+    def send(self, text: PeerText, recipients: list[InstanceId]) -> None:
+        """Send a datagram to some peers; unknown ones are skipped."""
         data = encode_message(self._message(text))
         zones: list[AvailabilityZone | None] = []
-        for receiver in receivers:
-            heartbeat = self._membership.peers.get(receiver)
+        for recipient in recipients:
+            heartbeat = self._membership.peers.get(recipient)
             if heartbeat is None or self._datagrams is None:
                 continue
             zones.append(heartbeat.zone)
@@ -199,7 +204,7 @@
                 self._datagrams.sendto(data, (heartbeat.ip, heartbeat.peer_port))
             except OSError as error:
                 log.info(
-                    'peer.send_failed', extra={'peer': receiver, 'detail': type(error).__name__}
+                    'peer.send_failed', extra={'peer': recipient, 'detail': type(error).__name__}
                 )
         self._traffic.record_sent(text, len(data), zones)
 
@@ -207,15 +212,16 @@
         return PeerMessage(self._context.instance_id, self._replicated.config.table.version, text)
 
     def receive_pending(self) -> None:
-        """Take the datagrams that have come; called before a choice that rests on them."""
+        """Process the datagrams that have arrived, before a decision that depends on them."""
         if self._receiver is not None and self._batch_window_ms() > 0:
             self._receive_datagrams(self._receiver)
 
     def _run_datagrams(self) -> None:
-        """Take datagrams as they come, in a large fleet those of a while at once.
+        """Process datagrams as they arrive, or in a large fleet several at an interval.
 
-        A server of the library starts a greenlet for each one: 15.7 us of processor time in place
-        of 3.7 (10,000 datagrams in one process, the sending taken off), for hundreds a second.
+        gevent's ``DatagramServer`` starts a greenlet for each of the hundreds of datagrams that
+        arrive per second. That costs 15.7 us of processor time per datagram instead of 3.7 us (mean
+        of 10,000 datagrams within one process, without the cost of sending).
         """
         if self._receiver is None:
             return
@@ -229,7 +235,7 @@
                 gevent.sleep(0)
 
     def _receive_datagrams(self, receiver: socket.socket) -> int:
-        """Take what has come, a bounded number at once; tell how many."""
+        """Process datagrams that have arrived, at most ``DATAGRAMS_PER_TURN``; return the count."""
         for count in range(DATAGRAMS_PER_TURN):
             try:
                 data, address = receiver.recvfrom(DATAGRAM_LIMIT_BYTES)
@@ -260,10 +266,10 @@
             self._on_evidence(message.sender, text)
 
     def _exchange(self, ip: str, text: PeerText) -> PeerMessage:
-        """Ask a peer over a stream.
+        """Send a request to a peer over a stream, and return its response.
 
-        :raises BrokenReplyError: when it was not reached.
-        :raises OSError: when it may have been.
+        :raises BrokenReplyError: if the peer was not reached.
+        :raises OSError: if the peer may have received the request.
         """
         with connect(ip, self._port, CONNECT_TIMEOUT_MS) as sock:
             sock.settimeout(STREAM_TIMEOUT_S)
@@ -276,16 +282,16 @@
             sock.settimeout(STREAM_TIMEOUT_S)
             message = self._read_frame(sock)
             if isinstance(message.text, KnowledgeWanted):
-                known = self.store_state.answer(message.text, message.config_version)
-                self._write_frame(sock, address[0], known)
+                state = self.store_state.answer(message.text, message.config_version)
+                self._write_frame(sock, address[0], state)
             elif isinstance(message.text, ListTold):
-                offered = self.list_read_delegation.answer(message.text, message.config_version)
-                self._write_frame(sock, address[0], offered)
+                update = self.list_read_delegation.answer(message.text, message.config_version)
+                self._write_frame(sock, address[0], update)
             elif isinstance(message.text, StoreCallData):
                 call: StoreCall = decode_msgpack(message.text.data, StoreCall)  # type: ignore[arg-type]
                 answer = self._perform(call)
-                answered = StoreAnswerData(msgspec.msgpack.encode(answer))
-                self._write_frame(sock, address[0], answered)
+                data = StoreAnswerData(msgspec.msgpack.encode(answer))
+                self._write_frame(sock, address[0], data)
         except (OSError, ValueError) as error:
             log.info('peer.unreadable', extra={'ip': address[0], 'detail': str(error)[:200]})
         finally:
--- a/citrondyke/gateway/peers/relayed_table.py
+++ b/citrondyke/gateway/peers/relayed_table.py
@@ -1,4 +1,4 @@
-"""The store, by way of a peer where it does not answer this instance."""
+"""Access to the store that falls back to relaying calls through a peer."""
 
 from __future__ import annotations
 
@@ -42,26 +42,30 @@
 
 log = logbook.Logger(__name__)
 
-#: A direct call that has no answer after so long is tried by way of a peer too. The store answers
-#: within 10 ms, and callers with a job want to hear within 500 ms.
+#: A direct call without an answer for this long is also relayed by a peer. The store answers within
+#: 10 ms, and callers that submit a job expect a response within 500 ms.
 HEDGE_MS = 150.0
-#: ... or after this many times its usual time, so that a slow store is not asked twice for all.
+#: The delay is at least this multiple of the mean latency, so that a slow store doesn't get every
+#: call twice.
 HEDGE_FACTOR = 3.0
+#: Weight of a new sample in the exponential moving average of the latency.
 LATENCY_WEIGHT = 0.2
-#: After a direct call has failed, calls go to a peer first for so long.
+#: After a failed direct call, calls are relayed at once for this time, in parallel to the direct
+#: call.
 RELAY_FIRST_MS = 400.0
-#: A detour that begins within this time of the last one's end is the same trouble.
+#: A failure within this time after the end of the last relay period belongs to the same outage and
+#: isn't logged again.
 SAME_OUTAGE_MS = 3_000.0
 
 
 class TransactCall(msgspec.Struct, frozen=True, tag='transact'):
-    """A transaction."""
+    """Call that attempts a transaction."""
 
     transaction: PartTransaction
 
 
 class ReadCall(msgspec.Struct, frozen=True, tag='read'):
-    """A read of a part."""
+    """Call that reads rows of a partition."""
 
     table: str
     part: str
@@ -70,7 +74,7 @@
 
 
 class ListPartsCall(msgspec.Struct, frozen=True, tag='list_parts'):
-    """A list of parts."""
+    """Call that lists partitions."""
 
     table: str
     after: str
@@ -80,7 +84,7 @@
 
 
 class StoreAnswer(msgspec.Struct, frozen=True):
-    """An answer; one of them is there."""
+    """Result of a call; exactly one field is set."""
 
     committed: PartCommitted | None = None
     conflict: PartConflict | None = None
@@ -90,7 +94,7 @@
 
 
 def perform(table: PartitionedTable, call: StoreCall) -> StoreAnswer:
-    """Make a call at a table."""
+    """Make a call on a table, and return its result."""
     if isinstance(call, TransactCall):
         answer = table.transact(call.transaction)
         if isinstance(answer, PartCommitted):
@@ -110,12 +114,13 @@
 
 
 class RelayedTable(PartitionedTable):
-    """Tries the store itself, and a peer beside it where that stays without an answer.
+    """Calls the store directly, and hedges unanswered calls through a peer.
 
-    The store can turn one instance away, or be out of its reach, and serve the others. Callers
-    who hand a job to that instance would be refused or wait, and jobs that it owns would stand
-    still until they are taken over. A call may reach the store twice then; all transactions here
-    name the versions that they need, so that the second finds the first one's rows.
+    The store can reject or be unreachable for one instance while it serves the others. Without
+    relaying, that instance would reject or delay the jobs of its callers, and the jobs that it owns
+    would make no progress until they are taken over. A call may reach the store twice. That is safe
+    since all transactions have conditions on row versions, so the second attempt conflicts with the
+    rows that the first one wrote.
     """
 
     def __init__(
@@ -126,10 +131,11 @@
         store: Dependency,
         tasks: Tasks,
     ) -> None:
-        """Use both ways.
+        """Start with direct calls.
 
-        :param relay: makes a call by way of a peer.
-        :param store: told of direct calls and what becomes of them.
+        :param direct: the store itself.
+        :param relay: makes a call through a peer.
+        :param store: records direct calls and their results.
         """
         self._clock = clock
         self._direct = direct
@@ -141,30 +147,30 @@
 
     @property
     def usual_ms(self) -> float:
-        """Give the mean time of the direct calls that were answered."""
+        """Return the mean latency of answered direct calls."""
         return self._mean_latency_ms
 
     def transact(
         self, transaction: PartTransaction
     ) -> PartCommitted | PartConflict | PlatformFailure:
-        """Try a transaction, once."""
+        """Attempt a transaction once."""
         answer = self._call(TransactCall(transaction))
         return answer.committed or answer.conflict or _failure(answer)
 
     def read(
         self, table: str, part: str, from_key: str = '', limit: int = 500
     ) -> Listing | PlatformFailure:
-        """Read rows of a part from a key on."""
+        """Read rows of a partition, beginning at a key."""
         answer = self._call(ReadCall(table, part, from_key, limit))
         return answer.listing or _failure(answer)
 
     def list_parts(self, table: str, after: str = '') -> list[str] | PlatformFailure:
-        """List parts behind one."""
+        """List partitions after one."""
         answer = self._call(ListPartsCall(table, after))
         return _failure(answer) if answer.parts is None else answer.parts
 
     def follow(self, table: str, after_version: int, wait_ms: float) -> Feed | PlatformFailure:
-        """Wait for changes; feeds take the direct way only, what they miss is read."""
+        """Wait for changes, directly only; changes that a feed misses are found by reads."""
         return self._direct.follow(table, after_version, wait_ms)
 
     def _call(self, call: StoreCall) -> StoreAnswer:
@@ -174,7 +180,7 @@
         first = None
         if started_ms >= self._relay_until_ms:
             hedge_ms = max(HEDGE_MS, HEDGE_FACTOR * self._mean_latency_ms)
-            first = _next(answers, hedge_ms)
+            first = _wait_for_answer(answers, hedge_ms)
             if first is not None and not _should_relay(first):
                 return first
         self._tasks.spawn(self._run_relay, call, answers)
@@ -184,10 +190,10 @@
             if not _should_relay(answer):
                 return answer
             failures.append(answer)
-        in_doubt = any(each.failure is PlatformFailureReason.AMBIGUOUS for each in failures)
+        is_uncertain = any(each.failure is PlatformFailureReason.AMBIGUOUS for each in failures)
         return StoreAnswer(
             failure=PlatformFailureReason.AMBIGUOUS
-            if in_doubt
+            if is_uncertain
             else PlatformFailureReason.UNAVAILABLE
         )
 
@@ -213,12 +219,12 @@
     return answer.failure in (PlatformFailureReason.UNAVAILABLE, PlatformFailureReason.AMBIGUOUS)
 
 
-def _next(answers: Queue[StoreAnswer], timeout_ms: float) -> StoreAnswer | None:
+def _wait_for_answer(answers: Queue[StoreAnswer], timeout_ms: float) -> StoreAnswer | None:
     try:
-        found: StoreAnswer = answers.get(timeout=timeout_ms / 1e3)
+        answer: StoreAnswer = answers.get(timeout=timeout_ms / 1e3)
     except gevent.queue.Empty:
         return None
-    return found
+    return answer
 
 
 def _failure(answer: StoreAnswer) -> PlatformFailure:
--- a/citrondyke/gateway/peers/server_list_publisher.py
+++ b/citrondyke/gateway/peers/server_list_publisher.py
@@ -1,4 +1,4 @@
-"""The reader's side: tells its availability zone of the list of servers that it reads."""
+"""Publication of the server list, by a reader to the other instances of its zone."""
 
 from __future__ import annotations
 
@@ -29,18 +29,18 @@
 
 log = logbook.Logger(__name__)
 
-#: Three words are lost or late before a follower takes its reader for silent.
+#: Three messages must be lost or late before a follower counts its reader as unresponsive.
 PUBLISH_EVERY_MS = 300.0
-#: Changes that come within it are told together; pages of a whole read too.
+#: Changes within this time, such as the pages of a full read, are published in one message.
 COALESCE_MS = 60.0
-#: More is fetched over a stream: a datagram of many packets is lost with any of them.
+#: Larger updates are fetched over a stream: a datagram of many packets is lost if any of them is.
 DATAGRAM_LIMIT_BYTES = 8_192
-#: Encoded answers that are kept, as all of a zone ask for the same.
+#: Encoded answers that are cached, since all followers of a zone request the same updates.
 CACHED_ANSWERS = 6
 
 
 class ServerListPublisher:
-    """Silent unless this instance is a reader."""
+    """Publishes the server list while this instance is a reader, and answers followers."""
 
     def __init__(
         self,
@@ -51,10 +51,10 @@
         zone_peers: Callable[[], list[InstanceId]],
         tasks: Tasks,
     ) -> None:
-        """Start as no reader.
+        """Start without the role of a reader.
 
         :param send: sends a datagram to some peers.
-        :param audience: gives the other instances of the zone.
+        :param zone_peers: returns the other instances of the zone.
         """
         self._incarnation = f'{context.random.getrandbits(64):016x}'
         self._replicated = replicated
@@ -65,42 +65,42 @@
         self._follower: TableFollower | None = None
         self._config_follower: TableFollower | None = None
         self._is_reader = False
-        self._woken = Event()
-        #: Up to which number the zone was told.
+        self._wakeup = Event()
+        #: Number of the last change that was published to the zone.
         self._published_number = 0
         self._encoded_updates: OrderedDict[tuple[int, int, int], bytes] = OrderedDict()
 
     @property
     def is_reader(self) -> bool:
-        """Tell whether this instance reads for its zone."""
+        """Whether this instance reads the server list for its zone."""
         return self._is_reader
 
     def start(self, config_follower: TableFollower, follower: TableFollower) -> None:
-        """Begin to tell when it is this instance's turn.
+        """Start publishing whenever this instance is a reader.
 
-        :param config_follower: reads the configuration here.
-        :param follower: reads the list of servers here.
+        :param config_follower: follows the configuration on this instance.
+        :param follower: follows the server list on this instance.
         """
         self._config_follower = config_follower
         self._follower = follower
         self._tasks.supervise(self._run)
 
     def set_reader(self, *, is_reader: bool) -> None:
-        """Take in whether this instance is a reader."""
+        """Set whether this instance is a reader."""
         if is_reader == self._is_reader:
             return
         self._is_reader = is_reader
         followers = len(self._zone_peers())
         log.info('list.reader', extra={'is_reader': is_reader, 'followers': followers})
-        self._woken.set()
+        self._wakeup.set()
 
     def mark_changed(self) -> None:
-        """Have the zone told soon where the list has changed."""
+        """Publish the list soon if it has changed."""
         if self._is_reader and self._replicated.list_revision != self._published_number:
-            self._woken.set()
+            self._wakeup.set()
 
     def cursor(self) -> ServerListCursor:
-        """Give how far the list is known here."""
+        """Return how far this instance has read the list and the configuration."""
         follower, config = self._follower, self._config_follower
         if follower is None or config is None:
             return ServerListCursor(self._incarnation, 0)
@@ -116,24 +116,24 @@
             config.size_bytes,
         )
 
-    def answer(self, asked: ServerListCursor, config_version: ConfigVersion) -> ListOffered:
-        """Give what who asks lacks.
+    def answer(self, requested: ServerListCursor, config_version: ConfigVersion) -> ListOffered:
+        """Return the changes that a follower lacks.
 
-        :param asked: what it has heard of this instance.
-        :param config_version: that it has.
+        :param requested: the follower's cursor in the changes of this instance.
+        :param config_version: version of the follower's configuration.
         """
         number = self._replicated.list_revision
-        since = asked.number if asked.life == self._incarnation else -1
+        since = requested.number if requested.life == self._incarnation else -1
         has_config = self._replicated.config.table.version <= config_version
         key = (since, number, 0 if has_config else self._replicated.config.table.version)
-        kept = self._encoded_updates.get(key)
-        if kept is None:
-            kept = encode_update(self._build_update(since, with_config=not has_config))
-            self._encoded_updates[key] = kept
+        encoded = self._encoded_updates.get(key)
+        if encoded is None:
+            encoded = encode_update(self._build_update(since, with_config=not has_config))
+            self._encoded_updates[key] = encoded
             while len(self._encoded_updates) > CACHED_ANSWERS:
                 self._encoded_updates.popitem(last=False)
         self._metrics.counters['list_answers'] += 1
-        return ListOffered(kept, self.cursor())
+        return ListOffered(encoded, self.cursor())
 
     def _build_update(self, since: int, *, with_config: bool) -> ServerListUpdate:
         config = self._replicated.config
@@ -143,7 +143,7 @@
         if changes is None:
             changes, version = self._replicated.server_rows()
             since = 0
-            # A list that was not read whole says of no server that it is gone.
+            # Servers missing from a list that was not read completely may still exist.
             listing_version = version or None
         return ServerListUpdate(
             self._incarnation,
@@ -158,12 +158,12 @@
     def _run(self) -> None:
         while True:
             if not self._is_reader:
-                self._woken.clear()
-                self._woken.wait()
+                self._wakeup.clear()
+                self._wakeup.wait()
                 continue
-            if self._woken.wait(PUBLISH_EVERY_MS / 1e3):
+            if self._wakeup.wait(PUBLISH_EVERY_MS / 1e3):
                 gevent.sleep(COALESCE_MS / 1e3)
-            self._woken.clear()
+            self._wakeup.clear()
             if self._is_reader:
                 self._publish()
 
@@ -171,10 +171,10 @@
         zone_peers = self._zone_peers()
         number = self._replicated.list_revision
         if 0 < self._published_number < number and zone_peers:
-            offered = encode_update(self._build_update(self._published_number, with_config=False))
-            if len(offered) <= DATAGRAM_LIMIT_BYTES:
+            encoded = encode_update(self._build_update(self._published_number, with_config=False))
+            if len(encoded) <= DATAGRAM_LIMIT_BYTES:
                 self._published_number = number
-                self._send(ListOffered(offered, self.cursor()), zone_peers)
+                self._send(ListOffered(encoded, self.cursor()), zone_peers)
                 return
         self._published_number = number
         self._send(ListTold(self.cursor()), zone_peers)
--- a/citrondyke/gateway/peers/server_list_read_delegation.py
+++ b/citrondyke/gateway/peers/server_list_read_delegation.py
@@ -1,4 +1,4 @@
-"""Few instances of a zone read the list of servers for the others, where that pays."""
+"""Delegation of the reads of the server list to a few elected readers per zone."""
 
 from __future__ import annotations
 
@@ -36,54 +36,59 @@
 
 log = logbook.Logger(__name__)
 
-#: At its start an instance waits so long at most to learn of the others.
+#: A starting instance waits at most this long for the list of the instances.
 MEMBERS_TIMEOUT_MS = 250.0
-#: ... of which the read of the configuration waits no longer than this.
+#: The read of the configuration waits at most this long for the decision on a delay.
 DECISION_TIMEOUT_MS = 60.0
-#: ... and so long at least for what readers read that start at the same moment: their start takes
-#: some hundred ms, the read of the list as much again.
+#: Minimum time that a delayed first read waits for readers that start at the same moment: their
+#: start takes some hundred ms, and their read of the list as much again.
 FIRST_READ_DELAY_MS = 1_200.0
-#: Bytes a second that all instances together take from the store when nobody has read for them:
-#: a quarter of what its link carries. They begin at a time drawn from the span that this needs.
+#: Bytes per second that all instances together may read from the store if no reader has sent them
+#: the list: a quarter of the capacity of the store's link. Each instance starts at a random time
+#: within the duration that results from this rate.
 START_BYTES_PER_S = 125_000_000.0
 REQUEST_EVERY_MS = 200.0
-#: A machine without power answers nothing, not even a refusal; the second reader is asked then.
+#: After this time without an answer the second reader is queried too: a machine without power sends
+#: no response at all, not even a refused connection.
 NEXT_READER_AFTER_MS = 50.0
-#: A row takes twice the bytes of its value on the store's link.
+#: Bytes that a row takes on the store's link, relative to its value.
 WIRE_FACTOR = 2.0
-#: An instance is taken for gone after so long without a heartbeat, when readers are chosen.
+#: An instance without a heartbeat for this long isn't elected as a reader.
 READER_DEAD_AFTER_MS = 3_000.0
 
 
 class ServerListReadDelegation(ReadDelegation):
-    """Decides by itself whether this instance reads, tells, or listens."""
+    """Elects the readers of the zone, and lets this instance read and publish or subscribe.
+
+    Each instance runs the election itself, from the list of instances.
+    """
 
     def __init__(
         self,
         context: Context,
         membership: Membership,
-        live: InstanceLiveness,
+        liveness: InstanceLiveness,
         replicated: ReplicatedState,
         metrics: Metrics,
         send: Callable[[PeerText, list[InstanceId]], None],
         exchange: Callable[[str, PeerText], PeerMessage],
         tasks: Tasks,
     ) -> None:
-        """Start as one who reads for itself alone.
+        """Start without delegation: the instance reads the list itself and publishes nothing.
 
         :param send: sends a datagram to some peers.
-        :param exchange: asks the instance with an IP over a stream.
+        :param exchange: sends a request to the instance with an IP over a stream.
         """
         self._context = context
         self._membership = membership
-        self._liveness = live
+        self._liveness = liveness
         self._replicated = replicated
         self._tasks = tasks
         self._election = ReaderElection(context)
         self._follower: TableFollower | None = None
         self._config_follower: TableFollower | None = None
         self._decided = Event()
-        #: Whether the first read is left to the readers of the zone at this moment.
+        #: Whether the first read currently waits for the readers of the zone.
         self.is_first_read_delayed = False
         self.config_delegation = ConfigReadDelegation(
             self._wait_for_decision, self._is_config_awaited
@@ -101,10 +106,10 @@
             metrics.add_gauge(name, read)
 
     def start(self, config_follower: TableFollower, follower: TableFollower) -> None:
-        """Begin to tell and to listen.
+        """Start publishing and subscribing.
 
-        :param config_follower: reads the configuration here.
-        :param follower: reads the list of servers here.
+        :param config_follower: follows the configuration on this instance.
+        :param follower: follows the server list on this instance.
         """
         self._config_follower = config_follower
         self._follower = follower
@@ -113,44 +118,45 @@
 
     @property
     def is_delegated(self) -> bool:
-        """Tell whether a reader of the zone reads the list for this instance."""
+        """Whether a reader of the zone reads the list for this instance."""
         return self._subscriber.tracker.is_delegated and not self._publisher.is_reader
 
     @property
     def is_delegate_reader(self) -> bool:
-        """Tell whether this instance is a reader."""
+        """Whether this instance is a reader."""
         return self._publisher.is_reader
 
     def update_role(self) -> None:
-        """Judge anew whether this instance is a reader."""
+        """Run the election, and update the role of this instance."""
         self._publisher.set_reader(is_reader=self._context.instance_id in self._readers())
         self._subscriber.record_delegation_change()
         if self._follower is not None and self._replicated.has_servers:
             self._membership.list_bytes = self._list_bytes()
 
     def on_message(self, sender: InstanceId, ip: str, text: ListTold | ListOffered) -> None:
-        """Take in what a reader told; another reader's word is no news to one."""
+        """Apply a reader's message; a reader ignores it, since it reads the store itself."""
         if not self._publisher.is_reader:
             self._subscriber.on_message(sender, ip, text)
 
-    def answer(self, asked: ListTold, config_version: ConfigVersion) -> ListOffered:
-        """Give what who asks lacks."""
-        return self._publisher.answer(asked.position, config_version)
+    def answer(self, request: ListTold, config_version: ConfigVersion) -> ListOffered:
+        """Return the changes that a follower lacks."""
+        return self._publisher.answer(request.position, config_version)
 
     def delay_first_read(self) -> None:
-        """Leave the first read to the readers of the zone, for a bounded time.
+        """Wait for a bounded time for the readers of the zone to send the list.
 
-        After a loss of all, all instances would read the whole list within the same second, more
-        than the store's link carries, and each whose read is refused would begin anew.
+        After an outage of all instances, all of them would read the complete list within the same
+        second, which exceeds the capacity of the store's link, and instances whose read is rejected
+        would start it again.
         """
         list_bytes = self._delayed_list_bytes()
         self.is_first_read_delayed = list_bytes > 0
         self._decided.set()
         if not self.is_first_read_delayed:
             return
-        span_ms = list_bytes * WIRE_FACTOR * self._membership.count / START_BYTES_PER_S * 1e3
+        spread_ms = list_bytes * WIRE_FACTOR * self._membership.count / START_BYTES_PER_S * 1e3
         until_ms = (
-            self._context.now_ms() + FIRST_READ_DELAY_MS + self._context.random.random() * span_ms
+            self._context.now_ms() + FIRST_READ_DELAY_MS + self._context.random.random() * spread_ms
         )
         log.info('list.first_read_held', extra={'list_bytes': list_bytes})
         try:
@@ -164,7 +170,7 @@
             self.is_first_read_delayed = False
 
     def _delayed_list_bytes(self) -> int:
-        """Give the bytes of the list if its first read is left to readers; else 0."""
+        """Return the size of the list if its first read is left to readers, else 0."""
         if not self._membership.wait_known(MEMBERS_TIMEOUT_MS):
             return 0
         self.update_role()
@@ -185,33 +191,33 @@
         return self.is_first_read_delayed and config is not None and not config.has_read_all
 
     def _request_from_readers(self) -> None:
-        """Ask those who should be readers, until one is heard of."""
+        """Request the list from the elected readers in turn, until one answers."""
         if self._subscriber.tracker.has_reader and not self.is_delegated:
-            # Its next word says what is missing; what comes then is on its way.
+            # The next message of that reader triggers the request for the missing rows.
             return
         for reader in self._readers():
             heartbeat = self._membership.peers.get(reader)
             if heartbeat is None:
                 continue
-            asked = self._tasks.spawn(self._subscriber.request, reader, heartbeat.ip)
-            asked.join(NEXT_READER_AFTER_MS / 1e3)
-            if asked.value:
+            request = self._tasks.spawn(self._subscriber.request, reader, heartbeat.ip)
+            request.join(NEXT_READER_AFTER_MS / 1e3)
+            if request.value:
                 return
 
     def _readers(self) -> list[InstanceId]:
-        """Name the readers of the own zone; none where everybody reads."""
+        """Return the readers of the local zone; none if every instance reads for itself."""
         if not self._membership.is_known:
             return []
         if not self._election.is_worthwhile(self._list_bytes(), self._membership.count):
             return []
-        gone = set(
+        dead = set(
             self._liveness.unresponsive(READER_DEAD_AFTER_MS * self._liveness.timeout_factor)
         )
-        members = [each for each in self._zone_peers() if each not in gone]
+        members = [each for each in self._zone_peers() if each not in dead]
         return self._election.elect_readers([*members, self._context.instance_id])
 
     def _zone_peers(self) -> list[InstanceId]:
-        """List the other instances of the zone that can be told."""
+        """Return the other instances of the zone that support the published list."""
         return [
             instance_id
             for instance_id, heartbeat in self._membership.peers.items()
@@ -219,10 +225,11 @@
         ]
 
     def _list_bytes(self) -> int:
-        """Give the size of the list, by what the others say where it is not known here."""
+        """Return the size of the list, from the heartbeats of peers if it is not known here."""
         follower = self._follower
         if follower is not None:
-            # At the first start of a deployment the servers come one by one, after the whole read.
+            # In a new deployment the servers are registered one by one after the full read, which
+            # found an empty list.
             own_bytes = int(follower.row_bytes * self._replicated.servers_count)
             if own_bytes := max(own_bytes, follower.size_bytes):
                 return own_bytes
--- a/citrondyke/gateway/peers/server_list_subscriber.py
+++ b/citrondyke/gateway/peers/server_list_subscriber.py
@@ -1,4 +1,4 @@
-"""The followers' side: hears of the list of servers from the readers of its zone."""
+"""Subscription of a follower to the server list that the readers of its zone publish."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class ServerListSubscriber:
-    """Takes in what readers tell, and asks them for what is missing."""
+    """Applies the updates of readers, and requests missing rows from them."""
 
     def __init__(
         self,
@@ -41,9 +41,9 @@
         exchange: Callable[[str, PeerText], PeerMessage],
         tasks: Tasks,
     ) -> None:
-        """Start having heard nothing.
+        """Start without known readers.
 
-        :param exchange: asks the instance with an IP over a stream.
+        :param exchange: sends a request to the instance with an IP over a stream.
         """
         self.tracker = ReaderLeaseTracker(context)
         self._replicated = replicated
@@ -56,16 +56,16 @@
         self._was_delegated = False
 
     def start(self, config_follower: TableFollower, follower: TableFollower) -> None:
-        """Take in what is heard from now on.
+        """Set the followers that received updates are reported to.
 
-        :param config_follower: reads the configuration here.
-        :param follower: reads the list of servers where nobody else does.
+        :param config_follower: follows the configuration on this instance.
+        :param follower: follows the server list on this instance, unless reads are delegated.
         """
         self._config_follower = config_follower
         self._follower = follower
 
     def on_message(self, sender: InstanceId, ip: str, text: ListTold | ListOffered) -> None:
-        """Take in what a reader told."""
+        """Apply a reader's message, and request missing rows."""
         if isinstance(text, ListOffered):
             self._metrics.counters['list_bytes_from_peers'] += len(text.data)
             try:
@@ -73,49 +73,49 @@
             except UnreadableBytesError as error:
                 log.warning('list.unreadable', extra={'ip': ip, 'detail': error.message})
                 return
-        lack = self._record_cursor(sender, text.position)
-        if lack is not MissingRows.NOTHING and not self._is_requesting:
+        missing = self._record_cursor(sender, text.position)
+        if missing is not MissingRows.NOTHING and not self._is_requesting:
             self._is_requesting = True
             self._tasks.spawn(self.request, sender, ip)
 
     def request(self, reader: InstanceId, ip: str) -> bool:
-        """Ask a reader for what is missing; tell whether it answered."""
+        """Request missing rows from a reader; return whether it answered."""
         self._is_requesting = True
         self._metrics.counters['list_asks'] += 1
         try:
             message = self._exchange(ip, ListTold(self.tracker.cursor_of(reader)))
             if not isinstance(message.text, ListOffered):
                 return False
-            offered = message.text
-            self._metrics.counters['list_bytes_from_peers'] += len(offered.data)
-            offer = decode_update(offered.data)
+            answer = message.text
+            self._metrics.counters['list_bytes_from_peers'] += len(answer.data)
+            update = decode_update(answer.data)
         except (BrokenReplyError, UnreadableBytesError, OSError, ValueError) as error:
             self.tracker.record_failure(reader)
             log.info('list.reader_silent', extra={'ip': ip, 'detail': str(error)[:200]})
             return False
         finally:
             self._is_requesting = False
-        self._apply_update(message.sender, offer)
-        self._record_cursor(message.sender, offered.position)
+        self._apply_update(message.sender, update)
+        self._record_cursor(message.sender, answer.position)
         if message.config_version == self._replicated.config.table.version:
-            self._adopt_config(offered.position)
+            self._adopt_config(answer.position)
         log.info(
             'list.offer_taken',
             extra={
                 'reader': message.sender,
-                'since': offer.since,
-                'number': offer.number,
-                'rows': len(offer.rows),
-                'size_bytes': len(offered.data),
-                'is_everything': offer.is_everything,
-                'is_whole': offered.position.is_whole,
-                'config': None if offer.table is None else offer.table.version,
+                'since': update.since,
+                'number': update.number,
+                'rows': len(update.rows),
+                'size_bytes': len(answer.data),
+                'is_everything': update.is_everything,
+                'is_whole': answer.position.is_whole,
+                'config': None if update.table is None else update.table.version,
             },
         )
         return True
 
     def record_delegation_change(self) -> None:
-        """Log whether others read for this instance, where that has changed."""
+        """Log and count a change of whether reads of the list are delegated."""
         is_delegated = self.tracker.is_delegated
         if is_delegated == self._was_delegated:
             return
@@ -129,28 +129,28 @@
             extra={'reader': self.tracker.source, 'is_heard': self.tracker.has_reader},
         )
 
-    def _apply_update(self, reader: InstanceId, offer: ServerListUpdate) -> None:
-        if offer.table is not None:
-            self._replicated.apply_route_table(offer.table, f'reader {reader}')
-        whole_version = offer.listing_version
-        if offer.rows or whole_version is not None:
+    def _apply_update(self, reader: InstanceId, update: ServerListUpdate) -> None:
+        if update.table is not None:
+            self._replicated.apply_route_table(update.table, f'reader {reader}')
+        listing_version = update.listing_version
+        if update.rows or listing_version is not None:
             self._replicated.merge_servers(
-                offer.rows, whole_version or 0, is_whole=whole_version is not None
+                update.rows, listing_version or 0, is_whole=listing_version is not None
             )
-        self.tracker.record_changes(reader, offer.life, offer.since, offer.number)
+        self.tracker.record_changes(reader, update.life, update.since, update.number)
 
-    def _adopt_config(self, told: ServerListCursor) -> None:
-        """Spare the first read of the configuration: the reader's is in force here too."""
+    def _adopt_config(self, cursor: ServerListCursor) -> None:
+        """Mark the configuration as read, since the reader's version is in force here too."""
         config = self._config_follower
-        if config is not None and not config.has_read_all and told.config_store_version:
-            config.adopt(told.config_store_version, told.config_bytes)
+        if config is not None and not config.has_read_all and cursor.config_store_version:
+            config.adopt(cursor.config_store_version, cursor.config_bytes)
 
-    def _record_cursor(self, reader: InstanceId, told: ServerListCursor) -> MissingRows:
-        lack = self.tracker.record_cursor(reader, told, self._replicated.list_digest)
+    def _record_cursor(self, reader: InstanceId, cursor: ServerListCursor) -> MissingRows:
+        missing = self.tracker.record_cursor(reader, cursor, self._replicated.list_digest)
         if (
-            lack is MissingRows.NOTHING
+            missing is MissingRows.NOTHING
             and self.tracker.is_up_to_date(reader)
             and self._follower is not None
         ):
-            self._follower.adopt(told.store_version, told.size_bytes)
-        return lack
+            self._follower.adopt(cursor.store_version, cursor.size_bytes)
+        return missing
--- a/citrondyke/gateway/peers/store_state_exchange.py
+++ b/citrondyke/gateway/peers/store_state_exchange.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of the store while it does not answer all of them."""
+"""Exchange of replicated store contents between instances while the store is unreachable."""
 
 from __future__ import annotations
 
@@ -39,31 +39,35 @@
 
 log = logbook.Logger(__name__)
 
-#: While the store does not answer this instance, a peer is asked so often what it knows. In a
-#: large fleet all ask more rarely, as all call the store more rarely: an outage must not turn
-#: into traffic that grows with the square of the instances.
+#: Interval at which a peer's store state is requested while the store does not answer this
+#: instance. Like the interval of store calls it is longer in a large fleet, so that the traffic
+#: during an outage doesn't grow with the square of the number of instances.
 REQUEST_EVERY_MS = 400.0
-#: Whoever starts asks so soon: longer than the store takes for a configuration and one page of
-#: servers, while callers wait for the first instance that is back where the store is away.
+#: Delay of the first request of a starting instance: longer than the store takes for a
+#: configuration and one page of servers, but short, since callers wait for the first restarted
+#: instance if the store is down.
 FIRST_REQUEST_MS = 150.0
-#: The store counts as out of reach for that when its calls had no answer for so long.
+#: After this time without an answer to its calls the store counts as unresponsive.
 STORE_UNRESPONSIVE_MS = 700.0
-#: A peer with a newer configuration is asked for it after so long, if the store's feed has not
-#: brought it: it comes within 750 ms in the largest fleets, and thousands of routes are MB.
+#: A newer configuration is requested from a peer after this time if the store's feed has not
+#: delivered it. The feed takes up to 750 ms in the largest fleets, and a configuration of thousands
+#: of routes has a size of megabytes.
 STALE_AFTER_MS = 1_000.0
-#: A peer that heard from the store within this time knows which servers are gone.
+#: The server list of a peer that the store answered within this time is complete: servers missing
+#: from it no longer exist.
 COMPLETE_LIST_MS = 1_500.0
-#: Smaller answers are sent as they are: they take few packets in any case.
+#: Smaller answers are not compressed, since they take few packets anyway.
 COMPRESS_FROM_BYTES = 4_096
-#: Share of the questions that go to the own zone. All of a zone may be cut off from the store.
+#: Share of requests that go to the local zone. The others go to any zone, since the store may be
+#: unreachable from a whole zone.
 LOCAL_ZONE_SHARE = 0.7
 
 
 class StoreState(msgspec.Struct, frozen=True):
-    """What an instance knows from the store."""
+    """Contents of the store that an instance has replicated."""
 
-    #: As the operator wrote it, with the keys of accounts: only from instances of an earlier
-    #: version, during an upgrade.
+    #: The configuration as written by the operator, with the keys of accounts: only from instances
+    #: of an earlier version, during an upgrade.
     config: bytes
     #: Time since the store confirmed the configuration.
     config_age_ms: float
@@ -71,18 +75,18 @@
     servers_version: int
     #: Time since the store last answered.
     store_age_ms: float
-    #: Empty where the asking instance knows as many.
+    #: Empty if the requesting instance knows as many instances.
     peers: dict[InstanceId, Heartbeat]
-    #: Requests under which servers have ended.
+    #: Requests that were running on servers when they exited.
     suspects: list[SuspectRow] = []
-    #: The configuration, with digests of keys; ``None`` where the asking instance has it already.
+    #: The configuration, with digests of keys; ``None`` if the requesting instance has it already.
     table: RouteTable | None = None
-    #: The asking instance has the same list of servers, which is left out.
+    #: Whether ``servers`` is left out since the requesting instance has the same list.
     has_same_servers: bool = False
 
 
 class StoreStateExchange:
-    """Asks peers, and answers them."""
+    """Requests the store state of peers, and answers their requests."""
 
     def __init__(
         self,
@@ -97,12 +101,14 @@
         is_list_requested: Callable[[], bool],
         tasks: Tasks,
     ) -> None:
-        """Use the parts handed in.
-
-        :param seed_ips: gives instances to ask before any is known.
-        :param exchange: asks the instance with an IP over a stream.
-        :param pace: gives the factor by which calls are rarer than in a small fleet.
-        :param is_list_requested: tells whether readers of the zone are asked at this moment.
+        """Start without a pending request.
+
+        :param seed_ips: returns the addresses to query before any instance is known.
+        :param exchange: sends a request to the instance with an IP over a stream.
+        :param store_interval_factor: returns the factor by which the intervals between store calls
+            are longer than in a small fleet.
+        :param is_list_requested: returns whether the first read of the server list currently waits
+            for the readers of the zone.
         """
         self._context = context
         self._seed_ips = seed_ips
@@ -117,22 +123,22 @@
         self._is_requesting = False
 
     def start(self) -> None:
-        """Begin to ask when there is need."""
+        """Start requesting store state whenever the store does not answer."""
         self._tasks.supervise(self._run)
 
     def record_version(self, version: ConfigVersion, ip: str) -> None:
-        """Take in which configuration a peer has."""
+        """Record a peer's version of the configuration, and request it later if it is newer."""
         self._replicated.config.record_peer_version(version)
         if version > self._replicated.config.table.version and not self._is_requesting:
             self._is_requesting = True
             self._tasks.spawn(self._request_if_stale, version, ip)
 
-    def answer(self, wanted: KnowledgeWanted, asker_version: ConfigVersion) -> KnowledgeData:
-        """Tell what this instance knows beyond the asking one."""
+    def answer(self, wanted: KnowledgeWanted, requester_version: ConfigVersion) -> KnowledgeData:
+        """Return the store state that the requesting instance lacks."""
         rows, version = self._replicated.server_rows()
         config = self._replicated.config
         has_same = self._replicated.list_digest == wanted.list_digest != 0
-        is_newer = config.table.version > asker_version
+        is_newer = config.table.version > requester_version
         peers = {
             **self._membership.peers,
             self._context.instance_id: self._membership.own_heartbeat(),
@@ -154,15 +160,15 @@
         return KnowledgeData(data)
 
     def _run(self) -> None:
-        """Ask peers while the store does not answer, or before it first has."""
+        """Query peers while the store does not answer, or before it first has."""
         pause_ms = FIRST_REQUEST_MS
         while True:
             gevent.sleep(self._context.jittered_ms(pause_ms) / 1e3)
             pause_ms = REQUEST_EVERY_MS * (
                 self._store_interval_factor() if self._replicated.is_complete else 1.0
             )
-            is_silent = self._store.unanswered_ms >= STORE_UNRESPONSIVE_MS
-            if not is_silent and (self._replicated.is_complete or self._is_list_requested()):
+            is_unresponsive = self._store.unanswered_ms >= STORE_UNRESPONSIVE_MS
+            if not is_unresponsive and (self._replicated.is_complete or self._is_list_requested()):
                 continue
             candidates = self._candidates()
             if candidates and not self._is_requesting:
@@ -171,9 +177,9 @@
 
     def _candidates(self) -> list[str]:
         peers = self._membership.peers.values()
-        near = [heartbeat.ip for heartbeat in peers if heartbeat.zone == self._context.zone]
-        if near and self._context.random.random() < LOCAL_ZONE_SHARE:
-            return sorted(near)
+        local_zone = [heartbeat.ip for heartbeat in peers if heartbeat.zone == self._context.zone]
+        if local_zone and self._context.random.random() < LOCAL_ZONE_SHARE:
+            return sorted(local_zone)
         return sorted({*self._seed_ips(), *(heartbeat.ip for heartbeat in peers)})
 
     def _request_if_stale(self, version: ConfigVersion, ip: str) -> None:
--- a/citrondyke/gateway/peers/suspect_publisher.py
+++ b/citrondyke/gateway/peers/suspect_publisher.py
@@ -1,4 +1,4 @@
-"""Tells peers of requests under which servers end: few of one end, everybody of more."""
+"""Publication of poison suspects: of one exit to few peers, of more exits to all."""
 
 from __future__ import annotations
 
@@ -31,46 +31,48 @@
 
 
 class SuspectPublisher:
-    """Sends news of suspects, a bounded number of messages a second."""
+    """Publishes updates of poison suspects at a bounded rate of messages per second."""
 
     def __init__(self, context: Context, topology: PeerTopology, suspects: SuspectRegistry) -> None:
-        """Start with nothing to tell."""
+        """Start with nothing to publish."""
         self._topology = topology
         self._suspects = suspects
         self._queue = SuspectUpdateQueue(context)
         self._has_updates = Event()
 
     def start(self, tasks: Tasks, send: Callable[[PeerText, list[InstanceId]], None]) -> None:
-        """Begin to tell.
+        """Start publishing.
 
         :param send: sends a datagram to some peers.
         """
         tasks.supervise(lambda: self._run(send))
 
-    def is_known_to_all(self, content: RequestFingerprint) -> bool:
-        """Tell whether all instances are told of a suspect.
+    def is_published_to_all(self, content: RequestFingerprint) -> bool:
+        """Return whether updates of a suspect are published to all instances.
 
-        In a large fleet one end is told to those only who collect what is seen of it. Eight
-        requests are on a server that ends, nearly all of them innocent: told to 195 instances
-        three times over, and taken back after the next answer, they are 9,000 datagrams.
+        In a large fleet a single exit is published only to the suspect's registrars. A server that
+        exits runs eight requests, of which nearly all are innocent. Publishing them to 195
+        instances three times, and clearing them after the next success, would take 9,000 datagrams.
         """
-        is_grave = self._suspects.score(content) >= STORED_SCORE
-        return is_grave or not self._topology.is_zoned
+        is_significant = self._suspects.score(content) >= STORED_SCORE
+        return is_significant or not self._topology.is_zoned
 
     def notify_end(self, server: int, content: RequestFingerprint, *, is_fresh: bool) -> None:
-        """Have peers told of a server's end under a request."""
+        """Publish that a server exited while it ran a request."""
         kind = SuspectUpdateKind.FRESH if is_fresh else SuspectUpdateKind.BEGUN
-        self._add(server, SuspectNews(content, kind), is_broadcast=self.is_known_to_all(content))
+        self._add(
+            server, SuspectNews(content, kind), is_broadcast=self.is_published_to_all(content)
+        )
 
     def notify_survived(self, content: RequestFingerprint, *, is_broadcast: bool) -> None:
-        """Have peers told of a whole answer.
+        """Publish that a request ran to its end.
 
-        :param is_broadcast: whether all knew of the suspect before.
+        :param is_broadcast: whether the suspect was published to all instances before.
         """
         self._add(0, SuspectNews(content, SuspectUpdateKind.SURVIVED), is_broadcast=is_broadcast)
 
     def notify_all_ends(self, content: RequestFingerprint) -> None:
-        """Have everybody told all that is known of a suspect; each who collects does so once."""
+        """Publish all known exits of a suspect to all instances; each registrar does so once."""
         row = self._suspects.row(content)
         if row is None:
             return
@@ -81,28 +83,28 @@
         self._has_updates.set()
 
     def next_pause_ms(self) -> float | None:
-        """Give the time until something is to be told; ``None`` while there is nothing."""
+        """Return the time until the next update is due; ``None`` if there is none."""
         return self._queue.next_pause_ms()
 
     def take_due(self) -> list[tuple[CrashNews, list[InstanceId]]]:
-        """Give the messages that are due, each with who gets it."""
+        """Remove and return the messages that are due, each with its recipients."""
         message = self._queue.take_due()
         if message is None:
             return []
         if message.is_broadcast:
             return [(CrashNews(message.server, message.news), self._topology.all_peers())]
-        by_receiver: dict[InstanceId, list[SuspectNews]] = {}
-        for news in message.news:
-            for receiver in self._topology.registrars(news.content.digest):
-                by_receiver.setdefault(receiver, []).append(news)
+        by_recipient: dict[InstanceId, list[SuspectNews]] = {}
+        for update in message.news:
+            for recipient in self._topology.registrars(update.content.digest):
+                by_recipient.setdefault(recipient, []).append(update)
         return [
-            (CrashNews(message.server, found), [receiver])
-            for receiver, found in by_receiver.items()
+            (CrashNews(message.server, updates), [recipient])
+            for recipient, updates in by_recipient.items()
         ]
 
-    def _add(self, server: int, news: SuspectNews, *, is_broadcast: bool) -> None:
+    def _add(self, server: int, update: SuspectNews, *, is_broadcast: bool) -> None:
         self._queue.enqueue(
-            server, news, self._suspects.score(news.content), is_broadcast=is_broadcast
+            server, update, self._suspects.score(update.content), is_broadcast=is_broadcast
         )
         self._has_updates.set()
 
@@ -114,5 +116,5 @@
                 self._has_updates.wait()
                 continue
             gevent.sleep(pause_ms / 1e3)
-            for news, receivers in self.take_due():
-                send(news, receivers)
+            for message, recipients in self.take_due():
+                send(message, recipients)
--- a/citrondyke/gateway/servers/poison_request_guard.py
+++ b/citrondyke/gateway/servers/poison_request_guard.py
@@ -127,7 +127,7 @@
         if not self._may_be_suspect(lazy_fingerprint):
             return
         survivor = lazy_fingerprint.fingerprint
-        was_known = self.publisher.is_known_to_all(survivor)
+        was_known = self.publisher.is_published_to_all(survivor)
         if self._suspects.record_survived(survivor):
             self._log_cleared(survivor, 'own')
             self.publisher.notify_survived(survivor, is_broadcast=was_known)
@@ -200,7 +200,7 @@
                     self._log_cleared(each.content, 'peer')
                 continue
             is_fresh = each.kind is SuspectUpdateKind.FRESH
-            was_known = self.publisher.is_known_to_all(each.content)
+            was_known = self.publisher.is_published_to_all(each.content)
             if self._suspects.record_server_exit(each.content, news.server, is_fresh=is_fresh):
                 self._log_counted(each.content, news.server, 'peer', is_fresh=is_fresh)
                 self._publish_suspect(each.content, was_known=was_known)
@@ -233,7 +233,7 @@
 
     def _count_exits(self, server: int, broken: Iterable[InterruptedRequest]) -> None:
         for each in broken:
-            was_known = self.publisher.is_known_to_all(each.content)
+            was_known = self.publisher.is_published_to_all(each.content)
             if not self._suspects.record_server_exit(each.content, server, is_fresh=each.is_fresh):
                 continue
             self._log_counted(each.content, server, 'own', is_fresh=each.is_fresh)
@@ -243,7 +243,7 @@
 
     def _publish_suspect(self, fingerprint: RequestFingerprint, *, was_known: bool) -> None:
         """Publish a suspect to all peers if so far only its collecting instances knew of it."""
-        if not was_known and self.publisher.is_known_to_all(fingerprint):
+        if not was_known and self.publisher.is_published_to_all(fingerprint):
             self.publisher.notify_all_ends(fingerprint)
             self._store.save(fingerprint)
 
--- a/tests/test_gateway/test_peers/test_peers_limit_codec.py
+++ b/tests/test_gateway/test_peers/test_peers_limit_codec.py
@@ -55,5 +55,5 @@
 def test_copy_with_levels_that_are_no_numbers_is_unreadable(level: float) -> None:
     # Compared with such a level nothing is too much: an account would have no limit.
     copy = SlotCopy(7, 3, 11, 0.0, {TenantId('large'): level})
-    with pytest.raises(ValueError, match='no numbers'):
+    with pytest.raises(ValueError, match='finite numbers'):
         decode_message(sent(FloorsTold(3, copy)))
