--- a/citrondyke/backend/client.py
+++ b/citrondyke/backend/client.py
@@ -11,7 +11,7 @@
 from urllib3.exceptions import HTTPError
 
 from citrondyke.backend.request_body import engine_body
-from citrondyke.backend.sse import DONE_FRAME, FrameSplitter, frame_data
+from citrondyke.backend.sse import DONE_EVENT, SseSplitter, event_data
 from citrondyke.decisions.core.ops import ServerLoad
 from citrondyke.decisions.core.server_call import ReplyKind, ServerReply
 
@@ -21,7 +21,7 @@
     from urllib3.connection import HTTPConnection
     from urllib3.response import HTTPResponse
 
-    from citrondyke.backend.connections import Connections
+    from citrondyke.backend.connections import IdleConnections
     from citrondyke.decisions.core.server_call import ServerCall
     from citrondyke.ids import ServerId
     from citrondyke.util.clock import Clock
@@ -30,7 +30,7 @@
 
 CONNECT_TIMEOUT_MS = 1000.0
 READ_BYTES = 65_536
-REFUSED_STATUSES = frozenset({429, 503})
+REJECTED_STATUSES = frozenset({429, 503})
 EVENT_STREAM = 'text/event-stream'
 DROPPED_HEADERS = frozenset(
     {'connection', 'content-length', 'host', 'transfer-encoding', 'authorization', 'expect'}
@@ -42,7 +42,7 @@
 
     def __init__(
         self,
-        connections: Connections,
+        connections: IdleConnections,
         clock: Clock,
         address_of: Callable[[ServerId], tuple[str, int] | None],
         answer_limit_bytes: int,
@@ -63,7 +63,7 @@
         attempt = self.stream(call)
         while True:
             try:
-                frames.append(frame_data(next(attempt)))
+                frames.append(event_data(next(attempt)))
             except StopIteration as stop:
                 reply: ServerReply = stop.value
                 return msgspec.structs.replace(reply, frames=tuple(frames))
@@ -76,8 +76,8 @@
         address = self._address_of(call.server_id)
         if address is None:
             return ServerReply(kind=ReplyKind.UNREACHABLE)
-        attempt = _Attempt(self._clock, call, self._connections.take(call.server_id, *address))
-        call.cancel.subscribe(attempt.cut)
+        attempt = _Attempt(self._clock, call, self._connections.acquire(call.server_id, *address))
+        call.cancel.subscribe(attempt.abort)
         is_whole = False
         try:
             reply = attempt.send()
@@ -86,10 +86,10 @@
             is_whole = reply.kind in (ReplyKind.COMPLETE, ReplyKind.REFUSED)
             return reply
         finally:
-            call.cancel.unsubscribe(attempt.cut)
+            call.cancel.unsubscribe(attempt.abort)
             attempt.close()
             if is_whole and attempt.is_reusable:
-                self._connections.give_back(call.server_id, attempt.connection)
+                self._connections.release(call.server_id, attempt.connection)
             else:
                 attempt.connection.close()
 
@@ -98,7 +98,7 @@
         address = self._address_of(server_id)
         if address is None:
             return None
-        connection = self._connections.take(server_id, *address)
+        connection = self._connections.acquire(server_id, *address)
         connection.timeout = max(0.01, (until_ms - self._clock.now_ms()) / 1e3)
         try:
             connection.request('GET', '/load')
@@ -107,7 +107,7 @@
         except (HTTPError, OSError, msgspec.DecodeError):
             connection.close()
             return None
-        self._connections.give_back(server_id, connection)
+        self._connections.release(server_id, connection)
         return load
 
 
@@ -119,9 +119,9 @@
         self.is_reusable = False
         self._clock = clock
         self._call = call
-        self._began_ms = clock.now_ms()
-        self._first_ms: float | None = None
-        self._frames_count = 0
+        self._started_ms = clock.now_ms()
+        self._first_event_ms: float | None = None
+        self._events_count = 0
         self._timer: Any = None
 
     def close(self) -> None:
@@ -130,7 +130,7 @@
             self._timer.stop()
             self._timer.close()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Wake whoever reads, with the end of the connection."""
         sock = self.connection.sock
         if sock is None:
@@ -145,7 +145,7 @@
         if self._call.cancel.is_fired:
             return ServerReply(kind=ReplyKind.CANCELLED)
         if self.connection.sock is None:
-            self.connection.timeout = min(CONNECT_TIMEOUT_MS / 1e3, self._left_s())
+            self.connection.timeout = min(CONNECT_TIMEOUT_MS / 1e3, self._remaining_s())
             try:
                 self.connection.connect()
             except (HTTPError, OSError):
@@ -153,8 +153,8 @@
                 return ServerReply(kind=ReplyKind.UNREACHABLE)
         # One timer minds the deadline of the whole attempt. A limit on the socket would start a
         # timer for every read, and reading the head of an answer would set it anew.
-        self._timer = get_hub().loop.timer(self._left_s())
-        self._timer.start(self.cut)
+        self._timer = get_hub().loop.timer(self._remaining_s())
+        self._timer.start(self.abort)
         self.connection.timeout = None
         self.connection.sock.settimeout(None)
         try:
@@ -169,7 +169,7 @@
         except (HTTPError, OSError):
             # A kept connection can be closed at the other end while bytes are on the way: the
             # server may have all of them, so this is not "not run".
-            return self._failed()
+            return self._failure_reply()
         return None
 
     def read(self, limit_bytes: int) -> Generator[bytes, None, ServerReply]:
@@ -178,36 +178,36 @@
             response = self.connection.getresponse()
             status = response.status
             content_type = response.headers.get('Content-Type', '')
-            if self._call.refuses_by_status and status in REFUSED_STATUSES:
-                return self._refused(response)
+            if self._call.refuses_by_status and status in REJECTED_STATUSES:
+                return self._rejection_reply(response)
             if self._call.is_streamed and content_type.startswith(EVENT_STREAM):
-                return (yield from self._read_frames(response, content_type))
+                return (yield from self._read_events(response, content_type))
             return self._read_whole(response, content_type, limit_bytes)
         except (HTTPError, OSError):
-            return self._failed()
+            return self._failure_reply()
 
-    def _read_frames(
+    def _read_events(
         self, response: HTTPResponse, content_type: str
     ) -> Generator[bytes, None, ServerReply]:
-        splitter = FrameSplitter()
+        splitter = SseSplitter()
         on_frame = self._call.on_frame
         is_done = False
         for data in response.stream(READ_BYTES):
             for frame in splitter.feed(data):
-                if frame == DONE_FRAME:
+                if frame == DONE_EVENT:
                     is_done = True
                     continue
                 now_ms = self._clock.now_ms()
-                if self._first_ms is None:
-                    self._first_ms = now_ms - self._began_ms
+                if self._first_event_ms is None:
+                    self._first_event_ms = now_ms - self._started_ms
                 if on_frame is not None:
                     on_frame(now_ms)
-                self._frames_count += 1
+                self._events_count += 1
                 yield frame
         if not is_done:
             # A clean end without the closing mark is a cut all the same.
-            return self._failed()
-        self.is_reusable = _is_kept(response)
+            return self._failure_reply()
+        self.is_reusable = _is_keep_alive(response)
         return self._reply(ReplyKind.COMPLETE, response.status, content_type)
 
     def _read_whole(
@@ -215,19 +215,19 @@
     ) -> ServerReply:
         body = response.read(limit_bytes)
         if len(body) >= limit_bytes:
-            return self._failed()
-        self._first_ms = self._clock.now_ms() - self._began_ms
-        self.is_reusable = _is_kept(response)
+            return self._failure_reply()
+        self._first_event_ms = self._clock.now_ms() - self._started_ms
+        self.is_reusable = _is_keep_alive(response)
         return self._reply(ReplyKind.COMPLETE, response.status, content_type, body)
 
-    def _refused(self, response: HTTPResponse) -> ServerReply:
+    def _rejection_reply(self, response: HTTPResponse) -> ServerReply:
         retry_after = response.headers.get('Retry-After', '')
         response.read()
-        self.is_reusable = _is_kept(response)
+        self.is_reusable = _is_keep_alive(response)
         retry_in_ms = float(retry_after) * 1e3 if retry_after.isdigit() else None
         return ServerReply(kind=ReplyKind.REFUSED, status=response.status, retry_in_ms=retry_in_ms)
 
-    def _failed(self) -> ServerReply:
+    def _failure_reply(self) -> ServerReply:
         if self._call.cancel.is_fired:
             return self._reply(ReplyKind.CANCELLED)
         if self._clock.now_ms() >= self._call.deadline_ms:
@@ -242,8 +242,8 @@
             status=status,
             content_type=content_type,
             body=body,
-            frames_count=self._frames_count,
-            first_frame_ms=self._first_ms,
+            frames_count=self._events_count,
+            first_frame_ms=self._first_event_ms,
         )
 
     def _headers(self) -> dict[str, str]:
@@ -254,9 +254,9 @@
         headers['X-Request-Id'] = self._call.request_id
         return headers
 
-    def _left_s(self) -> float:
+    def _remaining_s(self) -> float:
         return max(0.001, (self._call.deadline_ms - self._clock.now_ms()) / 1e3)
 
 
-def _is_kept(response: HTTPResponse) -> bool:
+def _is_keep_alive(response: HTTPResponse) -> bool:
     return response.headers.get('Connection', '').lower() != 'close'
--- a/citrondyke/backend/connections.py
+++ b/citrondyke/backend/connections.py
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from citrondyke.ids import ServerId
 
-__all__ = ('Connections',)
+__all__ = ('IdleConnections',)
 
 
-class Connections:
+class IdleConnections:
     """Idle connections by server; the one used last is used first."""
 
     def __init__(self, idle_limit: int) -> None:
@@ -24,7 +24,7 @@
         self._idle_limit = idle_limit
         self._idle: dict[tuple[ServerId, str, int], list[HTTPConnection]] = {}
 
-    def take(self, server_id: ServerId, ip: str, port: int) -> HTTPConnection:
+    def acquire(self, server_id: ServerId, ip: str, port: int) -> HTTPConnection:
         """Give a connection that nothing is under way on; it may be a new, unopened one.
 
         An idle connection with something to read was closed by the server, or holds bytes of an
@@ -38,7 +38,7 @@
             connection.close()
         return HTTPConnection(ip, port)
 
-    def give_back(self, server_id: ServerId, connection: HTTPConnection) -> None:
+    def release(self, server_id: ServerId, connection: HTTPConnection) -> None:
         """Keep a connection whose last answer was read to its end."""
         key = (server_id, connection.host, connection.port or 0)
         idle = self._idle.setdefault(key, [])
--- a/citrondyke/cmd/citrondykectl.py
+++ b/citrondyke/cmd/citrondykectl.py
@@ -32,7 +32,7 @@
 from citrondyke.driver.virtual.replay import replay as run_trace
 from citrondyke.driver.virtual.trace import events_of_records, read_trace
 from citrondyke.driver.virtual.trace_outcome import TraceOutcome
-from citrondyke.entry.operator_shapes import StatusReport
+from citrondyke.entry.operator_schemas import StatusReport
 from citrondyke.operator.account_report import merge_states
 from citrondyke.operator.measures import MeasureReport
 
--- a/citrondyke/cmd/ctl/client.py
+++ b/citrondyke/cmd/ctl/client.py
@@ -12,7 +12,7 @@
 from citrondyke.cmd.ctl.options import Options
 from citrondyke.decisions.configuration.change import ConfigChange
 from citrondyke.decisions.configuration.configuration import ConfigSnapshot
-from citrondyke.entry.answers import ErrorBody
+from citrondyke.entry.responses import ErrorBody
 
 __all__ = ('OperatorClient',)
 
--- a/citrondyke/cmd/ctl/jobs.py
+++ b/citrondyke/cmd/ctl/jobs.py
@@ -10,7 +10,7 @@
 from citrondyke.cmd.ctl.client import OperatorClient
 from citrondyke.cmd.ctl.options import Options
 from citrondyke.cmd.ctl.show import show
-from citrondyke.entry.operator_shapes import JobSummary, JobView
+from citrondyke.entry.operator_schemas import JobSummary, JobView
 
 __all__ = ('jobs_app',)
 
--- a/citrondyke/cmd/ctl/tables.py
+++ b/citrondyke/cmd/ctl/tables.py
@@ -22,7 +22,7 @@
     entry_name,
 )
 from citrondyke.driver.virtual.trace_outcome import TraceOutcome
-from citrondyke.entry.operator_shapes import JobSummary, JobView, StatusReport
+from citrondyke.entry.operator_schemas import JobSummary, JobView, StatusReport
 from citrondyke.operator.histogram import HistogramData, SparseHistogram
 from citrondyke.operator.terminal import histogram_table
 
--- a/citrondyke/daemon.py
+++ b/citrondyke/daemon.py
@@ -10,12 +10,12 @@
 from gevent.event import Event
 
 from citrondyke.backend.client import BackendClient
-from citrondyke.backend.connections import Connections
+from citrondyke.backend.connections import IdleConnections
 from citrondyke.decisions.core.context import Context
 from citrondyke.decisions.instance import Instance
 from citrondyke.driver.gevent_driver import GeventDriver
 from citrondyke.entry.app import entry_app
-from citrondyke.entry.front import Front
+from citrondyke.entry.entry_context import EntryContext
 from citrondyke.entry.server import entry_server
 from citrondyke.ids import AvailabilityZone, InstanceId, ServerId
 from citrondyke.operator.measures import Measures
@@ -55,11 +55,13 @@
         )
         self._measures = Measures(settings.limits.tenant_histograms)
         self._driver = self._new_driver()
-        self._front = Front(settings, self.instance, self._driver, self._measures, self._clock)
+        self._entry_context = EntryContext(
+            settings, self.instance, self._driver, self._measures, self._clock
+        )
         self._server = entry_server(
             own.ip,
             own.http_port,
-            entry_app(self._front),
+            entry_app(self._entry_context),
             settings.limits.connections,
             _tls_arguments(settings),
         )
@@ -118,7 +120,7 @@
         platform = self._settings.platform
         limits = self._settings.limits
         backend = BackendClient(
-            Connections(limits.idle_connections),
+            IdleConnections(limits.idle_connections),
             self._clock,
             self._address_of,
             limits.answer_bytes,
@@ -139,7 +141,7 @@
 
     def _gauges(self) -> dict[str, float]:
         return {
-            'open_calls': self._front.open_calls,
+            'open_calls': self._entry_context.open_calls,
             'open_connections': self._server.open_connections,
             'refused_connections': self._server.refused_connections,
             'held_segments': self.instance.worker.held_count,
--- a/citrondyke/entry/app.py
+++ b/citrondyke/entry/app.py
@@ -6,29 +6,29 @@
 
 import bottle
 
-from citrondyke.entry.answers import answer_error, error_plugin, json_answer
 from citrondyke.entry.jobs_endpoint import JobsEndpoint
 from citrondyke.entry.online_endpoint import OnlineEndpoint
 from citrondyke.entry.operator_endpoint import OperatorEndpoint
+from citrondyke.entry.responses import error_plugin, error_response, json_response
 from citrondyke.errors import CitrondykeError, NotFoundError, RunState
 
 if TYPE_CHECKING:
-    from citrondyke.entry.front import Front
+    from citrondyke.entry.entry_context import EntryContext
 
 __all__ = ('entry_app',)
 
 ALL_METHODS = ['GET', 'POST', 'PUT', 'PATCH', 'DELETE']
 
 
-def entry_app(front: Front) -> bottle.Bottle:
+def entry_app(context: EntryContext) -> bottle.Bottle:
     """Make the application."""
     app = bottle.Bottle()
     app.install(error_plugin)
     app.default_error_handler = _default_error
-    _add_online(app, OnlineEndpoint(front))
-    _add_jobs(app, JobsEndpoint(front))
-    _add_operator(app, OperatorEndpoint(front))
-    _add_health(app, front)
+    _add_online(app, OnlineEndpoint(context))
+    _add_jobs(app, JobsEndpoint(context))
+    _add_operator(app, OperatorEndpoint(context))
+    _add_health(app, context)
     return app
 
 
@@ -63,17 +63,17 @@
     app.post('/operator/v1/jobs/<job_id>/cancel', callback=door.cancel_job)
 
 
-def _add_health(app: bottle.Bottle, front: Front) -> None:
+def _add_health(app: bottle.Bottle, context: EntryContext) -> None:
     def live() -> bytes:
-        return json_answer({'state': 'live'})
+        return json_response({'state': 'live'})
 
     def ready() -> bytes:
         """Tell the balancer whether to send calls here."""
-        if front.instance.members.is_leaving:
-            return json_answer({'state': 'leaving'}, 503)
-        if not front.instance.is_ready:
-            return json_answer({'state': 'starting'}, 503)
-        return json_answer({'state': 'ready'})
+        if context.instance.members.is_leaving:
+            return json_response({'state': 'leaving'}, 503)
+        if not context.instance.is_ready:
+            return json_response({'state': 'starting'}, 503)
+        return json_response({'state': 'ready'})
 
     app.get('/health/live', callback=live)
     app.get('/health/ready', callback=ready)
@@ -82,5 +82,5 @@
 def _default_error(error: Any) -> bytes:
     """Answer what bottle itself refuses in the same shape as all else."""
     if error.status_code in (404, 405):
-        return answer_error(NotFoundError('there is nothing at this path and method'))
-    return answer_error(CitrondykeError('internal error', run=RunState.UNKNOWN))
+        return error_response(NotFoundError('there is nothing at this path and method'))
+    return error_response(CitrondykeError('internal error', run=RunState.UNKNOWN))
--- a/citrondyke/entry/deadline.py
+++ b/citrondyke/entry/deadline.py
@@ -7,13 +7,13 @@
 from citrondyke.errors import InvalidFieldError
 from citrondyke.util.clock import Clock
 
-__all__ = ('deadline_of_request',)
+__all__ = ('request_deadline_ms',)
 
 EPOCH_HEADER = 'Citrondyke-Deadline-Epoch-Ms'
 WITHIN_HEADER = 'Citrondyke-Within-Ms'
 
 
-def deadline_of_request(clock: Clock, default_within_ms: float) -> float:
+def request_deadline_ms(clock: Clock, default_within_ms: float) -> float:
     """Give the monotonic time after which the answer is of no use.
 
     A wall-clock deadline is turned into a monotonic one here, once.
@@ -24,14 +24,14 @@
     within_ms = default_within_ms
     stated = bottle.request.headers.get(EPOCH_HEADER)
     if stated is not None:
-        within_ms = _number(EPOCH_HEADER, stated) - clock.epoch_ms()
+        within_ms = _parse_ms(EPOCH_HEADER, stated) - clock.epoch_ms()
     stated = bottle.request.headers.get(WITHIN_HEADER)
     if stated is not None:
-        within_ms = _number(WITHIN_HEADER, stated)
+        within_ms = _parse_ms(WITHIN_HEADER, stated)
     return clock.now_ms() + min(within_ms, default_within_ms)
 
 
-def _number(name: str, text: str) -> float:
+def _parse_ms(name: str, text: str) -> float:
     try:
         value = float(text)
     except ValueError as error:
--- a/citrondyke/entry/front.py
+++ b/citrondyke/entry/entry_context.py
@@ -24,13 +24,13 @@
     from citrondyke.settings.model import DaemonSettings
     from citrondyke.util.clock import Clock
 
-__all__ = ('Front',)
+__all__ = ('EntryContext',)
 
 BEARER = 'Bearer '
 STARTING_RETRY_MS = 1000.0
 
 
-class Front:
+class EntryContext:
     """The instance behind the doors, and who may pass them."""
 
     def __init__(
@@ -51,7 +51,7 @@
         self.open_calls = 0
         self.uploads = BoundedSemaphore(settings.limits.uploads)
 
-    def tenant(self, authorization: str | None) -> TenantEntry:
+    def authenticate_tenant(self, authorization: str | None) -> TenantEntry:
         """Find whose key a request carries.
 
         :raises InstanceStartingError: before the configuration was read.
@@ -63,7 +63,7 @@
             raise UnauthorizedError
         return found
 
-    def operator(self, authorization: str | None) -> str:
+    def authenticate_operator(self, authorization: str | None) -> str:
         """Find which operator's key a request carries, and give the operator's id.
 
         :raises InstanceStartingError: before the configuration was read.
@@ -74,7 +74,7 @@
         found: OperatorEntry | None = self.instance.config_replica.current.operator_of_key(key)
         if found is not None:
             return found.id
-        if _is_bootstrap(key, self.settings.operators.bootstrap_key_sha256):
+        if _is_bootstrap_key(key, self.settings.operators.bootstrap_key_sha256):
             return 'bootstrap'
         raise UnauthorizedError
 
@@ -86,7 +86,7 @@
         if not self.instance.is_ready:
             raise InstanceStartingError(retry_in_ms=STARTING_RETRY_MS)
 
-    def class_of(self, name: str | None, default: ClassName, kind: ClassKind) -> ClassEntry:
+    def find_class(self, name: str | None, default: ClassName, kind: ClassKind) -> ClassEntry:
         """Find the class that a request names, or its tenant's own.
 
         :raises UnknownClassError: when there is none of that kind.
@@ -104,5 +104,5 @@
     return authorization[len(BEARER) :].strip()
 
 
-def _is_bootstrap(key: str, digest: str) -> bool:
+def _is_bootstrap_key(key: str, digest: str) -> bool:
     return bool(digest) and hmac.compare_digest(key_hash(key), digest)
--- a/citrondyke/entry/job_shapes.py
+++ b/citrondyke/entry/job_schemas.py
@@ -16,11 +16,11 @@
 
 __all__ = (
     'BatchRequest',
-    'batch_shape',
+    'batch_fields',
     'error_file_id',
-    'file_shape',
-    'job_of_file',
+    'file_fields',
     'output_file_id',
+    'parse_result_file_id',
 )
 
 OUTPUT_PREFIX = 'file-out-'
@@ -55,7 +55,7 @@
     return ERROR_PREFIX + job_id
 
 
-def job_of_file(file_id: str) -> tuple[str, bool] | None:
+def parse_result_file_id(file_id: str) -> tuple[str, bool] | None:
     """Find which job's file a name stands for, and whether it is the one of failures."""
     if file_id.startswith(OUTPUT_PREFIX):
         return file_id[len(OUTPUT_PREFIX) :], False
@@ -64,7 +64,7 @@
     return None
 
 
-def file_shape(file_id: str, row: FileRow) -> dict[str, Any]:
+def file_fields(file_id: str, row: FileRow) -> dict[str, Any]:
     """Write a file down."""
     return {
         'id': file_id,
@@ -77,7 +77,7 @@
     }
 
 
-def batch_shape(job: AcceptedJob, counts: JobCounts) -> dict[str, Any]:
+def batch_fields(job: AcceptedJob, counts: JobCounts) -> dict[str, Any]:
     """Write a job down, with its class's deadline beside the published fields."""
     row = job.row
     is_final = row.state.is_final
--- a/citrondyke/entry/jobs_endpoint.py
+++ b/citrondyke/entry/jobs_endpoint.py
@@ -18,10 +18,15 @@
 )
 from citrondyke.decisions.jobs.rows import FileRow, job_index_prefix
 from citrondyke.decisions.jobs.sweeper import JobCounts
-from citrondyke.entry.answers import json_answer
 from citrondyke.entry.bodies import decode_body, read_body
-from citrondyke.entry.job_shapes import BatchRequest, batch_shape, file_shape, job_of_file
+from citrondyke.entry.job_schemas import (
+    BatchRequest,
+    batch_fields,
+    file_fields,
+    parse_result_file_id,
+)
 from citrondyke.entry.online_endpoint import CLASS_HEADER, KEY_HEADER
+from citrondyke.entry.responses import json_response
 from citrondyke.entry.results import input_lines, result_lines
 from citrondyke.entry.upload import Upload
 from citrondyke.errors import (
@@ -40,9 +45,9 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.configuration.entries import TenantEntry
     from citrondyke.decisions.jobs.job_request import JobResult
-    from citrondyke.entry.front import Front
+    from citrondyke.entry.entry_context import EntryContext
 
-__all__ = ('JobsEndpoint', 'error_of_job')
+__all__ = ('JobsEndpoint', 'error_for_job_rejection')
 
 WINDOWS = ('24h',)
 PLATFORM_RETRY_MS = 2000.0
@@ -50,7 +55,7 @@
 LIST_LIMIT = 100
 
 
-def error_of_job(refusal: JobRejection) -> CitrondykeError:
+def error_for_job_rejection(refusal: JobRejection) -> CitrondykeError:
     """Give the failure of a job or file that was refused or not found."""
     match refusal.reason:
         case JobRejectionReason.NO_FILE:
@@ -76,49 +81,49 @@
 class JobsEndpoint:
     """Answers calls about files and jobs."""
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, context: EntryContext) -> None:
         """Use the instance behind ``front``."""
-        self._front = front
+        self._context = context
 
     def upload(self) -> bytes:
         """Answer ``POST /v1/files``."""
-        tenant = self._tenant()
-        if not self._front.uploads.acquire(blocking=False):
+        tenant = self._authenticate()
+        if not self._context.uploads.acquire(blocking=False):
             raise OverloadedError('too many job files arrive', retry_in_ms=UPLOAD_RETRY_MS)
         try:
-            upload = Upload(self._front)
+            upload = Upload(self._context)
             summary = upload.receive()
         finally:
-            self._front.uploads.release()
-        recorded = self._front.driver.run(
-            self._front.instance.acceptance.record_file(
+            self._context.uploads.release()
+        recorded = self._context.driver.run(
+            self._context.instance.acceptance.record_file(
                 tenant.id, upload.upload_id, upload.filename, summary
             )
         )
         if isinstance(recorded, JobRejection):
-            raise error_of_job(recorded)
-        return json_answer(file_shape(*recorded))
+            raise error_for_job_rejection(recorded)
+        return json_response(file_fields(*recorded))
 
     def files(self) -> bytes:
         """Answer ``GET /v1/files``."""
-        tenant = self._tenant()
+        tenant = self._authenticate()
         prefix = f'file/{tenant.id}/'
-        rows = self._front.driver.run(scan_rows(prefix, '', LIST_LIMIT))
+        rows = self._context.driver.run(scan_rows(prefix, '', LIST_LIMIT))
         if isinstance(rows, PlatformFailure):
             raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
         data = [
-            file_shape(row.key[len(prefix) :], msgspec.json.decode(row.value, type=FileRow))
+            file_fields(row.key[len(prefix) :], msgspec.json.decode(row.value, type=FileRow))
             for row in rows
         ]
-        return json_answer({'object': 'list', 'data': data, 'has_more': len(rows) == LIST_LIMIT})
+        return json_response({'object': 'list', 'data': data, 'has_more': len(rows) == LIST_LIMIT})
 
     def file(self, file_id: str) -> bytes:
         """Answer ``GET /v1/files/<id>``."""
-        tenant = self._tenant()
-        result_of = job_of_file(file_id)
+        tenant = self._authenticate()
+        result_of = parse_result_file_id(file_id)
         if result_of is not None:
             job = self._job(tenant, result_of[0])
-            return json_answer(
+            return json_response(
                 {
                     'id': file_id,
                     'object': 'file',
@@ -129,36 +134,36 @@
                     'status': 'processed',
                 }
             )
-        return json_answer(file_shape(file_id, self._file(tenant, file_id)))
+        return json_response(file_fields(file_id, self._file(tenant, file_id)))
 
     def content(self, file_id: str) -> Any:
         """Answer ``GET /v1/files/<id>/content``."""
-        tenant = self._tenant()
+        tenant = self._authenticate()
         bottle.response.content_type = 'application/jsonl'
-        result_of = job_of_file(file_id)
+        result_of = parse_result_file_id(file_id)
         if result_of is None:
-            return _after_first(input_lines(self._front, self._file(tenant, file_id)))
+            return _after_first(input_lines(self._context, self._file(tenant, file_id)))
         job = self._job(tenant, result_of[0])
-        parts = self._front.driver.run(self._front.instance.sweeper.parts(job.job_id))
+        parts = self._context.driver.run(self._context.instance.sweeper.parts(job.job_id))
         if parts is None:
             raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
-        lines = result_lines(self._front, job, parts, is_error=result_of[1])
+        lines = result_lines(self._context, job, parts, is_error=result_of[1])
         return _after_first(lines)
 
     def create(self) -> bytes:
         """Answer ``POST /v1/batches``."""
-        tenant = self._tenant()
-        limits = self._front.settings.limits
+        tenant = self._authenticate()
+        limits = self._context.settings.limits
         body = read_body(limits.body_bytes, limits.body_within_ms)
         wish = decode_body(body, BatchRequest)
         if wish.completion_window not in WINDOWS:
             raise InvalidFieldError(f'completion_window is one of {", ".join(WINDOWS)}')
         headers = bottle.request.headers
-        wanted = self._front.class_of(
+        wanted = self._context.find_class(
             headers.get(CLASS_HEADER), tenant.batch_class, ClassKind.BATCH
         )
-        accepted = self._front.driver.run(
-            self._front.instance.acceptance.accept(
+        accepted = self._context.driver.run(
+            self._context.instance.acceptance.accept(
                 JobRequest(
                     tenant_id=tenant.id,
                     file_id=wish.input_file_id,
@@ -174,58 +179,60 @@
 
     def batches(self) -> bytes:
         """Answer ``GET /v1/batches``."""
-        tenant = self._tenant()
+        tenant = self._authenticate()
         prefix = job_index_prefix(tenant.id)
-        rows = self._front.driver.run(scan_rows(prefix, '', LIST_LIMIT))
+        rows = self._context.driver.run(scan_rows(prefix, '', LIST_LIMIT))
         if isinstance(rows, PlatformFailure):
             raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
         data = []
         for row in rows:
             job = self._job(tenant, row.key.rsplit('/', 1)[1])
-            data.append(batch_shape(job, self._counts(job)))
-        return json_answer({'object': 'list', 'data': data, 'has_more': len(rows) == LIST_LIMIT})
+            data.append(batch_fields(job, self._counts(job)))
+        return json_response({'object': 'list', 'data': data, 'has_more': len(rows) == LIST_LIMIT})
 
     def batch(self, job_id: str) -> bytes:
         """Answer ``GET /v1/batches/<id>``."""
-        return self._answer(self._job(self._tenant(), job_id))
+        return self._answer(self._job(self._authenticate(), job_id))
 
     def cancel(self, job_id: str) -> bytes:
         """Answer ``POST /v1/batches/<id>/cancel``."""
-        tenant = self._tenant()
-        result = self._front.driver.run(self._front.instance.cancel_job(tenant.id, JobId(job_id)))
+        tenant = self._authenticate()
+        result = self._context.driver.run(
+            self._context.instance.cancel_job(tenant.id, JobId(job_id))
+        )
         return self._answer(result)
 
-    def _tenant(self) -> TenantEntry:
-        return self._front.tenant(bottle.request.headers.get('Authorization'))
+    def _authenticate(self) -> TenantEntry:
+        return self._context.authenticate_tenant(bottle.request.headers.get('Authorization'))
 
     def _file(self, tenant: TenantEntry, file_id: str) -> FileRow:
-        found = self._front.driver.run(
-            self._front.instance.acceptance.find_file(tenant.id, file_id)
+        found = self._context.driver.run(
+            self._context.instance.acceptance.find_file(tenant.id, file_id)
         )
         if isinstance(found, JobRejection):
-            raise error_of_job(found)
+            raise error_for_job_rejection(found)
         return found
 
     def _job(self, tenant: TenantEntry, job_id: str) -> AcceptedJob:
-        found = self._front.driver.run(
-            self._front.instance.acceptance.find_job(tenant.id, JobId(job_id))
+        found = self._context.driver.run(
+            self._context.instance.acceptance.find_job(tenant.id, JobId(job_id))
         )
         if isinstance(found, JobRejection):
-            raise error_of_job(found)
+            raise error_for_job_rejection(found)
         return found
 
     def _counts(self, job: AcceptedJob) -> JobCounts:
         if job.row.state.is_final:
             return JobCounts(job.row.succeeded_count, job.row.failed_count)
-        counts = self._front.driver.run(self._front.instance.sweeper.count(job.job_id))
+        counts = self._context.driver.run(self._context.instance.sweeper.count(job.job_id))
         if counts is None:
             raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
         return counts
 
     def _answer(self, result: JobResult) -> bytes:
         if isinstance(result, JobRejection):
-            raise error_of_job(result)
-        return json_answer(batch_shape(result, self._counts(result)))
+            raise error_for_job_rejection(result)
+        return json_response(batch_fields(result, self._counts(result)))
 
 
 def _after_first(parts: Iterator[bytes]) -> Iterator[bytes]:
--- a/citrondyke/entry/online_endpoint.py
+++ b/citrondyke/entry/online_endpoint.py
@@ -9,17 +9,17 @@
 import bottle
 import msgspec
 
-from citrondyke.backend.sse import DONE_FRAME
+from citrondyke.backend.sse import DONE_EVENT
 from citrondyke.decisions.at_most_once.once_result import OnceResultKind
 from citrondyke.decisions.configuration.entries import ClassKind, TenantEntry
 from citrondyke.decisions.core.signal import Signal
 from citrondyke.decisions.online.request import OnlineRequest, OnlineResult, OnlineResultKind
 from citrondyke.decisions.steward import SERVICE_PREFIX
-from citrondyke.entry.answers import answer_error, error_body, json_answer
 from citrondyke.entry.bodies import decode_body, read_body
-from citrondyke.entry.deadline import deadline_of_request
-from citrondyke.entry.online_errors import error_of_end, error_of_once
-from citrondyke.entry.visit import Visit
+from citrondyke.entry.deadline import request_deadline_ms
+from citrondyke.entry.online_errors import error_for_once_result, error_for_result
+from citrondyke.entry.request_recorder import RequestRecorder
+from citrondyke.entry.responses import error_body, error_response, json_response
 from citrondyke.errors import (
     CitrondykeError,
     InvalidFieldError,
@@ -31,7 +31,7 @@
 
 if TYPE_CHECKING:
     from citrondyke.decisions.at_most_once.intent_row import StoredReply
-    from citrondyke.entry.front import Front
+    from citrondyke.entry.entry_context import EntryContext
 
 __all__ = ('OnlineEndpoint',)
 
@@ -47,7 +47,7 @@
 PASSED_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
 
 
-class _Fields(msgspec.Struct):
+class _GenerationFields(msgspec.Struct):
     """The fields of a request that the instance reads; all go to the engine as they are."""
 
     model: str
@@ -60,9 +60,9 @@
 class OnlineEndpoint:
     """Answers online calls."""
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, context: EntryContext) -> None:
         """Use the instance behind ``front``."""
-        self._front = front
+        self._context = context
 
     def chat(self) -> Any:
         """Answer ``POST /v1/chat/completions``."""
@@ -74,54 +74,61 @@
 
     def models(self) -> bytes:
         """Answer ``GET /v1/models``."""
-        self._front.tenant(bottle.request.headers.get('Authorization'))
+        self._context.authenticate_tenant(bottle.request.headers.get('Authorization'))
         names = [
             target
-            for target in self._front.instance.fleet.targets()
+            for target in self._context.instance.fleet.targets()
             if not target.startswith(SERVICE_PREFIX)
         ]
         models = [
             {'id': name, 'object': 'model', 'created': 0, 'owned_by': 'citrondyke'}
             for name in names
         ]
-        return json_answer({'object': 'list', 'data': models})
+        return json_response({'object': 'list', 'data': models})
 
     def service(self, service: str, path: str) -> Any:
         """Answer any method on ``/services/<service>/<path>``."""
-        tenant = self._front.tenant(bottle.request.headers.get('Authorization'))
-        body = self._read()
-        entry = self._front.instance.config_replica.current.service_entry(service)
+        tenant = self._context.authenticate_tenant(bottle.request.headers.get('Authorization'))
+        body = self._read_body()
+        entry = self._context.instance.config_replica.current.service_entry(service)
         target = TargetName(SERVICE_PREFIX + service)
-        if entry is None or self._front.instance.fleet.target(target) is None:
+        if entry is None or self._context.instance.fleet.target(target) is None:
             raise UnknownServiceError(f'there is no service {service!r}')
         query = bottle.request.query_string
         full_path = f'/{path}?{query}' if query else f'/{path}'
-        request = self._request(tenant, target, full_path, body, is_streamed=False, bucket=None)
+        request = self._build_request(
+            tenant, target, full_path, body, is_streamed=False, bucket=None
+        )
         return self._serve(request)
 
     def _generate(self, path: str, prompt_field: str) -> Any:
-        tenant = self._front.tenant(bottle.request.headers.get('Authorization'))
-        body = self._read()
-        fields = decode_body(body, _Fields)
+        tenant = self._context.authenticate_tenant(bottle.request.headers.get('Authorization'))
+        body = self._read_body()
+        fields = decode_body(body, _GenerationFields)
         prompt = fields.messages if prompt_field == 'messages' else fields.prompt
         if not bytes(prompt):
             raise InvalidFieldError(f'{prompt_field} is missing')
         if fields.n != 1:
             raise InvalidFieldError('n may only be 1: an answer must be resumable')
         target = TargetName(fields.model)
-        is_served = self._front.instance.fleet.target(target) is not None
+        is_served = self._context.instance.fleet.target(target) is not None
         if not is_served or target.startswith(SERVICE_PREFIX):
             raise UnknownModelError(f'no backend server serves {fields.model!r}')
-        request = self._request(
-            tenant, target, path, body, is_streamed=fields.stream, bucket=_bucket(bytes(prompt))
+        request = self._build_request(
+            tenant,
+            target,
+            path,
+            body,
+            is_streamed=fields.stream,
+            bucket=_prefix_bucket(bytes(prompt)),
         )
         return self._serve(request)
 
-    def _read(self) -> bytes:
-        limits = self._front.settings.limits
+    def _read_body(self) -> bytes:
+        limits = self._context.settings.limits
         return read_body(limits.body_bytes, limits.body_within_ms)
 
-    def _request(
+    def _build_request(
         self,
         tenant: TenantEntry,
         target: TargetName,
@@ -132,8 +139,10 @@
         bucket: int | None,
     ) -> OnlineRequest:
         headers = bottle.request.headers
-        front = self._front
-        wanted = front.class_of(headers.get(CLASS_HEADER), tenant.online_class, ClassKind.ONLINE)
+        context = self._context
+        wanted = context.find_class(
+            headers.get(CLASS_HEADER), tenant.online_class, ClassKind.ONLINE
+        )
         key = headers.get(KEY_HEADER)
         passed = [(name, headers[name]) for name in PASSED_HEADERS if name in headers]
         if key:
@@ -152,7 +161,9 @@
             is_repeatable=self._is_repeatable(target),
             prefix_bucket=bucket,
             first_token_target_ms=wanted.first_token_target_ms,
-            deadline_ms=deadline_of_request(front.clock, front.settings.limits.online_within_ms),
+            deadline_ms=request_deadline_ms(
+                context.clock, context.settings.limits.online_within_ms
+            ),
             cancel=Signal(),
         )
 
@@ -161,66 +172,66 @@
         stated = bottle.request.headers.get(REPEATABLE_HEADER, 'yes').lower()
         if stated not in ('yes', 'no'):
             raise InvalidFieldError(f'{REPEATABLE_HEADER} is yes or no')
-        return stated == 'yes' and self._front.instance.is_repeatable(target)
+        return stated == 'yes' and self._context.instance.is_repeatable(target)
 
     def _serve(self, request: OnlineRequest) -> Any:
         bottle.response.set_header(REQUEST_HEADER, request.request_id)
-        visit = Visit(self._front, request)
+        recorder = RequestRecorder(self._context, request)
         if not request.is_repeatable:
-            return self._serve_once(request, visit)
+            return self._serve_at_most_once(request, recorder)
         if request.is_streamed:
-            return self._serve_stream(request, visit)
+            return self._serve_stream(request, recorder)
         end = None
         try:
-            end = self._front.driver.run(self._front.instance.online.serve(request))
+            end = self._context.driver.run(self._context.instance.online.serve(request))
         finally:
-            visit.close(end)
+            recorder.close(end)
         return self._answer(end)
 
-    def _serve_stream(self, request: OnlineRequest, visit: Visit) -> Any:
-        frames = self._front.driver.stream(self._front.instance.online.serve(request))
+    def _serve_stream(self, request: OnlineRequest, recorder: RequestRecorder) -> Any:
+        frames = self._context.driver.stream(self._context.instance.online.serve(request))
         try:
             first = next(frames)
         except StopIteration as stop:
-            visit.close(stop.value)
+            recorder.close(stop.value)
             return self._answer(stop.value)
         except BaseException:
-            visit.close(None)
+            recorder.close(None)
             raise
         bottle.response.content_type = EVENT_STREAM
         bottle.response.set_header('Cache-Control', 'no-cache')
-        return _frames_of_answer(first, frames, visit)
+        return _stream_events(first, frames, recorder)
 
-    def _serve_once(self, request: OnlineRequest, visit: Visit) -> bytes:
+    def _serve_at_most_once(self, request: OnlineRequest, recorder: RequestRecorder) -> bytes:
         """Serve a request that runs at most once; its answer is told whole, once it is stored."""
         key = bottle.request.headers.get(KEY_HEADER) or request.request_id
         if len(key) > KEY_LIMIT_CHARS:
-            visit.close(None)
+            recorder.close(None)
             raise InvalidFieldError(f'{KEY_HEADER} has more than {KEY_LIMIT_CHARS} characters')
         bottle.response.set_header(KEY_HEADER, key)
         outcome = 'ok'
         try:
-            end = self._front.driver.run(self._front.instance.once.serve(request, key))
+            end = self._context.driver.run(self._context.instance.once.serve(request, key))
             if end.kind is not OnceResultKind.ANSWERED or end.reply is None:
-                error = error_of_once(end)
+                error = error_for_once_result(end)
                 outcome = error.code
-                return answer_error(error)
+                return error_response(error)
         finally:
-            visit.close_as(outcome)
+            recorder.close_with_outcome(outcome)
         if end.is_replay:
             bottle.response.set_header(REPLAY_HEADER, 'true')
-        return _answer_stored(end.reply, is_streamed=request.is_streamed)
+        return _stored_response(end.reply, is_streamed=request.is_streamed)
 
     def _answer(self, end: OnlineResult) -> bytes:
         if end.kind is not OnlineResultKind.ANSWERED or end.reply is None:
-            return answer_error(error_of_end(end, has_begun=False))
+            return error_response(error_for_result(end, has_begun=False))
         bottle.response.status = end.reply.status
         bottle.response.content_type = end.reply.content_type or 'application/json'
         return end.reply.body
 
 
-def _frames_of_answer(
-    first: bytes, frames: Generator[bytes, None, OnlineResult], visit: Visit
+def _stream_events(
+    first: bytes, frames: Generator[bytes, None, OnlineResult], recorder: RequestRecorder
 ) -> Generator[bytes, None, None]:
     """Give out an answer; one that is cut ends with its failure, never as if it were whole."""
     end: OnlineResult | None = None
@@ -228,27 +239,27 @@
         yield first
         end = yield from frames
         if end.kind is OnlineResultKind.ANSWERED:
-            yield DONE_FRAME
+            yield DONE_EVENT
             return
-        yield _error_frame(error_of_end(end, has_begun=True))
+        yield _error_event(error_for_result(end, has_begun=True))
     finally:
         frames.close()
-        visit.close(end)
+        recorder.close(end)
 
 
-def _error_frame(error: CitrondykeError) -> bytes:
+def _error_event(error: CitrondykeError) -> bytes:
     return b'data: ' + msgspec.json.encode(error_body(error)) + b'\n\n'
 
 
-def _answer_stored(reply: StoredReply, *, is_streamed: bool) -> bytes:
+def _stored_response(reply: StoredReply, *, is_streamed: bool) -> bytes:
     bottle.response.status = reply.status
     bottle.response.content_type = reply.content_type or 'application/json'
     if is_streamed and reply.content_type.startswith(EVENT_STREAM):
-        return reply.body + DONE_FRAME
+        return reply.body + DONE_EVENT
     return reply.body
 
 
-def _bucket(prompt: bytes) -> int | None:
+def _prefix_bucket(prompt: bytes) -> int | None:
     if len(prompt) < PREFIX_BYTES:
         return None
     return content_bucket(prompt[:PREFIX_BYTES])
--- a/citrondyke/entry/online_errors.py
+++ b/citrondyke/entry/online_errors.py
@@ -25,13 +25,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-__all__ = ('error_of_end', 'error_of_once')
+__all__ = ('error_for_once_result', 'error_for_result')
 
 PLATFORM_RETRY_MS = 2000.0
 PROGRESS_RETRY_MS = 500.0
 
 
-def error_of_rejection(rejection: Rejection) -> CitrondykeError:
+def error_for_rejection(rejection: Rejection) -> CitrondykeError:
     """Give the failure of a request that never ran."""
     if rejection.reason is RejectionReason.DEADLINE:
         return DeadlinePassedError()
@@ -40,13 +40,13 @@
     return OverloadedError(retry_in_ms=rejection.retry_in_ms)
 
 
-def error_of_end(end: OnlineResult, *, has_begun: bool) -> CitrondykeError:
+def error_for_result(end: OnlineResult, *, has_begun: bool) -> CitrondykeError:
     """Give the failure of a request without a whole answer.
 
     :param has_begun: whether the caller has part of the answer.
     """
     if end.kind is OnlineResultKind.REFUSED and end.rejection is not None:
-        return error_of_rejection(end.rejection)
+        return error_for_rejection(end.rejection)
     run = RunState.UNKNOWN if end.may_have_run else RunState.NOT_RUN
     if end.kind is OnlineResultKind.LATE:
         return DeadlinePassedError(run=run)
@@ -64,10 +64,10 @@
 }
 
 
-def error_of_once(end: OnceResult) -> CitrondykeError:
+def error_for_once_result(end: OnceResult) -> CitrondykeError:
     """Give the failure of a request that runs at most once."""
     if end.kind is OnceResultKind.NOT_RUN:
         if end.rejection is not None:
-            return error_of_rejection(end.rejection)
+            return error_for_rejection(end.rejection)
         return ServerUnreachableError(retry_in_ms=PROGRESS_RETRY_MS)
     return _ONCE[end.kind]()
--- a/citrondyke/entry/operator_endpoint.py
+++ b/citrondyke/entry/operator_endpoint.py
@@ -18,17 +18,17 @@
 from citrondyke.decisions.core.ops import scan_rows
 from citrondyke.decisions.jobs.job_request import JobRejection
 from citrondyke.decisions.jobs.rows import OpenRow, open_prefix
-from citrondyke.entry.answers import json_answer
 from citrondyke.entry.bodies import decode_body, read_body
-from citrondyke.entry.job_shapes import batch_shape
-from citrondyke.entry.jobs_endpoint import error_of_job
-from citrondyke.entry.operator_shapes import (
+from citrondyke.entry.job_schemas import batch_fields
+from citrondyke.entry.jobs_endpoint import error_for_job_rejection
+from citrondyke.entry.operator_schemas import (
     JobSummary,
     JobView,
     MemberView,
     ServerReport,
     StatusReport,
 )
+from citrondyke.entry.responses import json_response
 from citrondyke.errors import (
     ConfigConflictError,
     InvalidFieldError,
@@ -40,7 +40,7 @@
 
 if TYPE_CHECKING:
     from citrondyke.decisions.jobs.sweeper import JobCounts
-    from citrondyke.entry.front import Front
+    from citrondyke.entry.entry_context import EntryContext
 
 __all__ = ('OperatorEndpoint',)
 
@@ -54,27 +54,27 @@
 class OperatorEndpoint:
     """Answers operators."""
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, context: EntryContext) -> None:
         """Use the instance behind ``front``."""
-        self._front = front
+        self._context = context
 
     def config(self) -> bytes:
         """Answer ``GET /operator/v1/config``."""
-        self._operator()
-        return json_answer(self._front.instance.config_replica.current.snapshot())
+        self._authenticate()
+        return json_response(self._context.instance.config_replica.current.snapshot())
 
     def propose(self) -> bytes:
         """Answer ``POST /operator/v1/config``."""
-        who = self._operator()
-        limits = self._front.settings.limits
+        who = self._authenticate()
+        limits = self._context.settings.limits
         body = read_body(limits.body_bytes, limits.body_within_ms)
         proposal = decode_body(body, ConfigProposal)
-        result = self._front.driver.run(self._front.instance.propose(proposal, who))
+        result = self._context.driver.run(self._context.instance.propose(proposal, who))
         match result:
             case ConfigChange():
-                return json_answer(result)
+                return json_response(result)
             case ConfigConflict():
-                raise ConfigConflictError(_conflict_text(result))
+                raise ConfigConflictError(_conflict_message(result))
             case ConfigRejection():
                 raise InvalidFieldError(f'{result.field}: allowed: {result.allowed}')
             case CommitFailure():
@@ -84,21 +84,21 @@
 
     def history(self) -> bytes:
         """Answer ``GET /operator/v1/config/history?after=N``."""
-        self._operator()
+        self._authenticate()
         after = bottle.request.query.get('after', '0')
         if not after.isdigit():
             raise InvalidFieldError('after is a version')
-        changes = self._front.driver.run(
-            self._front.instance.config_replica.history(ConfigVersion(int(after)), HISTORY_LIMIT)
+        changes = self._context.driver.run(
+            self._context.instance.config_replica.history(ConfigVersion(int(after)), HISTORY_LIMIT)
         )
         if changes is None:
             raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
-        return json_answer(changes)
+        return json_response(changes)
 
     def status(self) -> bytes:
         """Answer ``GET /operator/v1/status``."""
-        self._operator()
-        instance = self._front.instance
+        self._authenticate()
+        instance = self._context.instance
         members = [
             MemberView(
                 id=peer.id,
@@ -108,7 +108,7 @@
             )
             for peer in instance.members.peers()
         ]
-        return json_answer(
+        return json_response(
             StatusReport(
                 instance_id=instance.context.instance_id,
                 zone=instance.context.zone,
@@ -116,7 +116,7 @@
                 is_ready=instance.is_ready,
                 is_leaving=instance.members.is_leaving,
                 session=instance.session.session,
-                open_calls=self._front.open_calls,
+                open_calls=self._context.open_calls,
                 held_segments=instance.worker.held_count,
                 members=members,
                 servers=self._servers(),
@@ -125,33 +125,33 @@
 
     def histograms(self) -> bytes:
         """Answer ``GET /operator/v1/histograms``."""
-        self._operator()
+        self._authenticate()
         with_tenants = bottle.request.query.get('tenants') == 'yes'
-        return json_answer(self._front.measures.report(with_tenants=with_tenants))
+        return json_response(self._context.measures.report(with_tenants=with_tenants))
 
     def report(self) -> bytes:
         """Answer ``GET /operator/v1/report?class=C&from=MS&to=MS``."""
-        self._operator()
+        self._authenticate()
         class_name = bottle.request.query.get('class') or None
-        report = self._front.driver.run(build_report(class_name, *_span()))
+        report = self._context.driver.run(build_report(class_name, *_time_range()))
         if isinstance(report, PlatformFailure):
             raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
-        return json_answer(report)
+        return json_response(report)
 
     def records(self) -> bytes:
         """Answer ``GET /operator/v1/records?from=MS&to=MS``."""
-        self._operator()
-        records = self._front.driver.run(read_records(*_span(), RECORDS_LIMIT))
+        self._authenticate()
+        records = self._context.driver.run(read_records(*_time_range(), RECORDS_LIMIT))
         if isinstance(records, PlatformFailure):
             raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
-        return json_answer(records)
+        return json_response(records)
 
     def jobs(self) -> bytes:
         """Answer ``GET /operator/v1/jobs``: the open ones, by deadline."""
-        self._operator()
+        self._authenticate()
         found: list[JobSummary] = []
-        for target in self._front.instance.fleet.targets():
-            rows = self._front.driver.run(scan_rows(open_prefix(target), '', JOBS_LIMIT))
+        for target in self._context.instance.fleet.targets():
+            rows = self._context.driver.run(scan_rows(open_prefix(target), '', JOBS_LIMIT))
             if isinstance(rows, PlatformFailure):
                 raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
             for row in rows:
@@ -167,16 +167,16 @@
                         is_stopping=opened.is_stopping,
                     )
                 )
-        return json_answer(found)
+        return json_response(found)
 
     def job(self, job_id: str) -> bytes:
         """Answer ``GET /operator/v1/jobs/<id>``: progress and forecast."""
-        self._operator()
-        instance = self._front.instance
-        job = self._front.driver.run(instance.acceptance.find_job(None, JobId(job_id)))
+        self._authenticate()
+        instance = self._context.instance
+        job = self._context.driver.run(instance.acceptance.find_job(None, JobId(job_id)))
         if isinstance(job, JobRejection):
-            raise error_of_job(job)
-        counts = self._front.driver.run(instance.sweeper.count(job.job_id))
+            raise error_for_job_rejection(job)
+        counts = self._context.driver.run(instance.sweeper.count(job.job_id))
         if counts is None:
             raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
         forecast_epoch_ms = None
@@ -184,9 +184,9 @@
             forecast_epoch_ms = self._forecast(
                 job.row.created_epoch_ms, counts, job.row.items_count
             )
-        return json_answer(
+        return json_response(
             JobView(
-                batch=batch_shape(job, counts),
+                batch=batch_fields(job, counts),
                 forecast_epoch_ms=forecast_epoch_ms,
                 deadline_epoch_ms=job.row.deadline_epoch_ms,
                 is_at_risk=(forecast_epoch_ms or 0.0) > job.row.deadline_epoch_ms,
@@ -195,24 +195,24 @@
 
     def cancel_job(self, job_id: str) -> bytes:
         """Answer ``POST /operator/v1/jobs/<id>/cancel``."""
-        self._operator()
-        result = self._front.driver.run(self._front.instance.cancel_job(None, JobId(job_id)))
+        self._authenticate()
+        result = self._context.driver.run(self._context.instance.cancel_job(None, JobId(job_id)))
         if isinstance(result, JobRejection):
-            raise error_of_job(result)
-        return json_answer({'job_id': result.job_id, 'state': result.row.state.value})
+            raise error_for_job_rejection(result)
+        return json_response({'job_id': result.job_id, 'state': result.row.state.value})
 
     def _forecast(self, created_epoch_ms: float, counts: JobCounts, total: int) -> float | None:
         """Forecast a job's end from its own pace so far; ``None`` before there is one."""
         done = counts.succeeded_count + counts.failed_count
-        now_ms = self._front.clock.epoch_ms()
+        now_ms = self._context.clock.epoch_ms()
         elapsed_ms = now_ms - created_epoch_ms
         if not done or elapsed_ms <= 0:
             return None
         return now_ms + (total - done) * elapsed_ms / done
 
     def _servers(self) -> list[ServerReport]:
-        instance = self._front.instance
-        now_ms = self._front.clock.now_ms()
+        instance = self._context.instance
+        now_ms = self._context.clock.now_ms()
         reports: list[ServerReport] = []
         for view in instance.fleet.views():
             share = instance.steward.share(view.listed.id)
@@ -232,11 +232,11 @@
             )
         return reports
 
-    def _operator(self) -> str:
-        return self._front.operator(bottle.request.headers.get('Authorization'))
+    def _authenticate(self) -> str:
+        return self._context.authenticate_operator(bottle.request.headers.get('Authorization'))
 
 
-def _span() -> tuple[float, float]:
+def _time_range() -> tuple[float, float]:
     query = bottle.request.query
     try:
         return float(query.get('from', '0')), float(query.get('to', '1e15'))
@@ -244,7 +244,7 @@
         raise InvalidFieldError('from and to are milliseconds since 1970') from error
 
 
-def _conflict_text(conflict: ConfigConflict) -> str:
+def _conflict_message(conflict: ConfigConflict) -> str:
     changes: list[Any] = [
         f'version {change.version} by {change.who}: '
         + ', '.join(edit.name for edit in change.edits)
--- a/citrondyke/entry/visit.py
+++ b/citrondyke/entry/request_recorder.py
@@ -8,50 +8,50 @@
 
 from citrondyke.decisions.audit.record import OutcomeRecord, RecordKind
 from citrondyke.decisions.online.request import OnlineRequest, OnlineResult, OnlineResultKind
-from citrondyke.entry.online_errors import error_of_end
+from citrondyke.entry.online_errors import error_for_result
 from citrondyke.operator.measures import RequestSample
 
 if TYPE_CHECKING:
     from citrondyke.decisions.configuration.entries import ClassEntry
-    from citrondyke.entry.front import Front
+    from citrondyke.entry.entry_context import EntryContext
 
-__all__ = ('Visit',)
+__all__ = ('RequestRecorder',)
 
 log = logbook.Logger(__name__)
 
 
-class Visit:
+class RequestRecorder:
     """Measures one request from its acceptance to its end."""
 
-    def __init__(self, front: Front, request: OnlineRequest) -> None:
+    def __init__(self, context: EntryContext, request: OnlineRequest) -> None:
         """Begin to measure."""
-        self._front = front
+        self._context = context
         self._request = request
-        self._began_ms = front.clock.now_ms()
+        self._started_ms = context.clock.now_ms()
         self._is_open = True
-        front.open_calls += 1
+        context.open_calls += 1
 
     def close(self, end: OnlineResult | None) -> None:
         """Record how it ended; ``None`` when the caller went away or we failed."""
         if end is None:
-            self.close_as('caller_gone')
+            self.close_with_outcome('caller_gone')
             return
         if end.kind is OnlineResultKind.ANSWERED and end.reply is not None:
             outcome = 'ok' if end.reply.status < 400 else f'status_{end.reply.status}'  # noqa: PLR2004
-            self.close_as(outcome, end)
+            self.close_with_outcome(outcome, end)
             return
-        self.close_as(error_of_end(end, has_begun=end.frames_count > 0).code, end)
+        self.close_with_outcome(error_for_result(end, has_begun=end.frames_count > 0).code, end)
 
-    def close_as(self, outcome: str, end: OnlineResult | None = None) -> None:
+    def close_with_outcome(self, outcome: str, end: OnlineResult | None = None) -> None:
         """Record an outcome; the first one stands."""
         if not self._is_open:
             return
         self._is_open = False
-        front, request = self._front, self._request
-        front.open_calls -= 1
-        total_ms = front.clock.now_ms() - self._began_ms
+        context, request = self._context, self._request
+        context.open_calls -= 1
+        total_ms = context.clock.now_ms() - self._started_ms
         first_ms = end.first_frame_ms if end is not None else None
-        entry = front.instance.config_replica.current.class_entry(request.class_name)
+        entry = context.instance.config_replica.current.class_entry(request.class_name)
         sample = RequestSample(
             tenant_id=request.tenant_id,
             class_name=request.class_name,
@@ -61,9 +61,9 @@
             tokens_count=end.frames_count if end is not None else 0,
             is_kept=_is_kept(entry, request, outcome, end, total_ms),
         )
-        front.measures.add(sample)
-        self._record(sample)
-        if front.settings.logs.requests:
+        context.measures.add(sample)
+        self._add_audit_record(sample)
+        if context.settings.logs.requests:
             log.info(
                 'request ended',
                 extra={
@@ -77,13 +77,13 @@
                 },
             )
 
-    def _record(self, sample: RequestSample) -> None:
+    def _add_audit_record(self, sample: RequestSample) -> None:
         """Write the outcome down for whoever asks for evidence."""
-        front, request = self._front, self._request
-        now_ms = front.clock.now_ms()
-        front.instance.journal.add(
+        context, request = self._context, self._request
+        now_ms = context.clock.now_ms()
+        context.instance.journal.add(
             OutcomeRecord(
-                at_epoch_ms=front.clock.epoch_ms(),
+                at_epoch_ms=context.clock.epoch_ms(),
                 kind=RecordKind.ONLINE if request.is_repeatable else RecordKind.ONCE,
                 tenant_id=request.tenant_id,
                 class_name=request.class_name,
--- a/citrondyke/entry/answers.py
+++ b/citrondyke/entry/responses.py
@@ -12,7 +12,7 @@
 
 from citrondyke.errors import CitrondykeError, RunState
 
-__all__ = ('ErrorBody', 'ErrorDetail', 'error_body', 'error_plugin', 'json_answer')
+__all__ = ('ErrorBody', 'ErrorDetail', 'error_body', 'error_plugin', 'json_response')
 
 log = logbook.Logger(__name__)
 
@@ -51,7 +51,7 @@
     )
 
 
-def json_answer(value: Any, status: int = 200) -> bytes:
+def json_response(value: Any, status: int = 200) -> bytes:
     """Answer with JSON."""
     bottle.response.status = status
     bottle.response.content_type = JSON
@@ -65,18 +65,18 @@
         try:
             return callback(*args, **kwargs)
         except CitrondykeError as error:
-            return answer_error(error)
+            return error_response(error)
         except bottle.HTTPResponse:
             raise
         except Exception:
             log.exception('request failed')
-            return answer_error(CitrondykeError('internal error', run=RunState.UNKNOWN))
+            return error_response(CitrondykeError('internal error', run=RunState.UNKNOWN))
 
     return guarded
 
 
-def answer_error(error: CitrondykeError) -> bytes:
+def error_response(error: CitrondykeError) -> bytes:
     """Answer with a failure."""
     if error.retry_in_ms is not None:
         bottle.response.set_header('Retry-After', str(math.ceil(error.retry_in_ms / 1e3)))
-    return json_answer(error_body(error), error.http_status)
+    return json_response(error_body(error), error.http_status)
--- a/citrondyke/entry/results.py
+++ b/citrondyke/entry/results.py
@@ -18,12 +18,15 @@
 if TYPE_CHECKING:
     from citrondyke.decisions.jobs.job_request import AcceptedJob
     from citrondyke.decisions.jobs.rows import FileRow, PartRow
-    from citrondyke.entry.front import Front
+    from citrondyke.entry.entry_context import EntryContext
     from citrondyke.ids import RowKey
 
 __all__ = ('input_lines', 'result_lines')
 
-CLOSED_CODES = {PartKind.CANCELLED: FailureCode.CANCELLED, PartKind.EXPIRED: FailureCode.EXPIRED}
+UNFINISHED_CODES = {
+    PartKind.CANCELLED: FailureCode.CANCELLED,
+    PartKind.EXPIRED: FailureCode.EXPIRED,
+}
 PLATFORM_RETRY_MS = 2000.0
 
 
@@ -32,7 +35,7 @@
 
 
 def result_lines(
-    front: Front, job: AcceptedJob, parts: list[tuple[RowKey, PartRow]], *, is_error: bool
+    context: EntryContext, job: AcceptedJob, parts: list[tuple[RowKey, PartRow]], *, is_error: bool
 ) -> Iterator[bytes]:
     """Give the lines of a job's result file, part by part.
 
@@ -40,39 +43,41 @@
     :raises PlatformUnavailableError: when an object cannot be read.
     """
     for key, part in parts:
-        if part.kind in CLOSED_CODES:
+        if part.kind in UNFINISHED_CODES:
             if is_error:
-                yield _closed_lines(front, job, segment_of_part(key), part)
+                yield _unfinished_item_lines(context, job, segment_of_part(key), part)
             continue
         object_key = part.error_key if is_error else part.output_key
         if object_key:
-            yield _fetch(front, ObjectKey(object_key))
+            yield _read_object(context, ObjectKey(object_key))
 
 
-def input_lines(front: Front, row: FileRow) -> Iterator[bytes]:
+def input_lines(context: EntryContext, row: FileRow) -> Iterator[bytes]:
     """Give a job file as it was sent, segment by segment.
 
     :raises PlatformUnavailableError: when an object cannot be read.
     """
     for segment in range(row.segments_count):
-        yield _fetch(front, input_object_key(row.upload_id, segment)) + b'\n'
+        yield _read_object(context, input_object_key(row.upload_id, segment)) + b'\n'
 
 
-def _closed_lines(front: Front, job: AcceptedJob, segment: int, part: PartRow) -> bytes:
+def _unfinished_item_lines(
+    context: EntryContext, job: AcceptedJob, segment: int, part: PartRow
+) -> bytes:
     """Write the lines of items that were closed unrun; they have no object of their own."""
-    lines = _fetch(front, input_object_key(job.row.upload_id, segment)).split(b'\n')
+    lines = _read_object(context, input_object_key(job.row.upload_id, segment)).split(b'\n')
     written: list[bytes] = []
     for position in ItemSet.parse(part.items):
         custom_id = msgspec.json.decode(lines[position], type=_CustomId).custom_id
         request_id = f'{job.job_id}-{segment}-{position}'
         # An item that was cut while it ran has no visible outcome either, so it is not said
         # here that none of them ran.
-        written.append(result_line(request_id, custom_id, CLOSED_CODES[part.kind], 'unknown'))
+        written.append(result_line(request_id, custom_id, UNFINISHED_CODES[part.kind], 'unknown'))
     return b'\n'.join(written) + b'\n'
 
 
-def _fetch(front: Front, key: ObjectKey) -> bytes:
-    body = front.driver.run(get_object(key))
+def _read_object(context: EntryContext, key: ObjectKey) -> bytes:
+    body = context.driver.run(get_object(key))
     if isinstance(body, PlatformFailure):
         raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
     return body
--- a/citrondyke/entry/server.py
+++ b/citrondyke/entry/server.py
@@ -8,7 +8,7 @@
 import msgspec
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
-from citrondyke.entry.answers import error_body
+from citrondyke.entry.responses import error_body
 from citrondyke.errors import TooManyConnectionsError
 
 if TYPE_CHECKING:
@@ -16,12 +16,12 @@
 
 __all__ = ('EntryServer', 'entry_server', 'prepare_connection')
 
-FULL_RETRY_MS = 1000.0
+CONNECTIONS_RETRY_MS = 1000.0
 #: A connection on which nothing arrives for so long is closed, also before its first request.
 IDLE_S = 75.0
 
 
-class _QuietHandler(WSGIHandler):
+class _RequestHandler(WSGIHandler):
     """Leaves the request log to the doors, which know more."""
 
     def handle_one_response(self) -> None:
@@ -86,7 +86,7 @@
     :param tls: arguments for TLS, empty for plain HTTP.
     """
     server = EntryServer(
-        (ip, port), app, handler_class=_QuietHandler, log=None, error_log=None, **tls
+        (ip, port), app, handler_class=_RequestHandler, log=None, error_log=None, **tls
     )
     server.connections_limit = connections_limit
     return server
@@ -104,7 +104,9 @@
 
 
 def _refuse(sock: socket.socket) -> None:
-    body = msgspec.json.encode(error_body(TooManyConnectionsError(retry_in_ms=FULL_RETRY_MS)))
+    body = msgspec.json.encode(
+        error_body(TooManyConnectionsError(retry_in_ms=CONNECTIONS_RETRY_MS))
+    )
     head = (
         'HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n'
         f'Content-Length: {len(body)}\r\nRetry-After: 1\r\nConnection: close\r\n\r\n'
--- a/citrondyke/entry/upload.py
+++ b/citrondyke/entry/upload.py
@@ -16,7 +16,7 @@
 
 if TYPE_CHECKING:
     from citrondyke.decisions.jobs.job_file_reader import JobFileSummary
-    from citrondyke.entry.front import Front
+    from citrondyke.entry.entry_context import EntryContext
 
 __all__ = ('Upload',)
 
@@ -31,15 +31,15 @@
     memory of one segment. Nothing refers to them before the whole file was found good.
     """
 
-    def __init__(self, front: Front) -> None:
+    def __init__(self, context: EntryContext) -> None:
         """Start at the first byte."""
         self.upload_id = uuid.uuid4().hex
         self.filename = ''
         self.purpose = ''
-        self._front = front
-        limits = front.settings.limits
+        self._context = context
+        limits = context.settings.limits
         self._reader = JobFileReader(
-            front.instance.limits.segment_items, limits.job_line_bytes, limits.job_items
+            context.instance.limits.segment_items, limits.job_line_bytes, limits.job_items
         )
         self._segments_count = 0
         self._has_file = False
@@ -55,8 +55,8 @@
             raise InvalidFieldError('the body must be multipart/form-data')
         try:
             with PushMultipartParser(options['boundary']) as parser:
-                for chunk in body_chunks(self._front.settings.limits.upload_within_ms):
-                    self._take(parser, chunk)
+                for chunk in body_chunks(self._context.settings.limits.upload_within_ms):
+                    self._parse(parser, chunk)
         except MultipartError as error:
             raise InvalidFieldError(f'the form cannot be read: {error}') from error
         if self.purpose != 'batch':
@@ -67,10 +67,10 @@
         if isinstance(finished, InvalidLine):
             raise BadJobLineError(finished.line_number, finished.reason)
         segments, summary = finished
-        self._store(segments)
+        self._store_segments(segments)
         return summary
 
-    def _take(self, parser: PushMultipartParser, chunk: bytes) -> None:
+    def _parse(self, parser: PushMultipartParser, chunk: bytes) -> None:
         for event in parser.parse(chunk):
             if isinstance(event, MultipartSegment):
                 self._segment = event
@@ -78,22 +78,22 @@
                     self._has_file = True
                     self.filename = event.filename or ''
             elif event:
-                self._take_data(bytes(event))
+                self._handle_data(bytes(event))
 
-    def _take_data(self, data: bytes) -> None:
+    def _handle_data(self, data: bytes) -> None:
         if self._segment.name == 'file':
             segments = self._reader.feed(data)
             if isinstance(segments, InvalidLine):
                 raise BadJobLineError(segments.line_number, segments.reason)
-            self._store(segments)
+            self._store_segments(segments)
         elif self._segment.name == 'purpose':
             self.purpose += data.decode(errors='replace')
             if len(self.purpose) > FIELD_LIMIT_BYTES:
                 raise InvalidFieldError('purpose is too long')
 
-    def _store(self, segments: list[bytes]) -> None:
+    def _store_segments(self, segments: list[bytes]) -> None:
         for segment in segments:
             key = input_object_key(self.upload_id, self._segments_count)
-            if self._front.driver.run(put_object(key, segment)) is not None:
+            if self._context.driver.run(put_object(key, segment)) is not None:
                 raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
             self._segments_count += 1
--- a/citrondyke/errors/broken_reply.py
+++ b/citrondyke/errors/broken_reply.py
@@ -6,10 +6,10 @@
 
 from citrondyke.errors.base import CitrondykeError, RunState
 
-__all__ = ('BreakKind', 'BrokenReplyError')
+__all__ = ('BrokenReplyError', 'ReplyFailureKind')
 
 
-class BreakKind(Enum):
+class ReplyFailureKind(Enum):
     """How an answer failed to come."""
 
     #: No connection came about; nothing was sent.
@@ -29,7 +29,7 @@
     http_status = 502
     default_run = RunState.UNKNOWN
 
-    def __init__(self, kind: BreakKind, detail: str = '') -> None:
+    def __init__(self, kind: ReplyFailureKind, detail: str = '') -> None:
         """Name how it failed."""
         super().__init__(f'{kind.value}: {detail}' if detail else kind.value)
-        self.break_kind = kind
+        self.failure_kind = kind
--- a/citrondyke/errors/gave_way.py
+++ b/citrondyke/errors/item_preempted.py
@@ -4,10 +4,10 @@
 
 from citrondyke.errors.base import CitrondykeError, RunState
 
-__all__ = ('GaveWayError',)
+__all__ = ('ItemPreemptedError',)
 
 
-class GaveWayError(CitrondykeError):
+class ItemPreemptedError(CitrondykeError):
     """A batch item's run was ended so that its place is free; it goes on later."""
 
     code = 'gave_way'
--- a/citrondyke/gateway/callers/event_relay.py
+++ b/citrondyke/gateway/callers/event_relay.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from citrondyke.decisions.forwarding.failover_timeouts import EVENT_TIMEOUT_MS
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 from citrondyke.gateway.callers.event_stream import EventSplitter
 
 if TYPE_CHECKING:
@@ -58,7 +58,7 @@
             forwarded.events_count += len(events)
             forwarded.last_event_id = splitter.last_id
         if not splitter.is_between_events:
-            raise BrokenReplyError(BreakKind.CUT, 'in the middle of an event')
+            raise BrokenReplyError(ReplyFailureKind.CUT, 'in the middle of an event')
         self._begin(caller, forwarded, reply)
         caller.stop_watching_disconnect()
         caller.end_stream()
--- a/citrondyke/gateway/callers/event_stream.py
+++ b/citrondyke/gateway/callers/event_stream.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 
 __all__ = ('EventSplitter', 'StreamEvent')
 
@@ -58,7 +58,7 @@
         if event.id is not None:
             if self.last_id is not None and event.id != self.last_id + 1:
                 raise BrokenReplyError(
-                    BreakKind.MALFORMED, f'event {event.id} after event {self.last_id}'
+                    ReplyFailureKind.MALFORMED, f'event {event.id} after event {self.last_id}'
                 )
             self.last_id = event.id
         return event
--- a/citrondyke/gateway/callers/forwarder.py
+++ b/citrondyke/gateway/callers/forwarder.py
@@ -12,7 +12,7 @@
 from citrondyke.decisions.forwarding.server_state import ServerState
 from citrondyke.decisions.memory.byte_budget import HeldKind
 from citrondyke.decisions.servers.baseline_latencies import BaselineLatencies
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 from citrondyke.errors.caller_gone import CallerGoneError
 from citrondyke.gateway.callers.error_responder import DeferredFailure
 from citrondyke.gateway.callers.event_relay import EventRelay
@@ -215,11 +215,11 @@
     def _record_interrupted(
         self, forwarded: ForwardedRequest, state: ServerState, error: BrokenReplyError
     ) -> None:
-        if error.break_kind is BreakKind.NO_CONNECTION:
+        if error.failure_kind is ReplyFailureKind.NO_CONNECTION:
             self._guard.record_connect_failure(state, error)
             return
         self._guard.record_interrupted(
-            state, forwarded.fingerprint, error.break_kind, forwarded.server_first_ms
+            state, forwarded.fingerprint, error.failure_kind, forwarded.server_first_ms
         )
 
     def _write_request(
@@ -304,7 +304,7 @@
             try:
                 return self._sends.read_reply(state, connection, request_id, failover_at_ms)
             except BrokenReplyError as error:
-                is_silent = error.break_kind is BreakKind.SILENT
+                is_silent = error.failure_kind is ReplyFailureKind.SILENT
                 if not is_silent or not forwarded.history.is_last_attempt:
                     raise
                 state.record_failure(self._context.now_ms())
--- a/citrondyke/gateway/callers/held_answer.py
+++ b/citrondyke/gateway/callers/held_answer.py
@@ -7,7 +7,7 @@
 import gevent
 import logbook
 
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 
 if TYPE_CHECKING:
     from citrondyke.decisions.memory.byte_budget import HeldBytes
@@ -46,5 +46,5 @@
             log.info('answer.waits_for_memory', extra={'piece_bytes': size_bytes})
             is_waiting = True
         if clock.now_ms() >= until_ms:
-            raise BrokenReplyError(BreakKind.SILENT, 'no free memory for the response body')
+            raise BrokenReplyError(ReplyFailureKind.SILENT, 'no free memory for the response body')
         gevent.sleep(POLL_MS / 1e3)
--- a/citrondyke/gateway/http_client.py
+++ b/citrondyke/gateway/http_client.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 from citrondyke.gateway.servers.connection_pool import ConnectionPool
 from citrondyke.gateway.servers.server_connection import open_connection
 
@@ -32,7 +32,7 @@
 class HttpFailureReason(msgspec.Struct, frozen=True):
     """Reason why a call failed."""
 
-    kind: BreakKind
+    kind: ReplyFailureKind
     detail: str
 
 
@@ -93,7 +93,7 @@
         except BrokenReplyError as error:
             if connection is not None:
                 connection.close()
-            return HttpFailure(HttpFailureReason(error.break_kind, error.message))
+            return HttpFailure(HttpFailureReason(error.failure_kind, error.message))
         except BaseException:
             # The calling greenlet was killed during the call: bytes that still arrive on this
             # connection belong to no call.
--- a/citrondyke/gateway/jobs/item_sender.py
+++ b/citrondyke/gateway/jobs/item_sender.py
@@ -7,7 +7,7 @@
 import gevent
 
 from citrondyke.decisions.batch.owned_job import RunResult
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 from citrondyke.gateway.callers.event_stream import EventSplitter
 from citrondyke.ids import RequestId
 
@@ -89,7 +89,7 @@
         reply = self._sends.read_reply(state, connection, RequestId(item.id), until_ms)
         status = reply.head.status
         if reply.metadata.was_not_run:
-            raise BrokenReplyError(BreakKind.NO_CONNECTION, f'turned away with {status}')
+            raise BrokenReplyError(ReplyFailureKind.NO_CONNECTION, f'turned away with {status}')
         if status >= 300:  # noqa: PLR2004
             connection.read_body(until_ms, FAILURE_BODY_BYTES)
             return _end_of_failure(status)
@@ -112,7 +112,7 @@
                 # Nobody waits for these events: read some at a time.
                 gevent.sleep(READ_PAUSE_S)
         if not splitter.is_between_events:
-            raise BrokenReplyError(BreakKind.CUT, 'in the middle of an event')
+            raise BrokenReplyError(ReplyFailureKind.CUT, 'in the middle of an event')
 
 
 def _end_of_failure(status: int) -> RunResult:
--- a/citrondyke/gateway/jobs/job_removal.py
+++ b/citrondyke/gateway/jobs/job_removal.py
@@ -47,7 +47,7 @@
 
     def all_jobs(self) -> list[JobId] | PlatformFailure:
         """List all jobs that are kept."""
-        listed = self._table.parts_all(HEADS_TABLE)
+        listed = self._table.list_all_parts(HEADS_TABLE)
         if isinstance(listed, PlatformFailure):
             return listed
         return [JobId(part) for part in listed]
--- a/citrondyke/gateway/jobs/job_runner.py
+++ b/citrondyke/gateway/jobs/job_runner.py
@@ -22,8 +22,8 @@
 from citrondyke.decisions.crashes.request_fingerprint import LazyRequestFingerprint
 from citrondyke.decisions.crashes.suspect_registry import SuspectStatus
 from citrondyke.decisions.forwarding.route_table import NoRoute
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
-from citrondyke.errors.gave_way import GaveWayError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
+from citrondyke.errors.item_preempted import ItemPreemptedError
 from citrondyke.gateway.jobs.item_sender import ItemSender
 
 if TYPE_CHECKING:
@@ -75,7 +75,7 @@
         """
         self.is_cut = True
         if self.has_begun and self.greenlet is not None:
-            self.greenlet.kill(GaveWayError, block=False)
+            self.greenlet.kill(ItemPreemptedError, block=False)
 
 
 class JobRunner:
@@ -329,18 +329,18 @@
         events_before = progress.events_count
         try:
             if run.is_cut:
-                raise GaveWayError
+                raise ItemPreemptedError
             if self._may_send(run):
                 end = self._sender.run(progress, job.head, state)
                 if end in (RunResult.COMPLETED, RunResult.IMPOSSIBLE):
                     self._guard.record_survived(run.work)
             else:
                 end = RunResult.BLOCKED
-        except GaveWayError:
+        except ItemPreemptedError:
             end = RunResult.PREEMPTED
         except BrokenReplyError as error:
             detail = error.message
-            if error.break_kind is BreakKind.NO_CONNECTION:
+            if error.failure_kind is ReplyFailureKind.NO_CONNECTION:
                 self._guard.record_connect_failure(state, error)
             else:
                 state.record_failure(self._context.now_ms())
@@ -348,7 +348,7 @@
                 self._guard.record_interrupted(
                     state,
                     run.work.fingerprint,
-                    error.break_kind,
+                    error.failure_kind,
                     progress.first_event_ms,
                     may_wait=False,
                 )
--- a/citrondyke/gateway/jobs/job_store.py
+++ b/citrondyke/gateway/jobs/job_store.py
@@ -68,9 +68,9 @@
         self._row_bytes = row_bytes - ROW_MARGIN_BYTES
 
     @property
-    def usual_ms(self) -> float:
+    def typical_call_ms(self) -> float:
         """Give the time that the store usually takes for a call."""
-        return self._table.usual_ms
+        return self._table.typical_call_ms
 
     def accept(self, head: JobHead, items: Sequence[JobItem]) -> StoredHead | CommitVerdict:
         """Make a job durable, once; an earlier acceptance of the same job is given instead."""
@@ -206,7 +206,7 @@
 
     def open_jobs(self) -> list[JobId] | PlatformFailure:
         """List the open jobs; the list may be some seconds old."""
-        listed = self._table.parts_all(OPEN_TABLE)
+        listed = self._table.list_all_parts(OPEN_TABLE)
         if isinstance(listed, PlatformFailure):
             return listed
         return [JobId(part) for part in listed]
--- a/citrondyke/gateway/peers/relayed_table.py
+++ b/citrondyke/gateway/peers/relayed_table.py
@@ -15,7 +15,7 @@
     PlatformFailureReason,
 )
 from citrondyke.storage.partitioned_table import (
-    Feed,
+    ChangeBatch,
     Listing,
     PartCommitted,
     PartConflict,
@@ -140,7 +140,7 @@
         self._relay_until_ms = 0.0
 
     @property
-    def usual_ms(self) -> float:
+    def typical_call_ms(self) -> float:
         """Give the mean time of the direct calls that were answered."""
         return self._mean_latency_ms
 
@@ -163,7 +163,9 @@
         answer = self._call(ListPartsCall(table, after))
         return _failure(answer) if answer.parts is None else answer.parts
 
-    def follow(self, table: str, after_version: int, wait_ms: float) -> Feed | PlatformFailure:
+    def follow(
+        self, table: str, after_version: int, wait_ms: float
+    ) -> ChangeBatch | PlatformFailure:
         """Wait for changes; feeds take the direct way only, what they miss is read."""
         return self._direct.follow(table, after_version, wait_ms)
 
--- a/citrondyke/gateway/servers/poison_request_guard.py
+++ b/citrondyke/gateway/servers/poison_request_guard.py
@@ -11,7 +11,7 @@
 from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry, SuspectStatus
 from citrondyke.decisions.crashes.suspect_update_queue import SuspectUpdateKind
 from citrondyke.decisions.forwarding.server_registry import server_digest
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 from citrondyke.gateway.peers.suspect_publisher import SuspectPublisher
 from citrondyke.gateway.sockets import connect
 
@@ -137,7 +137,7 @@
         self,
         state: ServerState,
         fingerprint: RequestFingerprint,
-        kind: BreakKind,
+        kind: ReplyFailureKind,
         first_event_ms: float | None,
         *,
         may_wait: bool = True,
@@ -165,7 +165,7 @@
                 server, [InterruptedRequest(fingerprint, is_fresh, self._context.now_ms())]
             )
             return
-        if kind is not BreakKind.CUT:
+        if kind is not ReplyFailureKind.CUT:
             return
         probe = self._exit_checks.get(server)
         if probe is None:
--- a/citrondyke/gateway/servers/reply_reader.py
+++ b/citrondyke/gateway/servers/reply_reader.py
@@ -5,7 +5,7 @@
 import httptools
 import msgspec
 
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 from citrondyke.gateway.http_head import Header
 
 __all__ = ('ReplyHead', 'ReplyReader')
@@ -70,11 +70,11 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             if not self.is_whole:
-                raise BrokenReplyError(BreakKind.MALFORMED, str(error)[:100]) from error
+                raise BrokenReplyError(ReplyFailureKind.MALFORMED, str(error)[:100]) from error
             # The invalid bytes come after the response.
             self._has_extra = True
         if self.head is None and self._head_bytes > HEAD_LIMIT_BYTES:
-            raise BrokenReplyError(BreakKind.MALFORMED, 'response head too large')
+            raise BrokenReplyError(ReplyFailureKind.MALFORMED, 'response head too large')
 
     def end(self) -> None:
         """Handle the end of the connection.
@@ -84,7 +84,7 @@
         if self.is_whole:
             return
         if self.head is None or not self._ends_with_connection:
-            raise BrokenReplyError(BreakKind.CUT, 'closed')
+            raise BrokenReplyError(ReplyFailureKind.CUT, 'closed')
         self.is_whole = True
 
     def take_body(self) -> bytes:
@@ -114,12 +114,12 @@
             return
         if status <= LAST_INFORMATIONAL:
             if status == SWITCHING:
-                raise BrokenReplyError(BreakKind.MALFORMED, 'unexpected protocol switch')
+                raise BrokenReplyError(ReplyFailureKind.MALFORMED, 'unexpected protocol switch')
             return
         self.head = ReplyHead(status, self._headers)
         coding = (self.head.header(b'transfer-encoding') or b'').lower()
         if coding not in (b'', b'chunked'):
-            raise BrokenReplyError(BreakKind.MALFORMED, 'unsupported Transfer-Encoding')
+            raise BrokenReplyError(ReplyFailureKind.MALFORMED, 'unsupported Transfer-Encoding')
         is_framed = bool(coding) or self.head.header(b'content-length') is not None
         if self._is_bodiless:
             # Bytes after the head cannot be told from a body that must not be there.
--- a/citrondyke/gateway/servers/server_connection.py
+++ b/citrondyke/gateway/servers/server_connection.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 from citrondyke.gateway.http_head import write_head
 from citrondyke.gateway.servers.reply_reader import ReplyReader
 from citrondyke.gateway.sockets import connect
@@ -108,7 +108,9 @@
             parts.append(chunk)
             size += len(chunk)
             if size > limit_bytes:
-                raise BrokenReplyError(BreakKind.MALFORMED, f'body exceeds {limit_bytes} bytes')
+                raise BrokenReplyError(
+                    ReplyFailureKind.MALFORMED, f'body exceeds {limit_bytes} bytes'
+                )
             if on_chunk is not None:
                 on_chunk(len(chunk))
         return b''.join(parts)
@@ -153,14 +155,14 @@
     def _receive(self, until_ms: float) -> None:
         left_ms = until_ms - self._clock.now_ms()
         if left_ms <= 0:
-            raise BrokenReplyError(BreakKind.SILENT)
+            raise BrokenReplyError(ReplyFailureKind.SILENT)
         self._sock.settimeout(left_ms / 1e3)
         try:
             data: bytes = self._sock.recv(READ_BYTES)
         except TimeoutError as error:
-            raise BrokenReplyError(BreakKind.SILENT) from error
+            raise BrokenReplyError(ReplyFailureKind.SILENT) from error
         except OSError as error:
-            raise BrokenReplyError(BreakKind.CUT, type(error).__name__) from error
+            raise BrokenReplyError(ReplyFailureKind.CUT, type(error).__name__) from error
         self.last_activity_ms = self._clock.now_ms()
         if data:
             self._reply.feed(data)
@@ -172,7 +174,7 @@
             self._sock.settimeout(2.0)
             self._sock.sendall(data)
         except OSError as error:
-            raise BrokenReplyError(BreakKind.CUT, type(error).__name__) from error
+            raise BrokenReplyError(ReplyFailureKind.CUT, type(error).__name__) from error
 
     def _write_in_background(self, data: bytes) -> bool:
         try:
--- a/citrondyke/gateway/servers/server_sends.py
+++ b/citrondyke/gateway/servers/server_sends.py
@@ -10,7 +10,7 @@
 
 from citrondyke.decisions.forwarding.failover_timeouts import CONNECT_TIMEOUT_MS
 from citrondyke.decisions.servers.outcomes import Outcome
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 from citrondyke.gateway.servers.connection_pool import ConnectionPool
 from citrondyke.gateway.servers.server_connection import open_connection
 
@@ -161,9 +161,9 @@
         if metadata.was_not_run:
             return OpenReply(connection, head, metadata)
         if metadata.request_id != request_id:
-            raise BrokenReplyError(BreakKind.MALFORMED, 'response to another request')
+            raise BrokenReplyError(ReplyFailureKind.MALFORMED, 'response to another request')
         if not metadata.is_signed:
-            raise BrokenReplyError(BreakKind.MALFORMED, 'response without a signature')
+            raise BrokenReplyError(ReplyFailureKind.MALFORMED, 'response without a signature')
         self._record_status(state, head.status, now_ms)
         return OpenReply(connection, head, metadata)
 
--- a/citrondyke/gateway/sockets.py
+++ b/citrondyke/gateway/sockets.py
@@ -8,7 +8,7 @@
 
 from gevent import socket
 
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 
 __all__ = ('connect', 'reset', 'tune')
 
@@ -47,7 +47,7 @@
         sock.connect((ip, port))
     except OSError as error:
         sock.close()
-        raise BrokenReplyError(BreakKind.NO_CONNECTION, type(error).__name__) from error
+        raise BrokenReplyError(ReplyFailureKind.NO_CONNECTION, type(error).__name__) from error
     return sock
 
 
--- a/citrondyke/platform/store_client.py
+++ b/citrondyke/platform/store_client.py
@@ -10,7 +10,7 @@
 import logbook
 import msgspec
 
-from citrondyke.errors.broken_reply import BreakKind
+from citrondyke.errors.broken_reply import ReplyFailureKind
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
 from citrondyke.gateway.http_client import HttpAnswer, HttpClient, HttpFailure
 from citrondyke.ids import ObjectKey
@@ -24,7 +24,7 @@
 )
 from citrondyke.storage.object_store import ObjectStore
 from citrondyke.storage.partitioned_table import (
-    Feed,
+    ChangeBatch,
     Listing,
     PartCommitted,
     PartConflict,
@@ -144,14 +144,16 @@
         found = self._get('/-/rows-parts', query, _Parts, self._timeout_ms)
         return found if isinstance(found, PlatformFailure) else found.parts
 
-    def follow(self, table: str, after_version: int, wait_ms: float) -> Feed | PlatformFailure:
+    def follow(
+        self, table: str, after_version: int, wait_ms: float
+    ) -> ChangeBatch | PlatformFailure:
         """Wait for changes of a table behind a version."""
         # Here "after" is a version, though in the lists of parts and names it is a name.
         query = {'table': table, 'after': str(after_version), 'wait_ms': str(int(wait_ms))}
         rows = self._get('/-/rows-feed', query, _Rows, wait_ms + self._timeout_ms)
         if isinstance(rows, PlatformFailure):
             return rows
-        return Feed(tuple(_from_row(row) for row in rows.rows), rows.ver)
+        return ChangeBatch(tuple(_from_row(row) for row in rows.rows), rows.ver)
 
     def _get(
         self, path: str, query: dict[str, str], kind: type[Decoded], timeout_ms: float
@@ -232,7 +234,7 @@
 
 def _failure(answer: HttpAnswer | HttpFailure) -> PlatformFailure | None:
     if isinstance(answer, HttpFailure):
-        never_sent = answer.reason.kind is BreakKind.NO_CONNECTION
+        never_sent = answer.reason.kind is ReplyFailureKind.NO_CONNECTION
         return UNAVAILABLE if never_sent else AMBIGUOUS
     known = {
         TOO_MANY: UNAVAILABLE,
--- a/citrondyke/standin/part_table.py
+++ b/citrondyke/standin/part_table.py
@@ -6,7 +6,7 @@
 
 from citrondyke.storage.failure import HISTORY_LOST, PlatformFailure
 from citrondyke.storage.partitioned_table import (
-    Feed,
+    ChangeBatch,
     Listing,
     PartCommitted,
     PartConflict,
@@ -62,12 +62,14 @@
         parts = {place[1] for place in self._rows if place[0] == table and place[1] > after}
         return sorted(parts)[:PAGE_PARTS]
 
-    def follow(self, table: str, after_version: int, wait_ms: float) -> Feed | PlatformFailure:
+    def follow(
+        self, table: str, after_version: int, wait_ms: float
+    ) -> ChangeBatch | PlatformFailure:
         """Give the changes of a table behind a version; the caller does the waiting."""
         if after_version < self._history_from:
             return HISTORY_LOST
         rows = [row for row in self._history if row.table == table and row.version > after_version]
-        return Feed(tuple(rows), self.version)
+        return ChangeBatch(tuple(rows), self.version)
 
     def forget_history(self) -> None:
         """Drop all of the history."""
--- a/citrondyke/storage/_http_call.py
+++ b/citrondyke/storage/_platform_http.py
@@ -17,15 +17,15 @@
 if TYPE_CHECKING:
     from urllib3 import BaseHTTPResponse
 
-__all__ = ('PlatformHttp',)
+__all__ = ('PlatformHttpClient',)
 
 #: Answers that say the platform refused before doing anything.
-REFUSED_STATUSES = frozenset({429, 503})
+REJECTED_STATUSES = frozenset({429, 503})
 NOT_MODIFIED_STATUS = 304
 CONFLICT_STATUS = 409
 
 
-class PlatformHttp:
+class PlatformHttpClient:
     """A pool of connections to one service of the platform."""
 
     def __init__(self, url: str, timeout_ms: float, connections: int = 16) -> None:
@@ -78,7 +78,7 @@
             return UNAVAILABLE if isinstance(error.reason, NewConnectionError) else AMBIGUOUS
         except (HTTPError, OSError):
             return AMBIGUOUS
-        if response.status in REFUSED_STATUSES:
+        if response.status in REJECTED_STATUSES:
             return UNAVAILABLE
         if response.status == 404:  # noqa: PLR2004
             return MISSING
--- a/citrondyke/storage/http_fleet_lists.py
+++ b/citrondyke/storage/http_fleet_lists.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from citrondyke.storage._http_call import PlatformHttp
+from citrondyke.storage._platform_http import PlatformHttpClient
 from citrondyke.storage.failure import AMBIGUOUS, PlatformFailure
 from citrondyke.storage.fleet_lists import FleetLists, FleetSnapshot
 
@@ -16,13 +16,13 @@
 
     :param timeout_ms: timeout of each call.
     """
-    return HttpFleetLists(PlatformHttp(url, timeout_ms))
+    return HttpFleetLists(PlatformHttpClient(url, timeout_ms))
 
 
 class HttpFleetLists(FleetLists):
     """A client of the lists."""
 
-    def __init__(self, http: PlatformHttp) -> None:
+    def __init__(self, http: PlatformHttpClient) -> None:
         """Use the connections of ``http``."""
         self._http = http
         self._tag = ''
--- a/citrondyke/storage/http_object_store.py
+++ b/citrondyke/storage/http_object_store.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from citrondyke.ids import ObjectKey
-from citrondyke.storage._http_call import PlatformHttp
+from citrondyke.storage._platform_http import PlatformHttpClient
 from citrondyke.storage.failure import MISSING, PlatformFailure
 from citrondyke.storage.object_store import ObjectStore
 
@@ -19,13 +19,13 @@
 
     :param timeout_ms: timeout of each call.
     """
-    return HttpObjectStore(PlatformHttp(url, timeout_ms))
+    return HttpObjectStore(PlatformHttpClient(url, timeout_ms))
 
 
 class HttpObjectStore(ObjectStore):
     """A client of the object store."""
 
-    def __init__(self, http: PlatformHttp) -> None:
+    def __init__(self, http: PlatformHttpClient) -> None:
         """Use the connections of ``http``."""
         self._http = http
 
--- a/citrondyke/storage/http_table_service.py
+++ b/citrondyke/storage/http_table_service.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from citrondyke.ids import RowKey
-from citrondyke.storage._http_call import CONFLICT_STATUS, PlatformHttp
+from citrondyke.storage._platform_http import CONFLICT_STATUS, PlatformHttpClient
 from citrondyke.storage.failure import AMBIGUOUS, PlatformFailure
 from citrondyke.storage.table_service import Committed, Conflict, Row, TableService, Transaction
 
@@ -39,13 +39,13 @@
 
     :param timeout_ms: timeout of each call.
     """
-    return HttpTableService(PlatformHttp(url, timeout_ms))
+    return HttpTableService(PlatformHttpClient(url, timeout_ms))
 
 
 class HttpTableService(TableService):
     """A client of the table service."""
 
-    def __init__(self, http: PlatformHttp) -> None:
+    def __init__(self, http: PlatformHttpClient) -> None:
         """Use the connections of ``http``."""
         self._http = http
 
--- a/citrondyke/storage/partitioned_table.py
+++ b/citrondyke/storage/partitioned_table.py
@@ -11,7 +11,7 @@
 
 __all__ = (
     'IMPOSSIBLE_VERSION',
-    'Feed',
+    'ChangeBatch',
     'Listing',
     'PartCommitted',
     'PartConflict',
@@ -102,7 +102,7 @@
     version: int
 
 
-class Feed(msgspec.Struct, frozen=True):
+class ChangeBatch(msgspec.Struct, frozen=True):
     """Changes behind a version, in order."""
 
     rows: tuple[PartRow, ...]
@@ -114,7 +114,7 @@
     """A client of the store; every call has its own timeout."""
 
     @property
-    def usual_ms(self) -> float:
+    def typical_call_ms(self) -> float:
         """Give the time that calls usually take; 0 where nobody measures it."""
         return 0.0
 
@@ -156,7 +156,7 @@
                 return Listing(tuple(rows), has_more=False, version=version)
             from_key = page.rows[-1].key + '\0'
 
-    def parts_all(self, table: str) -> list[str] | PlatformFailure:
+    def list_all_parts(self, table: str) -> list[str] | PlatformFailure:
         """List all parts of a table."""
         found: list[str] = []
         while True:
@@ -172,5 +172,7 @@
         """List parts behind one; at most 1,000."""
 
     @abstractmethod
-    def follow(self, table: str, after_version: int, wait_ms: float) -> Feed | PlatformFailure:
+    def follow(
+        self, table: str, after_version: int, wait_ms: float
+    ) -> ChangeBatch | PlatformFailure:
         """Wait for changes of a table behind a version."""
--- a/tests/test_gateway/test_replication/test_replication_table_follower.py
+++ b/tests/test_gateway/test_replication/test_replication_table_follower.py
@@ -12,7 +12,13 @@
     TableFollower,
 )
 from citrondyke.storage.failure import PlatformFailure
-from citrondyke.storage.partitioned_table import Feed, Listing, PartRow, PartTransaction, RowPut
+from citrondyke.storage.partitioned_table import (
+    ChangeBatch,
+    Listing,
+    PartRow,
+    PartTransaction,
+    RowPut,
+)
 from tests.support.flaky_table import FlakyTable
 from tests.support.manual_clock import ManualClock, manual_context
 
@@ -34,14 +40,16 @@
         self._count(shown)
         return shown
 
-    def follow(self, table: str, after_version: int, wait_ms: float) -> Feed | PlatformFailure:
+    def follow(
+        self, table: str, after_version: int, wait_ms: float
+    ) -> ChangeBatch | PlatformFailure:
         shown = super().follow(table, after_version, wait_ms)
-        if self.hides_changes and isinstance(shown, Feed):
-            return Feed((), shown.version)
+        if self.hides_changes and isinstance(shown, ChangeBatch):
+            return ChangeBatch((), shown.version)
         self._count(shown)
         return shown
 
-    def _count(self, shown: Listing | Feed | PlatformFailure) -> None:
+    def _count(self, shown: Listing | ChangeBatch | PlatformFailure) -> None:
         if not isinstance(shown, PlatformFailure):
             self.shown_bytes += sum(len(row.value or b'') for row in shown.rows)
 
--- a/tests/test_gateway/test_servers/test_servers_crash_fleet.py
+++ b/tests/test_gateway/test_servers/test_servers_crash_fleet.py
@@ -13,7 +13,7 @@
 )
 from citrondyke.decisions.crashes.suspect_registry import SuspectRegistry, SuspectStatus
 from citrondyke.decisions.forwarding.server_registry import ServerRegistry
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 from citrondyke.gateway.metrics import Metrics
 from citrondyke.gateway.replication.dependency import Dependency
 from citrondyke.gateway.servers.poison_request_guard import PoisonRequestGuard
@@ -47,8 +47,8 @@
         state = self.book.state(ServerId(f's-{server}'))
         assert state is not None
         for content in contents:
-            self.guard.record_interrupted(state, content, BreakKind.SILENT, None)
-        refused = BrokenReplyError(BreakKind.NO_CONNECTION)
+            self.guard.record_interrupted(state, content, ReplyFailureKind.SILENT, None)
+        refused = BrokenReplyError(ReplyFailureKind.NO_CONNECTION)
         refused.__cause__ = ConnectionRefusedError()
         self.guard.record_connect_failure(state, refused)
 
--- a/tests/test_gateway/test_servers/test_servers_reply_reader.py
+++ b/tests/test_gateway/test_servers/test_servers_reply_reader.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from citrondyke.errors.broken_reply import BreakKind, BrokenReplyError
+from citrondyke.errors.broken_reply import BrokenReplyError, ReplyFailureKind
 from citrondyke.errors.invalid_header import InvalidHeaderError
 from citrondyke.gateway.http_head import write_head
 from citrondyke.gateway.servers.reply_reader import ReplyReader
@@ -65,7 +65,7 @@
         assert not reader.is_whole
         with pytest.raises(BrokenReplyError) as caught:
             reader.end()
-        assert caught.value.break_kind is BreakKind.CUT
+        assert caught.value.failure_kind is ReplyFailureKind.CUT
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
 def test_malformed_response_is_an_error(data: bytes) -> None:
     with pytest.raises(BrokenReplyError) as caught:
         read(data)
-    assert caught.value.break_kind is BreakKind.MALFORMED
+    assert caught.value.failure_kind is ReplyFailureKind.MALFORMED
 
 
 def test_response_without_a_body_is_whole_after_its_head() -> None:
