--- a/citrondyke/gateway/jobs/job_committer.py
+++ b/citrondyke/gateway/jobs/job_committer.py
@@ -88,7 +88,7 @@
 
     def save_pause_ms(self) -> float:
         """Give the time between two looks for progress that is worth keeping."""
-        return max(SAVE_EVERY_MS, SAVE_FACTOR * self._store.typical_call_ms)
+        return max(SAVE_EVERY_MS, SAVE_FACTOR * self._store.mean_latency_ms)
 
     def save(self, job: OwnedJob, items: Iterable[ItemProgress]) -> None:
         """Keep how far items have come, for the next owner."""
--- a/citrondyke/gateway/jobs/job_store.py
+++ b/citrondyke/gateway/jobs/job_store.py
@@ -68,9 +68,9 @@
         self._row_bytes = row_bytes - ROW_MARGIN_BYTES
 
     @property
-    def typical_call_ms(self) -> float:
+    def mean_latency_ms(self) -> float:
         """Give the time that the store usually takes for a call."""
-        return self._table.typical_call_ms
+        return self._table.mean_latency_ms
 
     def accept(self, head: JobHead, items: Sequence[JobItem]) -> StoredHead | CommitVerdict:
         """Make a job durable, once; an earlier acceptance of the same job is given instead."""
--- a/citrondyke/gateway/peers/relayed_table.py
+++ b/citrondyke/gateway/peers/relayed_table.py
@@ -146,7 +146,7 @@
         self._relay_until_ms = 0.0
 
     @property
-    def typical_call_ms(self) -> float:
+    def mean_latency_ms(self) -> float:
         """Return the mean latency of answered direct calls."""
         return self._mean_latency_ms
 
--- a/citrondyke/storage/partitioned_table.py
+++ b/citrondyke/storage/partitioned_table.py
@@ -114,7 +114,7 @@
     """A client of the store; every call has its own timeout."""
 
     @property
-    def typical_call_ms(self) -> float:
+    def mean_latency_ms(self) -> float:
         """Give the time that calls usually take; 0 where nobody measures it."""
         return 0.0
 
--- a/tests/support/flaky_table.py
+++ b/tests/support/flaky_table.py
@@ -92,7 +92,7 @@
         self.call_ms = 0.0
 
     @property
-    def typical_call_ms(self) -> float:
+    def mean_latency_ms(self) -> float:
         return self.call_ms
 
     def transact(self, transaction: PartTransaction) -> PartCommitted | PartConflict:
