--- a/citrondyke/gateway/peers/relayed_table.py
+++ b/citrondyke/gateway/peers/relayed_table.py
@@ -15,7 +15,7 @@
     PlatformFailureReason,
 )
 from citrondyke.storage.partitioned_table import (
-    Feed,
+    ChangeBatch,
     Listing,
     PartCommitted,
     PartConflict,
@@ -146,7 +146,7 @@
         self._relay_until_ms = 0.0
 
     @property
-    def usual_ms(self) -> float:
+    def mean_latency_ms(self) -> float:
         """Return the mean latency of answered direct calls."""
         return self._mean_latency_ms
 
@@ -169,7 +169,9 @@
         answer = self._call(ListPartsCall(table, after))
         return _failure(answer) if answer.parts is None else answer.parts
 
-    def follow(self, table: str, after_version: int, wait_ms: float) -> Feed | PlatformFailure:
+    def follow(
+        self, table: str, after_version: int, wait_ms: float
+    ) -> ChangeBatch | PlatformFailure:
         """Wait for changes, directly only; changes that a feed misses are found by reads."""
         return self._direct.follow(table, after_version, wait_ms)
 
