--- a/benchmarks/gateway_cost.py
+++ b/benchmarks/gateway_cost.py
@@ -13,7 +13,7 @@
 
 from benchmarks.figure import Figure, Relation
 from citrondyke.gateway.event_log import EventLogHandler
-from citrondyke.platform.dialect import ATTEMPT
+from citrondyke.platform.dialect import ATTEMPT_HEADER
 from tests.support.gateway import HOST, GatewayFleet, exchange
 
 __all__ = ('cost_figures',)
@@ -78,7 +78,7 @@
 def _first_event_ms(address: tuple[str, int], path: str, request_id: str) -> float:
     began = time.perf_counter()
     http = h11.Connection(h11.CLIENT)
-    head = [('Host', HOST), (ATTEMPT.decode(), request_id), ('Content-Length', '0')]
+    head = [('Host', HOST), (ATTEMPT_HEADER.decode(), request_id), ('Content-Length', '0')]
     with socket.create_connection(address, timeout=10.0) as sock:
         sock.sendall(http.send(h11.Request(method='POST', target=path, headers=head)) or b'')
         while True:
--- a/benchmarks/instance_cost.py
+++ b/benchmarks/instance_cost.py
@@ -19,7 +19,7 @@
 from citrondyke.gateway.peers.membership import INSTANCES_TABLE, Heartbeat
 from citrondyke.gateway.peers.peer_codec import LoadNotice, PeerMessage, encode_message
 from citrondyke.ids import AvailabilityZone, ConfigVersion, InstanceId
-from citrondyke.util.hashing import content_bucket
+from citrondyke.util.hashing import content_hash
 from tests.support.gateway import exchange
 from tests.test_soak.soak_fleet import CALLERS_PORT, PEER_PORT, SoakFleet
 
@@ -87,7 +87,7 @@
 
     def keep_telling(self) -> None:
         """Send counts as the instances of the same zone do, for good."""
-        digests = [content_bucket(name.encode()) & 0xFFFF_FFFF for name in self.fleet.servers]
+        digests = [content_hash(name.encode()) & 0xFFFF_FFFF for name in self.fleet.servers]
         near = [name for name in self._names if name.startswith(f'edge-{ZONES[0]}-')]
         while True:
             load = ServerLoad(self._random.choice(digests), self._random.randint(0, 2), 1)
--- a/benchmarks/scenario.py
+++ b/benchmarks/scenario.py
@@ -26,7 +26,7 @@
 from citrondyke.ids import AvailabilityZone, ClassName, RequestId, ServerId, TargetName, TenantId
 from citrondyke.standin.engine_curve import EngineCurve
 from citrondyke.storage.fleet_lists import ListedServer
-from citrondyke.util.hashing import content_bucket
+from citrondyke.util.hashing import content_hash
 
 __all__ = ('Arrival', 'Outcome', 'Scenario', 'ScenarioRun', 'poisson_arrivals')
 
@@ -238,7 +238,7 @@
             is_streamed=True,
             is_model=True,
             is_repeatable=True,
-            prefix_bucket=content_bucket(arrival.prefix.encode()) if arrival.prefix else None,
+            prefix_bucket=content_hash(arrival.prefix.encode()) if arrival.prefix else None,
             first_token_target_ms=self.scenario.first_token_target_ms,
             deadline_ms=self.fleet.time.now_ms() + 30_000.0,
             cancel=Signal(),
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -36,7 +36,7 @@
     ServerId,
     TenantId,
 )
-from citrondyke.operator.measures import Measures, RequestSample
+from citrondyke.operator.request_metrics import RequestMetrics, RequestSample
 from citrondyke.storage.fleet_lists import ListedInstance, ListedServer
 from citrondyke.util.hashing import key_hash
 from tests.support.fleet import Fleet as RealFleet
@@ -76,8 +76,8 @@
     return made
 
 
-def _histograms(tenants: int) -> Measures:
-    made = Measures(tenants)
+def _histograms(tenants: int) -> RequestMetrics:
+    made = RequestMetrics(tenants)
     random = Random(1)
     for n in range(tenants):
         for _ in range(50):
--- a/citrondyke/cmd/citrondykectl.py
+++ b/citrondyke/cmd/citrondykectl.py
@@ -34,7 +34,7 @@
 from citrondyke.driver.virtual.trace_outcome import TraceOutcome
 from citrondyke.entry.operator_shapes import StatusReport
 from citrondyke.operator.account_report import merge_states
-from citrondyke.operator.measures import MeasureReport
+from citrondyke.operator.request_metrics import MetricsReport
 
 __all__ = ('app', 'main')
 
@@ -72,7 +72,7 @@
     """Draw the histograms of this instance's requests, by class or tenant."""
     with_tenants = '?tenants=yes' if tenant else ''
     path = f'/operator/v1/histograms{with_tenants}'
-    report = OperatorClient(options).get(path, MeasureReport)
+    report = OperatorClient(options).get(path, MetricsReport)
     groups = report.by_tenant if tenant else report.by_class
     wanted = tenant or class_name
     if wanted is not None:
--- a/citrondyke/cmd/demo.py
+++ b/citrondyke/cmd/demo.py
@@ -14,7 +14,7 @@
 
 from citrondyke.cmd.embedded import DEMO_OPERATOR_KEY, DEMO_TENANT_KEY
 from citrondyke.operator.histogram import SparseHistogram
-from citrondyke.operator.measures import MeasureReport
+from citrondyke.operator.request_metrics import MetricsReport
 from citrondyke.operator.terminal import histogram_table
 from citrondyke.standin.engine_text import expected_text
 
@@ -125,7 +125,7 @@
             '/operator/v1/histograms',
             headers={'Authorization': f'Bearer {DEMO_OPERATOR_KEY}'},
         )
-        report = msgspec.json.decode(answer.data, type=MeasureReport)
+        report = msgspec.json.decode(answer.data, type=MetricsReport)
         for name, quantities in report.by_class.items():
             for quantity, data in quantities.items():
                 histogram = SparseHistogram()
--- a/citrondyke/cmd/gateway.py
+++ b/citrondyke/cmd/gateway.py
@@ -12,7 +12,7 @@
 from _signal import SIG_IGN, SIGHUP, signal  # type: ignore[import-not-found]
 
 # First of all: the other imports take longer than what follows.
-from citrondyke.util.process_start import PROCESS_BEGAN_MS  # isort: skip
+from citrondyke.util.process_start import PROCESS_START_MS  # isort: skip
 from citrondyke.platform.early_addresses import early_addresses
 from citrondyke.util.code_bundle import LIBRARY, PACKAGES, open_bundle
 from citrondyke.util.early_sockets import EarlySockets
@@ -31,7 +31,7 @@
     # By default it would end the process. The settings are read later anyway.
     signal(SIGHUP, SIG_IGN)
     sockets = EarlySockets(early_addresses(os.environ))
-    steps.note('listening')
+    steps.record('listening')
     bundle = open_bundle(BUNDLE_FILE, bundle_roots())
     import gc
 
@@ -46,8 +46,8 @@
         bundle.close()
     gc.freeze()
     gc.enable()
-    steps.note('imported')
-    return run_gateway(sockets, steps, PROCESS_BEGAN_MS)
+    steps.record('imported')
+    return run_gateway(sockets, steps, PROCESS_START_MS)
 
 
 def bundle_roots() -> dict[str, str]:
--- a/citrondyke/cmd/lean_imports.py
+++ b/citrondyke/cmd/lean_imports.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from citrondyke.util.lazy_import import put_off
+from citrondyke.util.lazy_import import defer_import
 
 __all__ = ('put_off_unused',)
 
@@ -10,19 +10,19 @@
 def put_off_unused() -> None:
     """Put off the modules below; to be called before any library is imported."""
     # pycapnp takes one class of it; its event loop is never run here.
-    put_off('asyncio', ('asyncio.protocols',))
+    defer_import('asyncio', ('asyncio.protocols',))
     # logbook's handlers for mail and for packed files.
-    put_off('ssl')
-    put_off('gzip')
+    defer_import('ssl')
+    defer_import('gzip')
     # It takes one hash of it, which is not used; the extension has it too.
-    put_off('hashlib', ('_sha1',))
+    defer_import('hashlib', ('_sha1',))
     # On this version of Python, all that is taken of it but one decorator is in ``typing``.
-    put_off('typing_extensions', ('typing', 'citrondyke.util.deprecated'))
+    defer_import('typing_extensions', ('typing', 'citrondyke.util.deprecated'))
     # msgspec knows UUIDs, whose module asks for the system's name.
-    put_off('platform', ('citrondyke.util.system_name',))
+    defer_import('platform', ('citrondyke.util.system_name',))
     # For the rows of jobs, and what peers know; it asks for the name of the interpreter as well.
-    put_off('zstandard')
+    defer_import('zstandard')
     # For addresses in brackets, which no URL here has.
-    put_off('ipaddress')
+    defer_import('ipaddress')
     # For tracebacks of sources, and messages of uncommon errors.
-    put_off('tokenize')
+    defer_import('tokenize')
--- a/citrondyke/cmd/run_gateway.py
+++ b/citrondyke/cmd/run_gateway.py
@@ -20,7 +20,7 @@
 from citrondyke.gateway.event_log import EventLogHandler
 from citrondyke.gateway.instance import GatewayInstance
 from citrondyke.gateway.settings_watcher import SettingsWatcher
-from citrondyke.platform.outside import platform_outside
+from citrondyke.platform.adapters import create_platform_adapters
 from citrondyke.platform.settings_file import load_platform_settings
 from citrondyke.util.clock import SystemClock
 
@@ -46,16 +46,16 @@
     except SettingsInvalidError as error:
         print(f'citrondyke gateway: {error.message}', file=sys.stderr)
         return EXIT_SETTINGS
-    steps.note('settings')
+    steps.record('settings')
     # A crash in an extension module leaves the Python stack on standard error.
     faulthandler.enable()
     clock = SystemClock()
     handler = EventLogHandler(clock, {'instance': settings.instance_id})
     handler.push_application()
     handler.start()
-    outside = platform_outside(clock, settings)
+    outside = create_platform_adapters(clock, settings)
     instance = GatewayInstance(settings, outside, began_ms, sockets, steps)
-    steps.note('made')
+    steps.record('made')
     gevent.signal_handler(signal.SIGTERM, instance.request_stop)
     gevent.signal_handler(signal.SIGINT, instance.request_stop)
     watch = SettingsWatcher(lambda: load_platform_settings(METRICS_PORT), settings, instance.reload)
--- a/citrondyke/daemon.py
+++ b/citrondyke/daemon.py
@@ -18,7 +18,7 @@
 from citrondyke.entry.front import Front
 from citrondyke.entry.server import entry_server
 from citrondyke.ids import AvailabilityZone, InstanceId, ServerId
-from citrondyke.operator.measures import Measures
+from citrondyke.operator.request_metrics import RequestMetrics
 from citrondyke.operator.statsd_reporter import StatsdReporter
 from citrondyke.peer.codec import PeerCodec
 from citrondyke.peer.node import PeerNode
@@ -53,9 +53,9 @@
         self._peers = PeerNode(
             PeerCodec(key.encode() for key in settings.peers.keys), own.ip, own.peer_port
         )
-        self._measures = Measures(settings.limits.tenant_histograms)
+        self._metrics = RequestMetrics(settings.limits.tenant_histograms)
         self._driver = self._new_driver()
-        self._front = Front(settings, self.instance, self._driver, self._measures, self._clock)
+        self._front = Front(settings, self.instance, self._driver, self._metrics, self._clock)
         self._server = entry_server(
             own.ip,
             own.http_port,
@@ -71,7 +71,7 @@
         self._peers.start(self.instance)
         self._server.start()
         self._driver.spawn(self.instance.run())
-        StatsdReporter(self._settings.statsd, self._measures, self._gauges).start()
+        StatsdReporter(self._settings.statsd, self._metrics, self._gauges).start()
         log.info('listening', extra={'port': self._settings.instance.http_port})
 
     def request_stop(self) -> None:
--- a/citrondyke/decisions/accounts/slot_lease.py
+++ b/citrondyke/decisions/accounts/slot_lease.py
@@ -13,7 +13,7 @@
     SlotCopy,
 )
 from citrondyke.ids import InstanceId
-from citrondyke.util.hashing import content_bucket
+from citrondyke.util.hashing import content_hash
 
 if TYPE_CHECKING:
     from citrondyke.decisions.accounts.slot_placement import SlotPlacement
@@ -116,7 +116,7 @@
 
     def replica_set_id(self) -> int:
         """Return an identifier of the replica set, the same at all its members."""
-        return content_bucket('\n'.join(sorted(self._current_replicas())).encode()) & 0xFFFF_FFFF
+        return content_hash('\n'.join(sorted(self._current_replicas())).encode()) & 0xFFFF_FFFF
 
     def record_own_copy(self, copy: SlotCopy) -> None:
         """Record the copy of this instance's own lease."""
--- a/citrondyke/decisions/accounts/slot_placement.py
+++ b/citrondyke/decisions/accounts/slot_placement.py
@@ -5,7 +5,7 @@
 from heapq import nlargest
 from typing import TYPE_CHECKING
 
-from citrondyke.util.hashing import content_bucket, rendezvous_weight
+from citrondyke.util.hashing import content_hash, rendezvous_weight
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 def slot_of(account: TenantId) -> int:
     """Return the slot of an account."""
-    return content_bucket(account.encode()) % SLOTS_COUNT
+    return content_hash(account.encode()) % SLOTS_COUNT
 
 
 class SlotPlacement:
--- a/citrondyke/decisions/crashes/request_fingerprint.py
+++ b/citrondyke/decisions/crashes/request_fingerprint.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from citrondyke.ids import ContentDigest
-from citrondyke.util.hashing import content_bucket, digest_hex
+from citrondyke.util.hashing import content_hash, digest_hex
 
 __all__ = ('LazyRequestFingerprint', 'RequestFingerprint', 'fingerprint_of')
 
@@ -54,4 +54,4 @@
 
 def _target_bucket(method: bytes, host: bytes, target: bytes) -> int:
     """Return a 32-bit hash of the method, host and target."""
-    return content_bucket(b'\0'.join((method, host, target))) & 0xFFFF_FFFF
+    return content_hash(b'\0'.join((method, host, target))) & 0xFFFF_FFFF
--- a/citrondyke/decisions/forwarding/replicated_rows.py
+++ b/citrondyke/decisions/forwarding/replicated_rows.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from citrondyke.decisions.server_list.server_list_change_log import ServerListChangeLog
-from citrondyke.util.hashing import content_bucket
+from citrondyke.util.hashing import content_hash
 
 __all__ = ('ObservedRow', 'ReplicatedRows')
 
@@ -191,7 +191,7 @@
 
 
 def _row_digest(row: ObservedRow[Any]) -> int:
-    return content_bucket(f'{row.key}\0{row.version}'.encode())
+    return content_hash(f'{row.key}\0{row.version}'.encode())
 
 
 def _record_version(versions: dict[str, int], key: str, version: int) -> None:
--- a/citrondyke/decisions/forwarding/server_registry.py
+++ b/citrondyke/decisions/forwarding/server_registry.py
@@ -13,7 +13,7 @@
 from citrondyke.decisions.servers.expected_finish import REQUEST_COST, expected_finish
 from citrondyke.decisions.servers.health_policy import HealthPolicy
 from citrondyke.ids import ServerId, ServerIncarnation
-from citrondyke.util.hashing import content_bucket, rendezvous_weight
+from citrondyke.util.hashing import content_hash, rendezvous_weight
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.context import Context
@@ -50,7 +50,7 @@
     With a digest of the id alone, a notice about an earlier incarnation would count for the next
     one.
     """
-    return content_bucket(listed.stated_incarnation.encode()) & 0xFFFF_FFFF
+    return content_hash(listed.stated_incarnation.encode()) & 0xFFFF_FFFF
 
 
 class RegistryChange(msgspec.Struct):
--- a/citrondyke/entry/front.py
+++ b/citrondyke/entry/front.py
@@ -20,7 +20,7 @@
     )
     from citrondyke.decisions.instance import Instance
     from citrondyke.driver.gevent_driver import GeventDriver
-    from citrondyke.operator.measures import Measures
+    from citrondyke.operator.request_metrics import RequestMetrics
     from citrondyke.settings.model import DaemonSettings
     from citrondyke.util.clock import Clock
 
@@ -38,7 +38,7 @@
         settings: DaemonSettings,
         instance: Instance,
         driver: GeventDriver,
-        measures: Measures,
+        measures: RequestMetrics,
         clock: Clock,
     ) -> None:
         """Use the parts handed in."""
--- a/citrondyke/entry/online_endpoint.py
+++ b/citrondyke/entry/online_endpoint.py
@@ -27,7 +27,7 @@
     UnknownServiceError,
 )
 from citrondyke.ids import RequestId, TargetName
-from citrondyke.util.hashing import content_bucket
+from citrondyke.util.hashing import content_hash
 
 if TYPE_CHECKING:
     from citrondyke.decisions.at_most_once.intent_row import StoredReply
@@ -251,4 +251,4 @@
 def _bucket(prompt: bytes) -> int | None:
     if len(prompt) < PREFIX_BYTES:
         return None
-    return content_bucket(prompt[:PREFIX_BYTES])
+    return content_hash(prompt[:PREFIX_BYTES])
--- a/citrondyke/entry/visit.py
+++ b/citrondyke/entry/visit.py
@@ -9,7 +9,7 @@
 from citrondyke.decisions.audit.record import OutcomeRecord, RecordKind
 from citrondyke.decisions.online.request import OnlineRequest, OnlineResult, OnlineResultKind
 from citrondyke.entry.online_errors import error_of_end
-from citrondyke.operator.measures import RequestSample
+from citrondyke.operator.request_metrics import RequestSample
 
 if TYPE_CHECKING:
     from citrondyke.decisions.configuration.entries import ClassEntry
--- a/citrondyke/gateway/callers/startup_gate.py
+++ b/citrondyke/gateway/callers/startup_gate.py
@@ -87,7 +87,7 @@
         self.opened_after_ms = waited_ms = self._context.now_ms() - started_ms
         self._record_milestones()
         if self._steps is not None:
-            self._steps.note('serving')
+            self._steps.record('serving')
             self.opened_after_ms = self._steps.done_ms['serving']
         log.info(
             'instance.serving',
@@ -113,5 +113,5 @@
         if self._steps is None:
             return
         for name in [name for name, is_done in self._milestones.items() if is_done()]:
-            self._steps.note(name)
+            self._steps.record(name)
             del self._milestones[name]
--- a/citrondyke/gateway/instance.py
+++ b/citrondyke/gateway/instance.py
@@ -286,7 +286,7 @@
         self._tasks.supervise(self._run_periodic_updates)
         self._tasks.spawn(self.gate.run)
         if self._steps is not None:
-            self._steps.note('started')
+            self._steps.record('started')
         self._tasks.supervise(lambda: self._adapters.traffic.run(self.metrics))
         log.info(
             'instance.started',
--- a/citrondyke/operator/explanation.py
+++ b/citrondyke/operator/explanation.py
@@ -5,16 +5,16 @@
 import msgspec
 
 from citrondyke.errors.unknown_id import UnknownIdError
-from citrondyke.operator.job_course import item_runs, job_cause
+from citrondyke.operator.job_history import explain_item, explain_job
 from citrondyke.operator.log_events import LogEvent, LogEvents
-from citrondyke.operator.request_course import content_cause, request_cause
+from citrondyke.operator.request_history import explain_content, explain_request
 
 __all__ = ('Explanation', 'explain')
 
 #: Changes of what an instance believed that lie this close to a request are shown with it.
-AROUND_S = 3.0
+CONTEXT_S = 3.0
 ID_FIELDS = ('request_id', 'job_id', 'item_id', 'content')
-BELIEFS = frozenset(
+CONTEXT_EVENTS = frozenset(
     (
         'config.taken',
         'limit.keeper_silent',
@@ -54,15 +54,15 @@
     ]
     if not course:
         raise UnknownIdError(wanted, len(logs.events))
-    around = _around(course, logs.events)
+    around = _context_events(course, logs.events)
     if any(event.get('job_id') == wanted for event in course):
-        cause, missing = job_cause(course)
+        cause, missing = explain_job(course)
     elif any(event.get('item_id') == wanted for event in course):
-        cause, missing = item_runs(course)
+        cause, missing = explain_item(course)
     elif any(event.get('content') == wanted for event in course):
-        cause, missing = content_cause(course), []
+        cause, missing = explain_content(course), []
     else:
-        cause, missing = request_cause(course, logs.events)
+        cause, missing = explain_request(course, logs.events)
     for kind, count in sorted(logs.left_out.items()):
         missing.append(f'{count} lines {kind} were left out under load')
     if logs.unreadable_count:
@@ -70,11 +70,13 @@
     return Explanation(wanted, course, around, cause, missing)
 
 
-def _around(course: list[LogEvent], events: list[LogEvent]) -> list[LogEvent]:
+def _context_events(course: list[LogEvent], events: list[LogEvent]) -> list[LogEvent]:
     instances = {event.instance for event in course}
-    first, last = course[0].time_s - AROUND_S, course[-1].time_s + AROUND_S
+    first, last = course[0].time_s - CONTEXT_S, course[-1].time_s + CONTEXT_S
     return [
         event
         for event in events
-        if event.event in BELIEFS and event.instance in instances and first <= event.time_s <= last
+        if event.event in CONTEXT_EVENTS
+        and event.instance in instances
+        and first <= event.time_s <= last
     ]
--- a/citrondyke/operator/item_course.py
+++ b/citrondyke/operator/item_history.py
@@ -11,18 +11,18 @@
 if TYPE_CHECKING:
     from citrondyke.operator.log_events import LogEvent
 
-__all__ = ('item_cause',)
+__all__ = ('item_loss_cause',)
 
 #: What follows a run that ended so, until the next one begins.
-AFTER = {
-    'gave_way': LossCause.ITEM_CUT,
+WAIT_CAUSES = {
+    'gave_way': LossCause.ITEM_PREEMPTED,
     'broken': LossCause.ITEM_FAILED,
     'stopped': LossCause.ITEM_FAILED,
     'failed': LossCause.ITEM_FAILED,
 }
 
 
-class _Spent(msgspec.Struct):
+class _TimeByCause(msgspec.Struct):
     """Seconds by what they went to."""
 
     spent_s: dict[LossCause, float]
@@ -31,7 +31,7 @@
     durable_s: float | None = None
 
 
-def item_cause(
+def item_loss_cause(
     item_id: str, accepted: LogEvent, course: list[LogEvent], target_ms: float
 ) -> LossCause | None:
     """Name what took most of an item's time; ``None`` where it was durable in time.
@@ -39,7 +39,7 @@
     :param accepted: the line of its job's acceptance.
     :param course: the lines of its job, in order.
     """
-    where = _spent(item_id, accepted, course)
+    where = _measure_time(item_id, accepted, course)
     if where.durable_s is not None and (where.durable_s - accepted.time_s) * 1e3 <= target_ms:
         return None
     if where.durable_s is None and where.is_finished and target_ms == float('inf'):
@@ -48,24 +48,24 @@
     return max(where.spent_s, key=lambda cause: where.spent_s[cause])
 
 
-def _spent(item_id: str, accepted: LogEvent, course: list[LogEvent]) -> _Spent:
-    where = _Spent({LossCause.ITEM_FOR_PLACE: 0.0})
+def _measure_time(item_id: str, accepted: LogEvent, course: list[LogEvent]) -> _TimeByCause:
+    where = _TimeByCause({LossCause.ITEM_FOR_CAPACITY: 0.0})
     spent = where.spent_s
     at_s = accepted.time_s
-    waiting = LossCause.ITEM_FOR_PLACE
+    waiting = LossCause.ITEM_FOR_CAPACITY
     finished_s = None
     for event in course:
         if event.event == 'job.taken_over' and finished_s is None:
             # From the last that is known of the owner before on.
             _add(spent, LossCause.ITEM_OWNER_LOST, event.time_s - at_s)
-            at_s, waiting = event.time_s, LossCause.ITEM_FOR_PLACE
+            at_s, waiting = event.time_s, LossCause.ITEM_FOR_CAPACITY
         elif event.event == 'item.run' and event.get('item_id') == item_id:
             began_s = event.time_s - float(event.get('took_ms') or 0.0) / 1e3
             _add(spent, waiting, began_s - at_s)
             _add(spent, LossCause.ITEM_RUNNING, event.time_s - max(at_s, began_s))
             at_s = event.time_s
             end = str(event.get('end'))
-            waiting = AFTER.get(end, LossCause.ITEM_FOR_PLACE)
+            waiting = WAIT_CAUSES.get(end, LossCause.ITEM_FOR_CAPACITY)
             if end in ('completed', 'impossible'):
                 finished_s = at_s
                 where.is_finished = True
--- a/citrondyke/operator/job_course.py
+++ b/citrondyke/operator/job_history.py
@@ -7,10 +7,10 @@
 if TYPE_CHECKING:
     from citrondyke.operator.log_events import LogEvent
 
-__all__ = ('item_runs', 'job_cause')
+__all__ = ('explain_item', 'explain_job')
 
 
-def job_cause(course: list[LogEvent]) -> tuple[str, list[str]]:
+def explain_job(course: list[LogEvent]) -> tuple[str, list[str]]:
     """Tell what became of a job.
 
     :param course: the lines about it, in order.
@@ -35,7 +35,7 @@
         f' at {event.time_s:.3f}.'
         for event in owners
     ]
-    parts += _runs(course)
+    parts += _describe_runs(course)
     listed = [int(event.get('listed') or 0) for event in course if event.event == 'job.commit']
     total = next((event.get('of') for event in course if event.event == 'job.commit'), None)
     if listed:
@@ -45,12 +45,12 @@
     return ' '.join(parts) or 'Only questions about it are in the logs.', missing
 
 
-def item_runs(course: list[LogEvent]) -> tuple[str, list[str]]:
-    """Tell how the runs of an item ended; as ``job_cause`` does."""
-    return ' '.join(_runs(course)), []
+def explain_item(course: list[LogEvent]) -> tuple[str, list[str]]:
+    """Tell how the runs of an item ended; as ``explain_job`` does."""
+    return ' '.join(_describe_runs(course)), []
 
 
-def _runs(course: list[LogEvent]) -> list[str]:
+def _describe_runs(course: list[LogEvent]) -> list[str]:
     counts: dict[Any, int] = {}
     for event in course:
         if event.event == 'item.run':
--- a/citrondyke/operator/loss_causes.py
+++ b/citrondyke/operator/loss_causes.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from citrondyke.operator.item_course import item_cause
+from citrondyke.operator.item_history import item_loss_cause
 from citrondyke.operator.loss_report import Loss, LossCause, LossReport
 
 if TYPE_CHECKING:
@@ -17,23 +17,23 @@
 __all__ = ('find_losses',)
 
 #: Part of its target that a request was expected to wait, from which on the place is the cause.
-WAIT_SHARE = 0.25
-ENDS = {
-    'turned_away': LossCause.TURNED_AWAY,
+LATE_WAIT_SHARE = 0.25
+CAUSES_BY_END = {
+    'turned_away': LossCause.REJECTED,
     'over_limit': LossCause.OVER_LIMIT,
     'limit_unknown': LossCause.OVER_LIMIT,
-    'key_gone': LossCause.NOT_TAKEN,
+    'key_gone': LossCause.NOT_ACCEPTED,
     'no_server': LossCause.NO_SERVER,
     'not_run': LossCause.NO_SERVER,
-    'broken': LossCause.BROKE_OFF,
-    'cut_midway': LossCause.BROKE_OFF,
+    'broken': LossCause.ABORTED,
+    'cut_midway': LossCause.ABORTED,
     'stopped': LossCause.STOPPED,
     'on_trial': LossCause.STOPPED,
     'server_failure': LossCause.SERVER_FAILED,
     'timed_out': LossCause.TIMED_OUT,
-    'caller_gone': LossCause.CALLER_LEFT,
+    'caller_gone': LossCause.CALLER_DISCONNECTED,
 }
-NOT_TAKEN = frozenset(
+REJECTION_EVENTS = frozenset(
     ('request.no_route', 'request.no_account', 'request.too_many', 'request.improper')
 )
 
@@ -48,8 +48,8 @@
     """
     from_s = logs.events[0].time_s if logs.events else 0.0
     found = _Losses(LossReport(from_s, window_s))
-    _note_requests(logs.events, targets_ms, found)
-    _note_items(logs.events, targets_ms, found)
+    _record_requests(logs.events, targets_ms, found)
+    _record_items(logs.events, targets_ms, found)
     report = found.report
     report.losses.sort(key=lambda loss: -loss.count)
     report.missing += [
@@ -66,7 +66,7 @@
         self.report = report
         self._by_cause: dict[tuple[str, LossCause], Loss] = {}
 
-    def note(self, cause: LossCause, route: str, time_s: float, example: str) -> None:
+    def record(self, cause: LossCause, route: str, time_s: float, example: str) -> None:
         loss = self._by_cause.get((route, cause))
         if loss is None:
             loss = self._by_cause[route, cause] = Loss(cause, route, example=example)
@@ -81,45 +81,47 @@
     end: LogEvent | None = None
 
 
-def _note_requests(events: list[LogEvent], targets_ms: Mapping[str, float], found: _Losses) -> None:
+def _record_requests(
+    events: list[LogEvent], targets_ms: Mapping[str, float], found: _Losses
+) -> None:
     requests: dict[str, _Request] = {}
     for event in events:
         request_id = str(event.get('request_id') or '')
-        if event.event in NOT_TAKEN:
+        if event.event in REJECTION_EVENTS:
             found.report.requests_count += 1
-            found.note(LossCause.NOT_TAKEN, '', event.time_s, request_id)
+            found.record(LossCause.NOT_ACCEPTED, '', event.time_s, request_id)
         elif event.event == 'request.sent':
             requests.setdefault(request_id, _Request()).sent = event
         elif event.event == 'request.end':
             requests.setdefault(request_id, _Request()).end = event
         elif event.event == 'job.refused':
-            found.note(LossCause.JOB_REFUSED, '', event.time_s, str(event.get('job_id')))
+            found.record(LossCause.JOB_REJECTED, '', event.time_s, str(event.get('job_id')))
     found.report.requests_count += len(requests)
     for request_id, request in requests.items():
-        cause = _request_cause(request, targets_ms)
+        cause = _request_loss_cause(request, targets_ms)
         last = request.end or request.sent
         if cause is not None and last is not None:
-            found.note(cause, str(last.get('route') or ''), last.time_s, request_id)
+            found.record(cause, str(last.get('route') or ''), last.time_s, request_id)
 
 
-def _request_cause(request: _Request, targets_ms: Mapping[str, float]) -> LossCause | None:
+def _request_loss_cause(request: _Request, targets_ms: Mapping[str, float]) -> LossCause | None:
     end, sent = request.end, request.sent
     if end is None:
         return LossCause.INSTANCE_LOST
     if end.get('end') != 'done':
-        return ENDS.get(str(end.get('end')), LossCause.BROKE_OFF)
+        return CAUSES_BY_END.get(str(end.get('end')), LossCause.ABORTED)
     target_ms = targets_ms.get(str(end.get('route')), targets_ms.get('*', float('inf')))
     if float(end.get('first_ms') or 0.0) <= target_ms:
         return None
     if int(end.get('sends') or 0) > 1:
-        return LossCause.LATE_SENT_AGAIN
+        return LossCause.LATE_RESENT
     expected_ms = float(sent.get('expected_wait_ms') or 0.0) if sent is not None else 0.0
-    if expected_ms >= WAIT_SHARE * target_ms:
-        return LossCause.LATE_FOR_PLACE
+    if expected_ms >= LATE_WAIT_SHARE * target_ms:
+        return LossCause.LATE_FOR_CAPACITY
     return LossCause.LATE_AT_SERVER
 
 
-def _note_items(events: list[LogEvent], targets_ms: Mapping[str, float], found: _Losses) -> None:
+def _record_items(events: list[LogEvent], targets_ms: Mapping[str, float], found: _Losses) -> None:
     accepted: dict[str, LogEvent] = {}
     lines: dict[str, list[LogEvent]] = {}
     for event in events:
@@ -139,8 +141,8 @@
         target_ms = targets_ms.get(route, float('inf'))
         items = {str(event.get('item_id')) for event in course if event.event == 'item.run'}
         for item_id in sorted(items):
-            cause = item_cause(item_id, start, course, target_ms)
+            cause = item_loss_cause(item_id, start, course, target_ms)
             if cause is not None:
-                found.note(cause, route, start.time_s + target_ms / 1e3, item_id)
+                found.record(cause, route, start.time_s + target_ms / 1e3, item_id)
         for _ in range(count - len(items)):
-            found.note(LossCause.ITEM_NEVER_RAN, route, start.time_s, job_id)
+            found.record(LossCause.ITEM_NEVER_RAN, route, start.time_s, job_id)
--- a/citrondyke/operator/loss_report.py
+++ b/citrondyke/operator/loss_report.py
@@ -13,33 +13,33 @@
     """Why a request or an item of a batch job was lost or late."""
 
     #: No place was to be expected in time.
-    TURNED_AWAY = 'turned away'
+    REJECTED = 'turned away'
     #: Its account had had what its limit allows, or nobody could say.
     OVER_LIMIT = 'over the limit of its account'
     #: Each server that was asked turned it away, or none took work.
     NO_SERVER = 'no server took it'
     #: No route, too many connections, an improper head.
-    NOT_TAKEN = 'not taken by the instance'
+    NOT_ACCEPTED = 'not taken by the instance'
     #: It broke off, or stayed silent, at a server.
-    BROKE_OFF = 'broke off at a server'
+    ABORTED = 'broke off at a server'
     #: Servers had ended under the same work; it was not sent on.
     STOPPED = 'stopped as servers end under it'
     #: A server's own failure was passed on.
     SERVER_FAILED = 'failed at a server'
     TIMED_OUT = 'timed out'
-    CALLER_LEFT = 'its caller left'
+    CALLER_DISCONNECTED = 'its caller left'
     #: The lines of its instance end in the middle of it.
     INSTANCE_LOST = 'its instance was lost'
     #: Late, and sent to more than one server.
-    LATE_SENT_AGAIN = 'late: sent again'
+    LATE_RESENT = 'late: sent again'
     #: Late, and a wait was expected when it was sent.
-    LATE_FOR_PLACE = 'late: waited for a place'
+    LATE_FOR_CAPACITY = 'late: waited for a place'
     #: Late though a place was expected to be free.
     LATE_AT_SERVER = 'late: slow at its server'
-    JOB_REFUSED = 'job not accepted'
+    JOB_REJECTED = 'job not accepted'
     ITEM_NEVER_RAN = 'item never ran'
-    ITEM_FOR_PLACE = 'item waited for a place'
-    ITEM_CUT = 'item waited after it gave way'
+    ITEM_FOR_CAPACITY = 'item waited for a place'
+    ITEM_PREEMPTED = 'item waited after it gave way'
     ITEM_FAILED = 'item waited after a failed run'
     ITEM_OWNER_LOST = 'item waited for a new owner'
     ITEM_RUNNING = 'item ran for too long'
--- a/citrondyke/operator/request_course.py
+++ b/citrondyke/operator/request_history.py
@@ -8,9 +8,9 @@
 if TYPE_CHECKING:
     from citrondyke.operator.log_events import LogEvent
 
-__all__ = ('content_cause', 'request_cause')
+__all__ = ('explain_content', 'explain_request')
 
-OUTCOMES = {
+OUTCOME_TEXTS = {
     'not_sent': 'no connection came about',
     'refused': 'the server stated that it did not run it',
     'failed': 'the server answered with a failure',
@@ -18,7 +18,7 @@
 }
 
 #: Lines about how an instance holds a server, and the words for it.
-STANDINGS: dict[str, str | None] = {
+HEALTH_TEXTS: dict[str, str | None] = {
     'server.doubted': 'in doubt',
     'server.out': 'out',
     'server.back': 'in doubt',
@@ -26,7 +26,7 @@
 }
 
 
-def request_cause(course: list[LogEvent], events: list[LogEvent]) -> tuple[str, list[str]]:
+def explain_request(course: list[LogEvent], events: list[LogEvent]) -> tuple[str, list[str]]:
     """Tell why a request ended as it did.
 
     :param course: the lines about it, in order.
@@ -35,32 +35,32 @@
     """
     by_kind = {event.event: event for event in course}
     if 'request.no_route' in by_kind:
-        return _no_route(by_kind['request.no_route']), []
+        return _describe_no_route(by_kind['request.no_route']), []
     if 'request.no_account' in by_kind:
-        return _no_account(by_kind['request.no_account']), []
+        return _describe_no_account(by_kind['request.no_account']), []
     if 'request.too_many' in by_kind:
         return 'The instance had as many connections as it may have.', []
     if 'job.refused' in by_kind:
         return f'The job was not taken: {by_kind["job.refused"].get("reason")}.', []
     end = by_kind.get('request.end')
     if end is None:
-        return _no_end(course, events)
+        return _describe_lost_end(course, events)
     sends = [event for event in course if event.event == 'send.failed']
     turned_away = by_kind.get('request.turned_away')
     reasons: dict[str, str] = {
         'done': 'It was answered.',
-        'turned_away': _turned_away(turned_away),
+        'turned_away': _describe_rejection(turned_away),
         'no_server': 'No server of its service took work.',
         'not_run': 'Every server that was asked turned it away; none ran it.',
         'broken': 'A server may have run it and its answer did not come whole; '
         'it may not run again.',
         'timed_out': 'No whole answer came before the deadline.',
         'cut_midway': 'Its stream broke off and may not go on elsewhere.',
-        'over_limit': _limit(by_kind.get('request.over_limit')),
-        'limit_unknown': _limit(by_kind.get('request.over_limit')),
+        'over_limit': _describe_limit(by_kind.get('request.over_limit')),
+        'limit_unknown': _describe_limit(by_kind.get('request.over_limit')),
         'key_gone': 'Its key was taken away before another server was tried.',
-        'stopped': _stopped(by_kind.get('request.stopped')),
-        'on_trial': _stopped(by_kind.get('request.stopped')),
+        'stopped': _describe_stop(by_kind.get('request.stopped')),
+        'on_trial': _describe_stop(by_kind.get('request.stopped')),
         'server_failure': 'The servers answered with a failure, which was passed on.',
         'caller_gone': 'The caller closed its connection.',
     }
@@ -72,11 +72,11 @@
         missing.append('request.turned_away')
     if end.get('end') in ('broken', 'timed_out', 'cut_midway', 'not_run') and not sends:
         missing.append('send.failed')
-    told = [f'{_send(send)}{_server_then(send, events)}' for send in sends]
+    told = [f'{_describe_send(send)}{_describe_health(send, events)}' for send in sends]
     return ' '.join([cause, *told]), missing
 
 
-def content_cause(course: list[LogEvent]) -> str:
+def explain_content(course: list[LogEvent]) -> str:
     """Tell what became of all attempts at the same work."""
     ended = {event.get('server') for event in course if event.event == 'suspect.counted'}
     sends = {event.get('request_id') for event in course if event.event == 'send.failed'}
@@ -92,7 +92,7 @@
     return ' '.join(parts)
 
 
-def _limit(event: LogEvent | None) -> str:
+def _describe_limit(event: LogEvent | None) -> str:
     if event is None:
         return 'It was not sent because of the limit of its account.'
     account = event.get('account')
@@ -106,7 +106,7 @@
     return f'Nobody could say whether account {account} had had its {limit}.'
 
 
-def _no_account(event: LogEvent) -> str:
+def _describe_no_account(event: LogEvent) -> str:
     if event.get('reason') == 'no_configuration':
         return 'The instance had no configuration yet.'
     brought = 'brought no key' if event.get('reason') == 'no_key' else 'brought a key of nobody'
@@ -117,7 +117,7 @@
     return f'{cause} That was not certain: the store had last confirmed it {age_ms} ms before.'
 
 
-def _no_route(event: LogEvent) -> str:
+def _describe_no_route(event: LogEvent) -> str:
     if event.get('status') == 404:  # noqa: PLR2004
         return (
             f'Configuration {event.get("config_version")}, confirmed '
@@ -131,7 +131,7 @@
     )
 
 
-def _turned_away(event: LogEvent | None) -> str:
+def _describe_rejection(event: LogEvent | None) -> str:
     if event is None:
         return 'No place was to be expected in time.'
     return (
@@ -142,7 +142,7 @@
     )
 
 
-def _stopped(event: LogEvent | None) -> str:
+def _describe_stop(event: LogEvent | None) -> str:
     if event is None:
         return 'Servers had ended under the same work.'
     return (
@@ -151,32 +151,32 @@
     )
 
 
-def _send(event: LogEvent) -> str:
-    outcome = OUTCOMES.get(str(event.get('outcome')), str(event.get('outcome')))
+def _describe_send(event: LogEvent) -> str:
+    outcome = OUTCOME_TEXTS.get(str(event.get('outcome')), str(event.get('outcome')))
     detail = f' ({event.get("detail")})' if event.get('detail') else ''
     return f'At {event.get("server_id")}: {outcome}{detail} after {event.get("took_ms")} ms.'
 
 
-def _server_then(send: LogEvent, events: list[LogEvent]) -> str:
+def _describe_health(send: LogEvent, events: list[LogEvent]) -> str:
     """Tell how the instance held a server that failed a send; nothing where it was sound."""
     known = [
         event
         for event in events
-        if event.event in STANDINGS
+        if event.event in HEALTH_TEXTS
         and event.instance == send.instance
         and event.get('server_id') == send.get('server_id')
         and event.time_s <= send.time_s
     ]
-    if not known or STANDINGS[known[-1].event] is None:
+    if not known or HEALTH_TEXTS[known[-1].event] is None:
         return ''
     last = known[-1]
     return (
-        f' It had been {STANDINGS[last.event]} there for {send.time_s - last.time_s:.1f} s, '
+        f' It had been {HEALTH_TEXTS[last.event]} there for {send.time_s - last.time_s:.1f} s, '
         f'by {last.get("failures")} failures that {last.get("witnesses_count")} instances saw.'
     )
 
 
-def _no_end(course: list[LogEvent], events: list[LogEvent]) -> tuple[str, list[str]]:
+def _describe_lost_end(course: list[LogEvent], events: list[LogEvent]) -> tuple[str, list[str]]:
     instance = course[-1].instance
     begun = next(
         (
--- a/citrondyke/operator/measures.py
+++ b/citrondyke/operator/request_metrics.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from citrondyke.ids import ClassName, TenantId
 
-__all__ = ('MeasureReport', 'Measures', 'Quantity', 'RequestSample')
+__all__ = ('MetricsReport', 'Quantity', 'RequestMetrics', 'RequestSample')
 
 
 class Quantity(Enum):
@@ -39,7 +39,7 @@
     is_kept: bool | None = None
 
 
-class MeasureReport(msgspec.Struct, frozen=True):
+class MetricsReport(msgspec.Struct, frozen=True):
     """All measures of one instance, as sent to operators."""
 
     by_class: dict[str, dict[str, HistogramData]]
@@ -50,7 +50,7 @@
     dropped_tenants_count: int
 
 
-class Measures:
+class RequestMetrics:
     """Histograms by class and by tenant, with a bound on memory."""
 
     def __init__(self, tenants_limit: int) -> None:
@@ -72,28 +72,28 @@
         if sample.is_kept is not None:
             (self.kept if sample.is_kept else self.missed)[sample.class_name] += 1
         by_class = self._by_class.setdefault(sample.class_name, {})
-        by_tenant = self._of_tenant(sample.tenant_id)
+        by_tenant = self._tenant_histograms(sample.tenant_id)
         for histograms in (by_class, by_tenant):
-            _add(histograms, Quantity.TOTAL, sample.total_ms)
+            _add_value(histograms, Quantity.TOTAL, sample.total_ms)
             if sample.first_token_ms is None:
                 continue
-            _add(histograms, Quantity.FIRST_TOKEN, sample.first_token_ms)
+            _add_value(histograms, Quantity.FIRST_TOKEN, sample.first_token_ms)
             if sample.tokens_count > 1:
                 spread_ms = sample.total_ms - sample.first_token_ms
-                _add(histograms, Quantity.TOKEN_GAP, spread_ms / (sample.tokens_count - 1))
+                _add_value(histograms, Quantity.TOKEN_GAP, spread_ms / (sample.tokens_count - 1))
 
-    def report(self, *, with_tenants: bool) -> MeasureReport:
+    def report(self, *, with_tenants: bool) -> MetricsReport:
         """Give everything as sent to operators."""
-        return MeasureReport(
-            by_class=_data(self._by_class),
-            by_tenant=_data(self._by_tenant) if with_tenants else {},
+        return MetricsReport(
+            by_class=_histogram_data(self._by_class),
+            by_tenant=_histogram_data(self._by_tenant) if with_tenants else {},
             outcomes=dict(self.outcomes),
             kept=dict(self.kept),
             missed=dict(self.missed),
             dropped_tenants_count=self.dropped_tenants_count,
         )
 
-    def _of_tenant(self, tenant_id: TenantId) -> dict[Quantity, SparseHistogram]:
+    def _tenant_histograms(self, tenant_id: TenantId) -> dict[Quantity, SparseHistogram]:
         histograms = self._by_tenant.get(tenant_id)
         if histograms is None:
             histograms = self._by_tenant[tenant_id] = {}
@@ -105,14 +105,16 @@
         return histograms
 
 
-def _add(histograms: dict[Quantity, SparseHistogram], quantity: Quantity, value_ms: float) -> None:
+def _add_value(
+    histograms: dict[Quantity, SparseHistogram], quantity: Quantity, value_ms: float
+) -> None:
     histogram = histograms.get(quantity)
     if histogram is None:
         histogram = histograms[quantity] = SparseHistogram()
     histogram.add(value_ms)
 
 
-def _data(
+def _histogram_data(
     groups: dict[str, dict[Quantity, SparseHistogram]],
 ) -> dict[str, dict[str, HistogramData]]:
     return {
--- a/citrondyke/operator/statsd_reporter.py
+++ b/citrondyke/operator/statsd_reporter.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from citrondyke.operator.measures import Measures
+    from citrondyke.operator.request_metrics import RequestMetrics
     from citrondyke.settings.model import StatsdSettings
 
 __all__ = ('StatsdReporter',)
@@ -21,14 +21,17 @@
     """Reports what changed, once in a while, so that its cost does not grow with the traffic."""
 
     def __init__(
-        self, settings: StatsdSettings, measures: Measures, gauges: Callable[[], dict[str, float]]
+        self,
+        settings: StatsdSettings,
+        metrics: RequestMetrics,
+        gauges: Callable[[], dict[str, float]],
     ) -> None:
         """Report nothing before ``start``.
 
         :param gauges: gives the levels to report.
         """
         self._settings = settings
-        self._measures = measures
+        self._metrics = metrics
         self._gauges = gauges
         self._reported: Counter[str] = Counter()
 
@@ -42,11 +45,11 @@
         while True:
             gevent.sleep(self._settings.every_ms / 1e3)
             with client.pipeline() as pipe:
-                for name, count in self._measures.outcomes.items():
+                for name, count in self._metrics.outcomes.items():
                     pipe.incr(f'requests.{_clean(name)}', count - self._reported[name])
                 for name, level in self._gauges().items():
                     pipe.gauge(name, level)
-            self._reported = Counter(self._measures.outcomes)
+            self._reported = Counter(self._metrics.outcomes)
 
 
 def _clean(name: str) -> str:
--- a/citrondyke/operator/terminal.py
+++ b/citrondyke/operator/terminal.py
@@ -12,7 +12,7 @@
 __all__ = ('histogram_table',)
 
 BAR_CHARS = 40
-ROWS = 12
+MAX_ROWS = 12
 
 
 def histogram_table(title: str, histogram: SparseHistogram) -> Table:
@@ -24,16 +24,16 @@
     table.add_column('up to ms', justify='right')
     table.add_column('requests', justify='right')
     table.add_column('')
-    rows = _grouped(histogram.buckets())
+    rows = _group_buckets(histogram.buckets())
     most = max((count for _, count in rows), default=1)
     for value_ms, count in rows:
         table.add_row(f'{value_ms:.1f}', str(count), '█' * max(1, count * BAR_CHARS // most))
     return table
 
 
-def _grouped(buckets: list[tuple[float, int]]) -> list[tuple[float, int]]:
+def _group_buckets(buckets: list[tuple[float, int]]) -> list[tuple[float, int]]:
     """Join neighbouring buckets until they fit the screen."""
-    group = -(-len(buckets) // ROWS) or 1
+    group = -(-len(buckets) // MAX_ROWS) or 1
     return [
         (
             buckets[min(start + group, len(buckets)) - 1][0],
--- a/citrondyke/platform/outside.py
+++ b/citrondyke/platform/adapters.py
@@ -16,16 +16,16 @@
     decode_config,
     decode_server,
 )
-from citrondyke.platform.store_client import PlatformObjects, PlatformTable
+from citrondyke.platform.store_client import PlatformObjectStore, PlatformTable
 
 if TYPE_CHECKING:
     from citrondyke.gateway.settings import GatewaySettings
     from citrondyke.util.clock import Clock
 
-__all__ = ('platform_outside',)
+__all__ = ('create_platform_adapters',)
 
 
-def platform_outside(
+def create_platform_adapters(
     clock: Clock, settings: GatewaySettings, source_ip: str = ''
 ) -> PlatformAdapters:
     """Make the clients of the platform.
@@ -37,7 +37,7 @@
     traffic = StoreTraffic()
     return PlatformAdapters(
         PlatformTable(http, settings.store.call_timeout_ms, traffic),
-        PlatformObjects(http, settings.store.call_timeout_ms),
+        PlatformObjectStore(http, settings.store.call_timeout_ms),
         CONFIG_TABLE,
         SERVERS_TABLE,
         RowDecoder(CONFIG_KEY, decode_config, decode_server),
--- a/citrondyke/platform/dialect.py
+++ b/citrondyke/platform/dialect.py
@@ -33,24 +33,24 @@
 
 __all__ = ('PlatformDialect',)
 
-ATTEMPT = b'attempt-id'
+ATTEMPT_HEADER = b'attempt-id'
 #: How long the sender waits; a length of time, though its name says deadline.
-DEADLINE = b'deadline-ms'
-LAST_EVENT = b'last-event-id'
-PREFIX = b'prefix-hash'
+TIMEOUT_HEADER = b'deadline-ms'
+LAST_EVENT_HEADER = b'last-event-id'
+PREFIX_HEADER = b'prefix-hash'
 #: The server's own mark on its answer.
-SEAL = b'response-seal'
-EXPECT_SERVER = b'expect-instance'
-NOT_RUN = b'not-executed'
+SEAL_HEADER = b'response-seal'
+EXPECT_SERVER_HEADER = b'expect-instance'
+NOT_RUN_HEADER = b'not-executed'
 #: Of a server: running, waiting, slots.
-LOAD = b'instance-load'
-WAIT = b'wait-ms'
-KEY = b'x-api-key'
+LOAD_HEADER = b'instance-load'
+WAIT_HEADER = b'wait-ms'
+KEY_HEADER = b'x-api-key'
 #: The account of the key that a request brought, for its server.
-ACCOUNT = b'tenant'
-MISDIRECTED = 421
+ACCOUNT_HEADER = b'tenant'
+MISDIRECTED_REQUEST = 421
 #: Headers that concern one connection only, and those that this instance sets anew.
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
         b'keep-alive',
@@ -65,7 +65,9 @@
         b'expect',
     )
 )
-SET_ANEW = frozenset((DEADLINE, EXPECT_SERVER, LAST_EVENT, KEY, ACCOUNT))
+REPLACED_HEADERS = frozenset(
+    (TIMEOUT_HEADER, EXPECT_SERVER_HEADER, LAST_EVENT_HEADER, KEY_HEADER, ACCOUNT_HEADER)
+)
 RESULTS_PATH = '/-/lots/'
 ITEMS_PATH = '/-/items/'
 #: What can stand in a request's first line.
@@ -101,14 +103,14 @@
 
     def request_metadata(self, request: CallerRequest) -> RequestMetadata:
         """Read what a caller says."""
-        request_id = (request.header(ATTEMPT) or b'').decode('latin-1')
-        prefix = (request.header(PREFIX) or b'').decode('latin-1')
+        request_id = (request.header(ATTEMPT_HEADER) or b'').decode('latin-1')
+        prefix = (request.header(PREFIX_HEADER) or b'').decode('latin-1')
         # The last entry is the request's own; what stands before it is shared.
         shared = prefix.rpartition(',')[0]
         return RequestMetadata(
             request_id=RequestId(request_id),
-            within_ms=_number(request.header(DEADLINE)),
-            last_event_id=_whole(request.header(LAST_EVENT)),
+            within_ms=_parse_float(request.header(TIMEOUT_HEADER)),
+            last_event_id=_parse_int(request.header(LAST_EVENT_HEADER)),
             prefix=shared,
             key_digest=_key_digest(request),
         )
@@ -122,34 +124,36 @@
         account_id: TenantId,
     ) -> Headers:
         """Make the headers of a request to a server from a caller's."""
-        made = [pair for pair in _end_to_end(headers) if pair[0] not in SET_ANEW]
-        made.append((EXPECT_SERVER, server_id.encode()))
+        made = [pair for pair in _end_to_end_headers(headers) if pair[0] not in REPLACED_HEADERS]
+        made.append((EXPECT_SERVER_HEADER, server_id.encode()))
         if left_ms is not None:
-            made.append((DEADLINE, str(max(1, int(left_ms))).encode()))
+            made.append((TIMEOUT_HEADER, str(max(1, int(left_ms))).encode()))
         if last_event_id is not None:
-            made.append((LAST_EVENT, str(last_event_id).encode()))
+            made.append((LAST_EVENT_HEADER, str(last_event_id).encode()))
         if account_id:
-            made.append((ACCOUNT, account_id.encode()))
+            made.append((ACCOUNT_HEADER, account_id.encode()))
         return made
 
     def reply_metadata(self, head: ReplyHead) -> ReplyMetadata:
         """Read what a server says."""
         return ReplyMetadata(
-            request_id=(head.header(ATTEMPT) or b'').decode('latin-1'),
-            is_signed=head.header(SEAL) is not None and head.header(b'content-encoding') is None,
-            was_not_run=head.header(NOT_RUN) is not None or head.status == MISDIRECTED,
-            is_misplaced=head.status == MISDIRECTED,
-            load=_load(head.header(LOAD)),
-            pace=_pace(head.header(LOAD)),
+            request_id=(head.header(ATTEMPT_HEADER) or b'').decode('latin-1'),
+            is_signed=head.header(SEAL_HEADER) is not None
+            and head.header(b'content-encoding') is None,
+            was_not_run=head.header(NOT_RUN_HEADER) is not None
+            or head.status == MISDIRECTED_REQUEST,
+            is_misplaced=head.status == MISDIRECTED_REQUEST,
+            load=_parse_load(head.header(LOAD_HEADER)),
+            pace=_parse_slowdown(head.header(LOAD_HEADER)),
         )
 
     def response_headers(self, head: ReplyHead) -> Headers:
         """Make the headers of an answer to a caller from a server's."""
-        return _end_to_end(head.headers)
+        return _end_to_end_headers(head.headers)
 
     def own_response_headers(self, request_id: RequestId, retry_in_ms: float | None) -> Headers:
         """Make the headers of this instance's own answer."""
-        made: Headers = [(ATTEMPT, request_id.encode('latin-1'))]
+        made: Headers = [(ATTEMPT_HEADER, request_id.encode('latin-1'))]
         if retry_in_ms is not None:
             made.append((b'retry-after', f'{retry_in_ms / 1e3:.3f}'.encode()))
         return made
@@ -168,7 +172,7 @@
                     kind=JobCallKind.READ,
                     job_id=job_id,
                     after=int(after) if after.isdigit() else 0,
-                    wait_ms=_number(request.header(WAIT)) or 0.0,
+                    wait_ms=_parse_float(request.header(WAIT_HEADER)) or 0.0,
                 )
         if path.startswith(ITEMS_PATH) and request.method == b'GET':
             return JobCall(
@@ -204,7 +208,10 @@
 
     def item_headers(self, item: JobItem, host: str) -> Headers:
         """Make the headers that a batch item's request starts from."""
-        made: Headers = [(b'host', host.encode('latin-1')), (ATTEMPT, item.id.encode('latin-1'))]
+        made: Headers = [
+            (b'host', host.encode('latin-1')),
+            (ATTEMPT_HEADER, item.id.encode('latin-1')),
+        ]
         made.extend(
             (name.lower().encode('latin-1'), value.encode('latin-1'))
             for name, value in item.headers.items()
@@ -219,7 +226,7 @@
     """
     check_headers(
         [
-            (ATTEMPT, item.id.encode('latin-1')),
+            (ATTEMPT_HEADER, item.id.encode('latin-1')),
             *(
                 (name.encode('latin-1'), value.encode('latin-1'))
                 for name, value in item.headers.items()
@@ -232,48 +239,50 @@
 
 def _key_digest(request: CallerRequest) -> str:
     """Digest the key at once, so that its text goes no further; two keys are nobody's."""
-    keys = [value for name, value in request.headers if name == KEY]
+    keys = [value for name, value in request.headers if name == KEY_HEADER]
     return key_hash(b','.join(keys).decode('latin-1')) if keys else ''
 
 
-def _end_to_end(headers: Headers) -> Headers:
+def _end_to_end_headers(headers: Headers) -> Headers:
     named: set[bytes] = set()
     for name, value in headers:
         if name == b'connection':
             named.update(part.strip().lower() for part in value.split(b','))
-    return [pair for pair in headers if pair[0] not in HOP_HEADERS and pair[0] not in named]
+    return [pair for pair in headers if pair[0] not in HOP_BY_HOP_HEADERS and pair[0] not in named]
 
 
-def _number(value: bytes | None) -> float | None:
+def _parse_float(value: bytes | None) -> float | None:
     try:
         return None if value is None else float(value)
     except ValueError:
         return None
 
 
-def _whole(value: bytes | None) -> int | None:
+def _parse_int(value: bytes | None) -> int | None:
     return int(value) if value is not None and value.isdigit() else None
 
 
 #: Digits of a count that are read; more are no count of requests, and costly to read.
-COUNT_DIGITS = 9
+MAX_COUNT_DIGITS = 9
 
 
-def _load(value: bytes | None) -> tuple[int, int] | None:
+def _parse_load(value: bytes | None) -> tuple[int, int] | None:
     """Read the running and the waiting requests; whatever stands behind them may be odd."""
-    counts = [_whole(part.strip()[:COUNT_DIGITS]) for part in (value or b'').split(b',')[:2]]
+    counts = [
+        _parse_int(part.strip()[:MAX_COUNT_DIGITS]) for part in (value or b'').split(b',')[:2]
+    ]
     if len(counts) < 2 or counts[0] is None or counts[1] is None:  # noqa: PLR2004
         return None
     return counts[0], counts[1]
 
 
 #: The figure of how long work takes stands here, in percent of the usual.
-PACE_INDEX = 3
+SLOWDOWN_INDEX = 3
 
 
-def _pace(value: bytes | None) -> float | None:
+def _parse_slowdown(value: bytes | None) -> float | None:
     parts = (value or b'').split(b',')
-    if len(parts) <= PACE_INDEX:
+    if len(parts) <= SLOWDOWN_INDEX:
         return None
-    percent = _number(parts[PACE_INDEX].strip())
+    percent = _parse_float(parts[SLOWDOWN_INDEX].strip())
     return math.nan if percent is None else percent / 100.0
--- a/citrondyke/platform/rows.py
+++ b/citrondyke/platform/rows.py
@@ -30,7 +30,7 @@
 CONFIG_KEY = 'config'
 SERVERS_TABLE = 'servers'
 
-KINDS = {
+ROUTE_KINDS = {
     'idempotent': RouteKind.IDEMPOTENT,
     'non_idempotent': RouteKind.ONCE,
     'streaming': RouteKind.STREAM,
@@ -39,14 +39,14 @@
 #: Ids go into a header as they are: printable ASCII, up to the length of a key.
 ID_PATTERN = re.compile(r'[!-~]{1,200}')
 #: What a counter on the wire between instances holds.
-Counter = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
+NonNegativeInt64 = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
 #: Places of a server: counts of requests on it are 16 bits wide on that wire.
-Slots = Annotated[int, msgspec.Meta(ge=1, le=65_535)]
+SlotsCount = Annotated[int, msgspec.Meta(ge=1, le=65_535)]
 NonEmpty = Annotated[str, msgspec.Meta(min_length=1)]
-PORT_LIMIT = 65_535
+MAX_PORT = 65_535
 #: Accounts and keys of one configuration; with as many as these it takes 40 MB.
-ACCOUNTS_LIMIT = 20_000
-KEYS_LIMIT = 50_000
+MAX_ACCOUNTS = 20_000
+MAX_KEYS = 50_000
 
 
 class _Share(msgspec.Struct, frozen=True):
@@ -95,7 +95,7 @@
 
 
 class _Config(msgspec.Struct, frozen=True):
-    version: Counter
+    version: NonNegativeInt64
     routes: list[_Route] = []
     limits: _Limits = _Limits()
     tenants: list[_Tenant] | msgspec.UnsetType = msgspec.UNSET
@@ -106,13 +106,13 @@
     address: str
     zone: NonEmpty
     version: str
-    slots: Slots
+    slots: SlotsCount
     state: Literal['ready', 'draining']
     cold_left_ms: float
     #: Of this life's writes.
-    seq: Counter
+    seq: NonNegativeInt64
     #: Start of this life, in Unix ms; stated on some deployments only.
-    born: Counter | msgspec.UnsetType = msgspec.UNSET
+    born: NonNegativeInt64 | msgspec.UnsetType = msgspec.UNSET
 
 
 def decode_config(value: bytes) -> RouteTable:
@@ -124,7 +124,7 @@
     limits = config.limits
     return RouteTable(
         ConfigVersion(config.version),
-        tuple(_route(route) for route in config.routes if route.type in KINDS),
+        tuple(_route(route) for route in config.routes if route.type in ROUTE_KINDS),
         RouteLimits(
             limits.max_header_bytes,
             limits.max_body_bytes,
@@ -140,8 +140,8 @@
 
     :raises UnreadableBytesError: when a name or a key stands twice, or there are too many.
     """
-    if len(tenants) > ACCOUNTS_LIMIT:
-        raise UnreadableBytesError(f'tenants: {len(tenants)}, at most {ACCOUNTS_LIMIT}')
+    if len(tenants) > MAX_ACCOUNTS:
+        raise UnreadableBytesError(f'tenants: {len(tenants)}, at most {MAX_ACCOUNTS}')
     names: set[str] = set()
     holders: dict[str, int] = {}
     made = []
@@ -154,8 +154,8 @@
                 raise UnreadableBytesError(
                     f'tenants[{place}].api_keys: tenants[{holders[key]}] holds one of them too'
                 )
-        if len(holders) > KEYS_LIMIT:
-            raise UnreadableBytesError(f'tenants[{place}].api_keys: more than {KEYS_LIMIT} keys')
+        if len(holders) > MAX_KEYS:
+            raise UnreadableBytesError(f'tenants[{place}].api_keys: more than {MAX_KEYS} keys')
         made.append(
             Account(
                 id=TenantId(tenant.name),
@@ -199,7 +199,7 @@
         ipaddress.IPv4Address(ip)
     except ValueError as error:
         raise UnreadableBytesError(f'address: {error}') from error
-    if not (port.isascii() and port.isdigit() and 1 <= int(port) <= PORT_LIMIT):
+    if not (port.isascii() and port.isdigit() and 1 <= int(port) <= MAX_PORT):
         raise UnreadableBytesError(f'address: port {port!r}')
     return ip, int(port)
 
@@ -210,7 +210,7 @@
         name=RouteName(route.name),
         host=route.hostname.lower(),
         prefix=route.path_prefix,
-        kind=KINDS[route.type],
+        kind=ROUTE_KINDS[route.type],
         shares=tuple(ServiceShare(ServiceName(each.service), each.weight) for each in split),
         timeout_ms=route.timeout_ms,
         target_ms=route.slo_ms,
--- a/citrondyke/platform/store_client.py
+++ b/citrondyke/platform/store_client.py
@@ -38,17 +38,17 @@
     from citrondyke.gateway.http_head import Headers
     from citrondyke.gateway.store_traffic import StoreTraffic
 
-__all__ = ('PlatformObjects', 'PlatformTable')
+__all__ = ('PlatformObjectStore', 'PlatformTable')
 
 Decoded = TypeVar('Decoded')
 
 log = logbook.Logger(__name__)
 
-JSON: Headers = [(b'Content-Type', b'application/json')]
+JSON_HEADERS: Headers = [(b'Content-Type', b'application/json')]
 PRECONDITION_FAILED = 412
 GONE = 410
-TOO_MANY = 429
-UNAVAILABLE_STATUS = 503
+TOO_MANY_REQUESTS = 429
+SERVICE_UNAVAILABLE = 503
 INSUFFICIENT_STORAGE = 507
 NOT_FOUND = 404
 OK = 200
@@ -110,20 +110,23 @@
         part = transaction.part
         body = _Transaction(
             [_Row(each.table, each.key, part, ver=each.version) for each in transaction.conditions],
-            [_Row(each.table, each.key, part, _to_text(each.value)) for each in transaction.puts],
+            [
+                _Row(each.table, each.key, part, _encode_value(each.value))
+                for each in transaction.puts
+            ],
             [_Row(each.table, each.key, part) for each in transaction.removals],
         )
         answer = self._http.call(
-            'POST', '/-/rows-tx', msgspec.json.encode(body), JSON, self._timeout_ms
+            'POST', '/-/rows-tx', msgspec.json.encode(body), JSON_HEADERS, self._timeout_ms
         )
         tables = {each.table for each in transaction.puts}
         tables.update(each.table for each in transaction.removals)
-        self._note('write', '+'.join(sorted(tables)), answer)
+        self._record_traffic('write', '+'.join(sorted(tables)), answer)
         rows = _decode(answer, _Rows, also=(PRECONDITION_FAILED,))
         if isinstance(rows, PlatformFailure):
             return rows
         if isinstance(answer, HttpAnswer) and answer.status == PRECONDITION_FAILED:
-            return PartConflict(tuple(_from_row(row) for row in rows.rows), rows.ver)
+            return PartConflict(tuple(_part_row(row) for row in rows.rows), rows.ver)
         return PartCommitted(rows.ver)
 
     def read(
@@ -136,7 +139,7 @@
         rows = self._get('/-/rows-get', query, _Rows, self._timeout_ms)
         if isinstance(rows, PlatformFailure):
             return rows
-        return Listing(tuple(_from_row(row) for row in rows.rows), rows.has_more, rows.ver)
+        return Listing(tuple(_part_row(row) for row in rows.rows), rows.has_more, rows.ver)
 
     def list_parts(self, table: str, after: str = '') -> list[str] | PlatformFailure:
         """List parts behind one."""
@@ -151,16 +154,16 @@
         rows = self._get('/-/rows-feed', query, _Rows, wait_ms + self._timeout_ms)
         if isinstance(rows, PlatformFailure):
             return rows
-        return Feed(tuple(_from_row(row) for row in rows.rows), rows.ver)
+        return Feed(tuple(_part_row(row) for row in rows.rows), rows.ver)
 
     def _get(
         self, path: str, query: dict[str, str], kind: type[Decoded], timeout_ms: float
     ) -> Decoded | PlatformFailure:
         answer = self._http.call('GET', f'{path}?{urlencode(query)}', b'', [], timeout_ms)
-        self._note(path.rpartition('-')[2], query['table'], answer)
+        self._record_traffic(path.rpartition('-')[2], query['table'], answer)
         return _decode(answer, kind)
 
-    def _note(self, kind: str, table: str, answer: HttpAnswer | HttpFailure) -> None:
+    def _record_traffic(self, kind: str, table: str, answer: HttpAnswer | HttpFailure) -> None:
         if self._traffic is None:
             return
         size_bytes = len(answer.body) if isinstance(answer, HttpAnswer) else 0
@@ -168,7 +171,7 @@
         self._traffic.record(kind, table, size_bytes, is_answered=is_answered)
 
 
-class PlatformObjects(ObjectStore):
+class PlatformObjectStore(ObjectStore):
     """Objects."""
 
     def __init__(self, http: HttpClient, call_timeout_ms: float) -> None:
@@ -235,8 +238,8 @@
         never_sent = answer.reason.kind is BreakKind.NO_CONNECTION
         return UNAVAILABLE if never_sent else AMBIGUOUS
     known = {
-        TOO_MANY: UNAVAILABLE,
-        UNAVAILABLE_STATUS: UNAVAILABLE,
+        TOO_MANY_REQUESTS: UNAVAILABLE,
+        SERVICE_UNAVAILABLE: UNAVAILABLE,
         NOT_FOUND: MISSING,
         GONE: HISTORY_LOST,
         INSUFFICIENT_STORAGE: FULL,
@@ -246,15 +249,15 @@
     return None if answer.status < 300 else AMBIGUOUS  # noqa: PLR2004
 
 
-def _to_text(value: bytes) -> str:
+def _encode_value(value: bytes) -> str:
     return base64.b64encode(value).decode()
 
 
-def _from_row(row: _Row) -> PartRow:
-    return PartRow(row.table, row.part, row.key, row.ver or 0, _value(row))
+def _part_row(row: _Row) -> PartRow:
+    return PartRow(row.table, row.part, row.key, row.ver or 0, _decode_value(row))
 
 
-def _value(row: _Row) -> bytes | None:
+def _decode_value(row: _Row) -> bytes | None:
     if row.deleted or row.value is None:
         return None
     try:
--- a/citrondyke/standin/platform_server.py
+++ b/citrondyke/standin/platform_server.py
@@ -14,7 +14,14 @@
 from gevent.server import StreamServer
 
 from citrondyke.gateway.sockets import reset
-from citrondyke.platform.dialect import ATTEMPT, EXPECT_SERVER, LAST_EVENT, LOAD, NOT_RUN, SEAL
+from citrondyke.platform.dialect import (
+    ATTEMPT_HEADER,
+    EXPECT_SERVER_HEADER,
+    LAST_EVENT_HEADER,
+    LOAD_HEADER,
+    NOT_RUN_HEADER,
+    SEAL_HEADER,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -147,14 +154,14 @@
     ) -> bool:
         headers = {bytes(name): bytes(value) for name, value in request.headers}
         act = self.acts.popleft() if self.acts else Act.SERVE
-        own = [(ATTEMPT, headers.get(ATTEMPT, b'')), (LOAD, b'1,0,8')]
-        if headers.get(EXPECT_SERVER, self.server_id.encode()) != self.server_id.encode():
+        own = [(ATTEMPT_HEADER, headers.get(ATTEMPT_HEADER, b'')), (LOAD_HEADER, b'1,0,8')]
+        if headers.get(EXPECT_SERVER_HEADER, self.server_id.encode()) != self.server_id.encode():
             return self._whole(http, sock, 421, [*own, (b'instance-id', b'other')], b'')
         if act is Act.REFUSE:
             self.refused_count += 1
-            return self._whole(http, sock, 503, [*own, (NOT_RUN, b'1')], b'')
+            return self._whole(http, sock, 503, [*own, (NOT_RUN_HEADER, b'1')], b'')
         run = ServerRun(
-            headers.get(ATTEMPT, b'').decode(),
+            headers.get(ATTEMPT_HEADER, b'').decode(),
             bytes(request.method),
             bytes(request.target),
             headers,
@@ -167,7 +174,7 @@
         if body in self.deadly_bodies:
             self.crash()
             return False
-        signed = [*own, (SEAL, f'seal-{self.server_id}-{len(self.runs)}'.encode())]
+        signed = [*own, (SEAL_HEADER, f'seal-{self.server_id}-{len(self.runs)}'.encode())]
         if act is Act.CUT or body in self.cut_bodies:
             reset(sock)
             return False
@@ -178,7 +185,7 @@
         if act is Act.IMPOSSIBLE:
             return self._whole(http, sock, 422, signed, b'')
         if act is Act.WRONG_ID:
-            return self._whole(http, sock, 200, [(ATTEMPT, b'other'), signed[-1]], b'other')
+            return self._whole(http, sock, 200, [(ATTEMPT_HEADER, b'other'), signed[-1]], b'other')
         if act is Act.UNSIGNED:
             return self._whole(http, sock, 200, own, b'unsigned')
         if act in (Act.UNFRAMED, Act.UNFRAMED_CUT):
@@ -198,7 +205,7 @@
         run: ServerRun,
         act: Act,
     ) -> bool:
-        first = int(run.headers.get(LAST_EVENT, b'0')) + 1
+        first = int(run.headers.get(LAST_EVENT_HEADER, b'0')) + 1
         head = [*headers, (b'content-type', b'text/event-stream')]
         sock.sendall(http.send(h11.Response(status_code=200, headers=head)) or b'')
         for number in range(first, self.events_count + 1):
--- a/citrondyke/util/hashing.py
+++ b/citrondyke/util/hashing.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-__all__ = ('content_bucket', 'digest_hex', 'key_hash', 'rendezvous_weight')
+__all__ = ('content_hash', 'digest_hex', 'key_hash', 'rendezvous_weight')
 
 Named = TypeVar('Named', bound=str)
 
@@ -37,6 +37,6 @@
     return xxhash.xxh3_64_intdigest(f'{seed}\x00{name}'.encode())
 
 
-def content_bucket(data: bytes) -> int:
+def content_hash(data: bytes) -> int:
     """Give a number that equal bytes share."""
     return xxhash.xxh3_64_intdigest(data)
--- a/citrondyke/util/lazy_import.py
+++ b/citrondyke/util/lazy_import.py
@@ -6,10 +6,10 @@
 from _frozen_importlib_external import PathFinder
 from types import ModuleType
 
-__all__ = ('put_off',)
+__all__ = ('defer_import',)
 
 
-def put_off(name: str, parts: tuple[str, ...] = ()) -> None:
+def defer_import(name: str, parts: tuple[str, ...] = ()) -> None:
     """Have a module's code run at the first use of a name in it, not when it is imported.
 
     For what a library imports at its start, and this program never uses.
--- a/citrondyke/util/process_start.py
+++ b/citrondyke/util/process_start.py
@@ -7,7 +7,7 @@
 
 import time
 
-__all__ = ('PROCESS_BEGAN_MS',)
+__all__ = ('PROCESS_START_MS',)
 
 #: By the clock that goes on while the machine is suspended.
-PROCESS_BEGAN_MS = time.clock_gettime(time.CLOCK_BOOTTIME) * 1e3
+PROCESS_START_MS = time.clock_gettime(time.CLOCK_BOOTTIME) * 1e3
--- a/citrondyke/util/start_steps.py
+++ b/citrondyke/util/start_steps.py
@@ -4,7 +4,7 @@
 
 import time
 
-from citrondyke.util.process_start import PROCESS_BEGAN_MS
+from citrondyke.util.process_start import PROCESS_START_MS
 
 __all__ = ('StartSteps',)
 
@@ -16,7 +16,7 @@
         """Start with none."""
         self.done_ms: dict[str, float] = {}
 
-    def note(self, step: str) -> None:
+    def record(self, step: str) -> None:
         """Note that a step is done."""
         now_ms = time.clock_gettime(time.CLOCK_BOOTTIME) * 1e3
-        self.done_ms[step] = round(now_ms - PROCESS_BEGAN_MS, 1)
+        self.done_ms[step] = round(now_ms - PROCESS_START_MS, 1)
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -17,8 +17,8 @@
 from citrondyke.gateway.instance import GatewayInstance
 from citrondyke.gateway.settings import Address, GatewaySettings, StoreSettings
 from citrondyke.ids import AvailabilityZone, InstanceId
-from citrondyke.platform.dialect import ATTEMPT
-from citrondyke.platform.outside import platform_outside
+from citrondyke.platform.adapters import create_platform_adapters
+from citrondyke.platform.dialect import ATTEMPT_HEADER
 from citrondyke.platform.rows import CONFIG_KEY, CONFIG_TABLE, SERVERS_TABLE
 from citrondyke.standin.platform_server import PlatformServer
 from citrondyke.standin.store_app import StoreApp
@@ -190,7 +190,7 @@
             **more,
         }
         settings = GatewaySettings(**wanted)
-        outside = platform_outside(self.clock, settings, source_ip=ip)
+        outside = create_platform_adapters(self.clock, settings, source_ip=ip)
         instance = GatewayInstance(settings, outside)
         instance.start()
         self.instances.append(instance)
@@ -286,7 +286,7 @@
     named = [(name.replace('_', '-'), value) for name, value in headers.items()]
     head = [
         ('Host', HOST),
-        (ATTEMPT.decode(), request_id),
+        (ATTEMPT_HEADER.decode(), request_id),
         ('Content-Length', str(len(body))),
         *named,
     ]
--- a/tests/test_cmd/test_cmd_start_files.py
+++ b/tests/test_cmd/test_cmd_start_files.py
@@ -11,7 +11,7 @@
 import pytest
 
 from citrondyke.util.code_bundle import LIBRARY, PACKAGES, open_bundle
-from citrondyke.util.lazy_import import put_off
+from citrondyke.util.lazy_import import defer_import
 
 
 def write_bundle(folder: Path, version: str = sys.version) -> str:
@@ -54,7 +54,7 @@
     (tmp_path / 'unused_part.py').write_text("PART = 'part'\n")
     monkeypatch.syspath_prepend(str(tmp_path))
     ran: list[int] = []
-    put_off('unused_whole', ('unused_part',))
+    defer_import('unused_whole', ('unused_part',))
     import unused_whole  # type: ignore[import-not-found]
 
     unused_whole.RAN = ran
@@ -77,7 +77,7 @@
     python = [sys.executable, '-P', '-S', '-m']
     make = [*python, 'citrondyke.cmd.make_bundle']
     subprocess.run(make, env=environment, cwd=tmp_path, check=True)
-    for part in ('gateway', 'decisions', 'platform/outside.py', 'cmd/run_gateway.py'):
+    for part in ('gateway', 'decisions', 'platform/adapters.py', 'cmd/run_gateway.py'):
         (tree / part).rename(tmp_path / part.replace('/', '-'))
     run = [*python, 'citrondyke.cmd.gateway']
     ended = subprocess.run(run, env=environment, cwd=tmp_path, capture_output=True, check=False)
--- a/tests/test_operator/test_operator_losses.py
+++ b/tests/test_operator/test_operator_losses.py
@@ -40,15 +40,15 @@
 @pytest.mark.parametrize(
     ('events', 'cause'),
     [
-        ([ended('turned_away')], LossCause.TURNED_AWAY),
-        ([sent(), ended('broken')], LossCause.BROKE_OFF),
+        ([ended('turned_away')], LossCause.REJECTED),
+        ([sent(), ended('broken')], LossCause.ABORTED),
         ([ended('stopped')], LossCause.STOPPED),
         ([sent()], LossCause.INSTANCE_LOST),
-        ([sent(200.0), ended('done', first_ms=400.0)], LossCause.LATE_FOR_PLACE),
+        ([sent(200.0), ended('done', first_ms=400.0)], LossCause.LATE_FOR_CAPACITY),
         ([sent(), ended('done', first_ms=400.0)], LossCause.LATE_AT_SERVER),
-        ([sent(), ended('done', sends=2, first_ms=400.0)], LossCause.LATE_SENT_AGAIN),
-        ([line(1.0, 'request.no_route', request_id='a')], LossCause.NOT_TAKEN),
-        ([line(1.0, 'job.refused', job_id='j')], LossCause.JOB_REFUSED),
+        ([sent(), ended('done', sends=2, first_ms=400.0)], LossCause.LATE_RESENT),
+        ([line(1.0, 'request.no_route', request_id='a')], LossCause.NOT_ACCEPTED),
+        ([line(1.0, 'job.refused', job_id='j')], LossCause.JOB_REJECTED),
     ],
 )
 def test_request_has_its_cause(events: list[LogEvent], cause: LossCause) -> None:
@@ -74,12 +74,12 @@
 @pytest.mark.parametrize(
     ('events', 'cause'),
     [
-        ([run(9.0, 'completed', 1_000.0), commit(10.5)], LossCause.ITEM_FOR_PLACE),
+        ([run(9.0, 'completed', 1_000.0), commit(10.5)], LossCause.ITEM_FOR_CAPACITY),
         ([run(8.0, 'completed', 7_900.0), commit(10.5)], LossCause.ITEM_RUNNING),
         ([run(1.0, 'completed', 900.0), commit(10.5)], LossCause.ITEM_COMMIT),
         (
             [run(1.0, 'gave_way', 900.0), run(10.0, 'completed', 500.0), commit(10.5)],
-            LossCause.ITEM_CUT,
+            LossCause.ITEM_PREEMPTED,
         ),
         (
             [
--- a/tests/test_platform/test_platform_accounts.py
+++ b/tests/test_platform/test_platform_accounts.py
@@ -15,7 +15,7 @@
 )
 from citrondyke.decisions.forwarding.route_table import RouteTable
 from citrondyke.errors.unreadable_bytes import UnreadableBytesError
-from citrondyke.platform.rows import ACCOUNTS_LIMIT, decode_config
+from citrondyke.platform.rows import MAX_ACCOUNTS, decode_config
 from citrondyke.util.hashing import key_hash
 
 
@@ -55,7 +55,7 @@
         ([{'name': 'a', 'api_keys': []}, {'name': 'a', 'api_keys': []}], 'tenants[1].name'),
         ([{'name': 'a', 'api_keys': ['k1'], 'rate_per_s': -1}], 'tenants[0].rate_per_s'),
         ([{'name': 'a', 'api_keys': ['k1'], 'burst': 'x'}], 'tenants[0].burst'),
-        ([{'name': f'a{n}', 'api_keys': []} for n in range(ACCOUNTS_LIMIT + 1)], 'tenants'),
+        ([{'name': f'a{n}', 'api_keys': []} for n in range(MAX_ACCOUNTS + 1)], 'tenants'),
     ],
 )
 def test_bad_account_is_refused_by_its_field_and_without_its_key(
--- a/tests/test_platform/test_platform_foreign_entries.py
+++ b/tests/test_platform/test_platform_foreign_entries.py
@@ -54,7 +54,7 @@
 ]
 
 
-class Believer:
+class StateUnderTest:
     """What one instance believes, without a store."""
 
     def __init__(self) -> None:
@@ -105,35 +105,35 @@
     # Another writer puts something over a server's entry. Kept by the feed and dropped by the
     # next read, the server would get requests for as long as no read comes; an exception past
     # the handler would end the follower's task for good.
-    by_feed, by_read = Believer(), Believer()
+    by_feed, by_read = StateUnderTest(), StateUnderTest()
     before = [row('i-1', 5, GOOD), row('i-2', 6, GOOD)]
-    for believer in (by_feed, by_read):
-        believer.replicated.on_server_listing(before, 6)
+    for instance in (by_feed, by_read):
+        instance.replicated.on_server_listing(before, 6)
     by_feed.replicated.on_server_rows([row('i-1', 7, raw)])
     by_read.replicated.on_server_listing([row('i-1', 7, raw), row('i-2', 6, GOOD)], 7)
     assert by_feed.ids() == by_read.ids() == {'i-2'}
-    for believer in (by_feed, by_read):
-        believer.replicated.on_server_rows([row('i-1', 8, GOOD)])
-        assert believer.ids() == {'i-1', 'i-2'}
+    for instance in (by_feed, by_read):
+        instance.replicated.on_server_rows([row('i-1', 8, GOOD)])
+        assert instance.ids() == {'i-1', 'i-2'}
 
 
 def test_outage_keeps_no_server_whose_entry_another_writer_holds() -> None:
-    believer = Believer()
-    believer.replicated.on_server_listing([row('i-1', 5, GOOD)], 5)
-    believer.replicated._servers.record_outage(1_000.0)
-    believer.replicated.on_server_rows([row('i-1', 7, b'?')])
-    assert believer.ids() == set()
+    instance = StateUnderTest()
+    instance.replicated.on_server_listing([row('i-1', 5, GOOD)], 5)
+    instance.replicated._servers.record_outage(1_000.0)
+    instance.replicated.on_server_rows([row('i-1', 7, b'?')])
+    assert instance.ids() == set()
 
 
 def test_unreadable_configuration_confirms_nothing() -> None:
     # A version that cannot be read may hold the route that a caller asks for; "no such route"
     # would be final for it.
-    believer = Believer()
+    instance = StateUnderTest()
     config = msgspec.json.encode({'version': 1, 'routes': []})
-    believer.replicated.on_config_listing([PartRow('op', '', CONFIG_KEY, 3, config)], 3)
-    assert believer.replicated.config.is_confirmed(1_000.0)
+    instance.replicated.on_config_listing([PartRow('op', '', CONFIG_KEY, 3, config)], 3)
+    assert instance.replicated.config.is_confirmed(1_000.0)
     for raw in (DEEP, b'\xff', b'{"version":"x"}', b'{"version":-1}'):
-        other = Believer()
+        other = StateUnderTest()
         other.replicated.on_config_listing([PartRow('op', '', CONFIG_KEY, 4, raw)], 4)
         assert not other.replicated.config.is_confirmed(1_000.0)
 
@@ -153,15 +153,15 @@
     )
 )
 def test_no_bytes_leave_the_decoder_or_change_another_entry(raw: bytes) -> None:
-    believer = Believer()
-    believer.replicated.on_server_listing([row('i-2', 6, GOOD)], 6)
-    believer.replicated.on_server_rows([row('i-1', 7, raw)])
-    believer.replicated.on_config_changes([PartRow('op', '', CONFIG_KEY, 8, raw)])
-    state = believer.book.state(ServerId('i-2'))
+    instance = StateUnderTest()
+    instance.replicated.on_server_listing([row('i-2', 6, GOOD)], 6)
+    instance.replicated.on_server_rows([row('i-1', 7, raw)])
+    instance.replicated.on_config_changes([PartRow('op', '', CONFIG_KEY, 8, raw)])
+    state = instance.book.state(ServerId('i-2'))
     assert state is not None
     assert state.listed == decode_server('i-2', GOOD)
-    for other in believer.ids() - {'i-2'}:
-        found = believer.book.state(ServerId(other))
+    for other in instance.ids() - {'i-2'}:
+        found = instance.book.state(ServerId(other))
         assert found is not None
         assert 1 <= found.listed.port <= 65_535
         assert found.listed.slots_count >= 1
