--- a/benchmarks/scenario.py
+++ b/benchmarks/scenario.py
@@ -187,9 +187,9 @@
         parts = [np.diff(outcome.token_times_ms) for outcome in self.outcomes]
         return np.concatenate([part for part in parts if len(part)] or [np.array([0.0])])
 
-    def redone_tokens(self) -> int:
+    def recomputed_tokens(self) -> int:
         """Count the tokens that resumed batch streams had to compute again."""
-        return sum(engine.redone_tokens for engine in self.engines)
+        return sum(engine.recomputed_tokens for engine in self.engines)
 
     def kept_share(self) -> float:
         """Give the share of requests within their class's target."""
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -182,7 +182,7 @@
         ),
         Figure(
             name='prompt tokens computed again after yielding ÷ batch tokens',
-            value=on.redone_tokens() / max(1, on.batch_tokens),
+            value=on.recomputed_tokens() / max(1, on.batch_tokens),
             bound=0.16,
             goal=0.03,
             relation=Relation.AT_MOST,
--- a/citrondyke/cmd/citrondykectl.py
+++ b/citrondyke/cmd/citrondykectl.py
@@ -14,8 +14,8 @@
 from citrondyke.cmd.ctl import tables
 from citrondyke.cmd.ctl.accounts import (
     accounts_table,
+    merge_suspects,
     read_states,
-    suspects_of,
     suspects_table,
 )
 from citrondyke.cmd.ctl.client import OperatorClient
@@ -24,13 +24,13 @@
 from citrondyke.cmd.ctl.explain import explain_id, explanation_tables
 from citrondyke.cmd.ctl.failure import CtlError
 from citrondyke.cmd.ctl.jobs import jobs_app
-from citrondyke.cmd.ctl.losses import draw_losses, losses_of, losses_tables, read_losses
+from citrondyke.cmd.ctl.losses import draw_losses, losses_from_logs, losses_tables, read_losses
 from citrondyke.cmd.ctl.options import Options
 from citrondyke.cmd.ctl.show import console, show
 from citrondyke.decisions.audit.record import OutcomeRecord
 from citrondyke.decisions.audit.report import AuditReport
 from citrondyke.driver.virtual.replay import replay as run_trace
-from citrondyke.driver.virtual.trace import events_of_records, read_trace
+from citrondyke.driver.virtual.trace import events_from_records, read_trace
 from citrondyke.driver.virtual.trace_outcome import TraceOutcome
 from citrondyke.entry.operator_shapes import StatusReport
 from citrondyke.operator.account_report import merge_states
@@ -95,7 +95,7 @@
 
     With --verify it ends with code 1 when a record is missing or was altered.
     """
-    query = urlencode({'class': class_name or '', **_span(from_, to)})
+    query = urlencode({'class': class_name or '', **_time_range(from_, to)})
     found = OperatorClient(options).get(f'/operator/v1/report?{query}', AuditReport)
     show(options, found, tables.report_tables)
     if verify and found.faults:
@@ -116,9 +116,9 @@
     The records tell what callers asked for; servers, classes and the number of instances are
     taken from the first line of the trace LIKE.
     """
-    path = f'/operator/v1/records?{urlencode(_span(from_, to))}'
+    path = f'/operator/v1/records?{urlencode(_time_range(from_, to))}'
     records = OperatorClient(options).get(path, list[OutcomeRecord])
-    events = events_of_records(records)
+    events = events_from_records(records)
     lines = [read_trace(like).header, *events]
     file.write_bytes(b''.join(msgspec.json.encode(line) + b'\n' for line in lines))
     console.print(f'{len(events)} events in {file}')
@@ -162,7 +162,7 @@
 
     :param addresses: the instances' metrics addresses.
     """
-    show(Options(json=json), suspects_of(read_states(addresses)), suspects_table)
+    show(Options(json=json), merge_suspects(read_states(addresses)), suspects_table)
 
 
 @app.command(name='explain')
@@ -195,14 +195,14 @@
     :param plot: an image file for the causes over time.
     :param json: print a record for programs.
     """
-    report = losses_of(files, target, window_s)
+    report = losses_from_logs(files, target, window_s)
     earlier = read_losses(before) if before else None
     if plot is not None:
         draw_losses(report, plot)
     show(Options(json=json), report, lambda found: losses_tables(found, earlier))
 
 
-def _span(from_: datetime | None, to: datetime | None) -> dict[str, str]:
+def _time_range(from_: datetime | None, to: datetime | None) -> dict[str, str]:
     times = {'from': from_, 'to': to}
     return {name: str(time.timestamp() * 1e3) for name, time in times.items() if time}
 
--- a/citrondyke/cmd/ctl/accounts.py
+++ b/citrondyke/cmd/ctl/accounts.py
@@ -12,7 +12,7 @@
 from citrondyke.cmd.ctl.failure import CtlError
 from citrondyke.operator.account_report import AccountReport, InstanceState, SuspectState
 
-__all__ = ('accounts_table', 'read_states', 'suspects_of', 'suspects_table')
+__all__ = ('accounts_table', 'merge_suspects', 'read_states', 'suspects_table')
 
 TIMEOUT_S = 5.0
 
@@ -35,7 +35,7 @@
     return states
 
 
-def suspects_of(states: Sequence[InstanceState]) -> list[SuspectState]:
+def merge_suspects(states: Sequence[InstanceState]) -> list[SuspectState]:
     """Give each suspected request once, as the instance has it that knows most."""
     found: dict[str, SuspectState] = {}
     for state in states:
@@ -66,13 +66,13 @@
             f'{report.burst:g}',
             '?' if report.uses is None else str(report.uses),
             '?' if report.refused_in_window is None else str(report.refused_in_window),
-            _places(report),
+            _reservation_counts(report),
             since,
         )
     yield table
 
 
-def _places(report: AccountReport) -> str:
+def _reservation_counts(report: AccountReport) -> str:
     if report.places_kept is None:
         return '?'
     return f'{report.places_kept}, {report.places_taken}, {report.places_lapsed}'
--- a/citrondyke/cmd/ctl/client.py
+++ b/citrondyke/cmd/ctl/client.py
@@ -73,7 +73,7 @@
             message = f'{self._server} does not answer: {error}'
             raise CtlError(ExitCode.UNAVAILABLE, message) from error
         if answer.status >= 400:  # noqa: PLR2004
-            raise _failure(answer.status, answer.data)
+            raise _error_from_response(answer.status, answer.data)
         return answer.data
 
     def _decode(self, data: bytes, kind: Any) -> Any:
@@ -84,7 +84,7 @@
             raise CtlError(ExitCode.FAILED, message) from error
 
 
-def _failure(status: int, data: bytes) -> CtlError:
+def _error_from_response(status: int, data: bytes) -> CtlError:
     exit_code = EXIT_BY_STATUS.get(status, ExitCode.FAILED)
     try:
         detail = msgspec.json.decode(data, type=ErrorBody).error
--- a/citrondyke/cmd/ctl/config.py
+++ b/citrondyke/cmd/ctl/config.py
@@ -44,7 +44,7 @@
 def diff(file: Path, *, options: Shared = Options()) -> None:  # noqa: B008
     """Show what ``apply FILE`` would change."""
     current = OperatorClient(options).config()
-    edits = _edits(current, _read_entries(file))
+    edits = _edits_between(current, _read_entries(file))
     show(options, edits, tables.edits_table)
 
 
@@ -56,11 +56,11 @@
     operator changed the configuration after EXPECT; the message says what and who.
     """
     client = OperatorClient(options)
-    edits = _edits(client.config(), _read_entries(file))
+    edits = _edits_between(client.config(), _read_entries(file))
     if not edits:
         console.print('nothing to change')
         return
-    _accepted(options, client.propose(expect, edits))
+    _show_accepted(options, client.propose(expect, edits))
 
 
 @config_app.command
@@ -92,13 +92,13 @@
         finish_within_ms=finish_within_ms,
         finish_by_minute_utc=finish_by_minute_utc,
     )
-    _set(options, entry)
+    _propose_entry(options, entry)
 
 
 @class_app.command(name='remove')
 def class_remove(name: str, *, options: Shared = Options()) -> None:  # noqa: B008
     """Remove a class that no tenant names."""
-    _remove(options, f'class/{name}')
+    _propose_removal(options, f'class/{name}')
 
 
 @tenant_app.command(name='set')
@@ -121,29 +121,29 @@
         online_class=ClassName(online_class),
         batch_class=ClassName(batch_class),
     )
-    _set(options, entry)
+    _propose_entry(options, entry)
 
 
 @tenant_app.command(name='remove')
 def tenant_remove(tenant_id: str, *, options: Shared = Options()) -> None:  # noqa: B008
     """Remove a tenant; its keys open nothing any more."""
-    _remove(options, f'tenant/{tenant_id}')
+    _propose_removal(options, f'tenant/{tenant_id}')
 
 
-def _set(options: Options, entry: ConfigEntry) -> None:
+def _propose_entry(options: Options, entry: ConfigEntry) -> None:
     client = OperatorClient(options)
     current = client.config()
     edit = {'name': entry_name(entry), 'after': msgspec.to_builtins(entry)}
-    _accepted(options, client.propose(current.version, [edit]))
+    _show_accepted(options, client.propose(current.version, [edit]))
 
 
-def _remove(options: Options, name: str) -> None:
+def _propose_removal(options: Options, name: str) -> None:
     client = OperatorClient(options)
     current = client.config()
-    _accepted(options, client.propose(current.version, [{'name': name, 'after': None}]))
+    _show_accepted(options, client.propose(current.version, [{'name': name, 'after': None}]))
 
 
-def _accepted(options: Options, change: Any) -> None:
+def _show_accepted(options: Options, change: Any) -> None:
     show(options, change, lambda body: [f'version {body["version"]} is accepted'])
 
 
@@ -157,10 +157,10 @@
     return {entry_name(entry): entry for entry in snapshot.entries}
 
 
-def _edits(current: ConfigSnapshot, wanted: dict[str, ConfigEntry]) -> list[dict[str, Any]]:
+def _edits_between(current: ConfigSnapshot, wanted: dict[str, ConfigEntry]) -> list[dict[str, Any]]:
     """Give the edits that lead from what is in force to what is wanted."""
-    standing = {entry_name(entry): entry for entry in current.entries}
-    changed = [name for name, entry in wanted.items() if standing.get(name) != entry]
-    removed = [name for name in standing if name not in wanted]
+    current_entries = {entry_name(entry): entry for entry in current.entries}
+    changed = [name for name, entry in wanted.items() if current_entries.get(name) != entry]
+    removed = [name for name in current_entries if name not in wanted]
     edits = [{'name': name, 'after': msgspec.to_builtins(wanted[name])} for name in changed]
     return edits + [{'name': name, 'after': None} for name in removed]
--- a/citrondyke/cmd/ctl/losses.py
+++ b/citrondyke/cmd/ctl/losses.py
@@ -15,13 +15,15 @@
 from citrondyke.operator.loss_causes import find_losses
 from citrondyke.operator.loss_report import LossReport
 
-__all__ = ('draw_losses', 'losses_of', 'losses_tables', 'read_losses')
+__all__ = ('draw_losses', 'losses_from_logs', 'losses_tables', 'read_losses')
 
 #: Causes that are drawn; more could not be told apart.
-DRAWN_LIMIT = 8
+MAX_DRAWN_CAUSES = 8
 
 
-def losses_of(files: tuple[Path, ...], targets: tuple[str, ...], window_s: float) -> LossReport:
+def losses_from_logs(
+    files: tuple[Path, ...], targets: tuple[str, ...], window_s: float
+) -> LossReport:
     """Read log files and find what was lost.
 
     :param targets: ROUTE=MS each.
@@ -32,7 +34,7 @@
     if window_s <= 0:
         raise CtlError(ExitCode.WRONG_CALL, '--window-s: give more than 0 seconds')
     try:
-        return find_losses(read_log_events(files), _targets(targets), window_s)
+        return find_losses(read_log_events(files), _parse_targets(targets), window_s)
     except LogUnreadableError as error:
         raise CtlError(ExitCode.WRONG_CALL, error.message) from error
 
@@ -85,7 +87,7 @@
     windows = max((max(loss.by_window, default=0) for loss in report.losses), default=0) + 1
     places = [window * report.window_s for window in range(windows)]
     below = [0] * windows
-    for loss in report.losses[:DRAWN_LIMIT]:
+    for loss in report.losses[:MAX_DRAWN_CAUSES]:
         counts = [loss.by_window.get(window, 0) for window in range(windows)]
         label = f'{loss.cause.value} {loss.route}'.strip()
         axes.bar(places, counts, report.window_s * 0.9, bottom=below, align='edge', label=label)
@@ -103,7 +105,7 @@
         plt.close(figure)
 
 
-def _targets(pairs: tuple[str, ...]) -> dict[str, float]:
+def _parse_targets(pairs: tuple[str, ...]) -> dict[str, float]:
     targets = {}
     for pair in pairs:
         route, _, value = pair.rpartition('=')
--- a/citrondyke/cmd/demo.py
+++ b/citrondyke/cmd/demo.py
@@ -87,12 +87,12 @@
             headers=_headers(),
         )
         file_id = msgspec.json.decode(upload.data)['id']
-        wish = {
+        job_request = {
             'input_file_id': file_id,
             'endpoint': '/v1/chat/completions',
             'completion_window': '24h',
         }
-        batch = self._json('POST', '/v1/batches', wish)
+        batch = self._json('POST', '/v1/batches', job_request)
         batch = self._wait_for_job(batch['id'])
         counts = batch['request_counts']
         console.print(f'  job: {batch["status"]}, {counts}')
@@ -168,10 +168,10 @@
             method, path, body=encoded, headers={**_headers(), **(headers or {})}
         )
 
-    def _check(self, what: str, is_right: bool) -> None:
-        mark = '[green]right[/green]' if is_right else '[red]WRONG[/red]'
+    def _check(self, what: str, has_passed: bool) -> None:
+        mark = '[green]right[/green]' if has_passed else '[red]WRONG[/red]'
         console.print(f'{mark}  {what}')
-        self._failures += not is_right
+        self._failures += not has_passed
 
 
 def _headers() -> dict[str, str]:
--- a/citrondyke/cmd/embedded.py
+++ b/citrondyke/cmd/embedded.py
@@ -28,7 +28,7 @@
     WriteId,
 )
 from citrondyke.settings.model import DaemonSettings
-from citrondyke.standin.cut_handler import quiet_server
+from citrondyke.standin.abortable_server import make_server
 from citrondyke.standin.engine_app import engine_app
 from citrondyke.standin.engine_curve import EngineCurve
 from citrondyke.standin.platform_app import PlatformApp, platform_app
@@ -93,10 +93,10 @@
         ('engine-2', 'demo-model', engine_app('demo-model', EngineCurve(), clock)[0]),
         ('orders-1', 'service:orders', service_app()[0]),
     ]
-    for place, (server_id, target, server_app) in enumerate(apps, port + FIRST_SERVER_OFFSET):
-        _start(place, server_app)
+    for server_port, (server_id, target, server_app) in enumerate(apps, port + FIRST_SERVER_OFFSET):
+        _start(server_port, server_app)
         listed = ListedServer(
-            ServerId(server_id), IP, place, AvailabilityZone('zone-1'), TargetName(target)
+            ServerId(server_id), IP, server_port, AvailabilityZone('zone-1'), TargetName(target)
         )
         platform.lists.put_server(listed, clock.now_ms())
     settings = _settings(port)
@@ -110,7 +110,7 @@
 
 
 def _start(port: int, app: Any) -> None:
-    server = quiet_server(IP, port, app)
+    server = make_server(IP, port, app)
     server.start()
     gevent.sleep(0)
 
--- a/citrondyke/cmd/gateway.py
+++ b/citrondyke/cmd/gateway.py
@@ -37,9 +37,9 @@
 
     # What is imported stays: looking for garbage among it only takes time.
     gc.disable()
-    from citrondyke.cmd.lean_imports import put_off_unused
+    from citrondyke.cmd.lean_imports import defer_unused_imports
 
-    put_off_unused()
+    defer_unused_imports()
     from citrondyke.cmd.run_gateway import run_gateway
 
     if bundle is not None:
--- a/citrondyke/cmd/lean_imports.py
+++ b/citrondyke/cmd/lean_imports.py
@@ -4,10 +4,10 @@
 
 from citrondyke.util.lazy_import import put_off
 
-__all__ = ('put_off_unused',)
+__all__ = ('defer_unused_imports',)
 
 
-def put_off_unused() -> None:
+def defer_unused_imports() -> None:
     """Put off the modules below; to be called before any library is imported."""
     # pycapnp takes one class of it; its event loop is never run here.
     put_off('asyncio', ('asyncio.protocols',))
--- a/citrondyke/cmd/make_bundle.py
+++ b/citrondyke/cmd/make_bundle.py
@@ -9,23 +9,23 @@
 from pathlib import Path
 
 from citrondyke.cmd.gateway import BUNDLE_FILE, bundle_roots
-from citrondyke.cmd.lean_imports import put_off_unused
+from citrondyke.cmd.lean_imports import defer_unused_imports
 from citrondyke.util.code_bundle import Entry
 
 __all__ = ('main',)
 
-DAEMON = 'citrondyke.cmd.run_gateway'
+DAEMON_MODULE = 'citrondyke.cmd.run_gateway'
 
 
 def main() -> int:
     """Write it beside the package."""
     before = set(sys.modules)
-    put_off_unused()
-    importlib.import_module(DAEMON)
+    defer_unused_imports()
+    importlib.import_module(DAEMON_MODULE)
     roots = bundle_roots()
     entries = {
         name: entry
-        for name in sorted(set(sys.modules) - before | {DAEMON})
+        for name in sorted(set(sys.modules) - before | {DAEMON_MODULE})
         if (entry := _entry(name, roots)) is not None
     }
     partial = f'{BUNDLE_FILE}.{os.getpid()}'
--- a/citrondyke/cmd/standin.py
+++ b/citrondyke/cmd/standin.py
@@ -7,7 +7,7 @@
 from cyclopts import App
 
 from citrondyke.cmd import patch  # noqa: F401  (first: it patches the standard library)
-from citrondyke.standin.cut_handler import quiet_server
+from citrondyke.standin.abortable_server import make_server
 from citrondyke.standin.engine_app import engine_app
 from citrondyke.standin.engine_curve import EngineCurve
 from citrondyke.standin.platform_app import platform_app
@@ -54,7 +54,7 @@
 
 
 def _serve(ip: str, port: int, wsgi_app: Any) -> None:
-    server = quiet_server(ip, port, wsgi_app)
+    server = make_server(ip, port, wsgi_app)
     server.start()
     print(f'ready on {ip}:{port}', flush=True)
     server.serve_forever()
--- a/citrondyke/driver/gevent_driver.py
+++ b/citrondyke/driver/gevent_driver.py
@@ -48,7 +48,7 @@
         self._on_fatal = on_fatal
         self._clock = clock
         self._backend = backend
-        self._acts: dict[type[Op], Callable[[Any], Any]] = {
+        self._handlers: dict[type[Op], Callable[[Any], Any]] = {
             ops.Transact: lambda op: table.transact(op.transaction),
             ops.ReadRows: lambda op: table.read(op.keys),
             ops.ScanRows: lambda op: table.scan(op.prefix, op.after, op.limit),
@@ -71,7 +71,7 @@
         try:
             while True:
                 op = workflow.send(result)
-                result = self._acts[type(op)](op)
+                result = self._handlers[type(op)](op)
         except StopIteration as stop:
             ended: T = stop.value
             return ended
@@ -90,7 +90,7 @@
                 if isinstance(op, ops.CallServer) and op.call.is_streamed:
                     result = yield from self._stream_call(op)
                     continue
-                result = self._acts[type(op)](op)
+                result = self._handlers[type(op)](op)
         except StopIteration as stop:
             ended: T = stop.value
             return ended
--- a/citrondyke/driver/virtual/surroundings.py
+++ b/citrondyke/driver/virtual/fleet_environment.py
@@ -13,10 +13,10 @@
     from citrondyke.driver.virtual.virtual_time import VirtualTime
     from citrondyke.ids import ConfigVersion, InstanceId, ServerId
 
-__all__ = ('Surroundings',)
+__all__ = ('FleetEnvironment',)
 
 
-class Surroundings(Protocol):
+class FleetEnvironment(Protocol):
     """Time, servers, the platform and the other instances."""
 
     time: VirtualTime
--- a/citrondyke/driver/virtual/replay.py
+++ b/citrondyke/driver/virtual/replay.py
@@ -36,61 +36,61 @@
     def __init__(self, trace: Trace) -> None:
         self._trace = trace
         self._header = trace.header
-        self._parts = TraceFleet(trace)
-        self._fleet = self._parts.virtual
+        self._trace_fleet = TraceFleet(trace)
+        self._fleet = self._trace_fleet.virtual_fleet
         self._chats: list[tuple[TraceEvent, OnlineResult, float | None]] = []
         self._orders: dict[str, list[Any]] = {}
         self._jobs: dict[str, AcceptedJob] = {}
-        self._turn = 0
+        self._next_host = 0
         #: Requests that each instance is answering.
-        self._open: Counter[int] = Counter()
+        self._open_requests: Counter[int] = Counter()
 
     def run(self) -> TraceOutcome:
         """Run it to its end."""
         time = self._fleet.time
         time.run_until(READY_MS)
         for event in self._trace.events:
-            time.at(READY_MS + event.at_ms, self._doing(event))
+            time.at(READY_MS + event.at_ms, self._action_for(event))
         time.run_until(READY_MS + self._header.length_ms)
         return self._outcome()
 
-    def _host(self, event: TraceEvent) -> VirtualInstance | None:
+    def _choose_host(self, event: TraceEvent) -> VirtualInstance | None:
         """Choose as the balancer does: in turns among those whose health check is good."""
         if event.instance >= 0:
-            return self._named(event.instance)
+            return self._instance_by_number(event.instance)
         hosts = [
             host
             for host in self._fleet.live_instances()
             if host.instance.is_ready and not host.instance.members.is_leaving
         ]
-        self._turn += 1
-        return hosts[self._turn % len(hosts)] if hosts else None
+        self._next_host += 1
+        return hosts[self._next_host % len(hosts)] if hosts else None
 
-    def _named(self, number: int) -> VirtualInstance:
+    def _instance_by_number(self, number: int) -> VirtualInstance:
         return list(self._fleet.instances.values())[number]
 
-    def _doing(self, event: TraceEvent) -> Any:
-        acts: dict[TraceEventKind, Callable[[TraceEvent], Any]] = {
-            TraceEventKind.CHAT: self._chat,
-            TraceEventKind.ORDER: self._order,
-            TraceEventKind.JOB: self._job,
-            TraceEventKind.CANCEL: self._cancel,
-            TraceEventKind.KILL: lambda event: self._named(event.instance).kill(),
-            TraceEventKind.RESTART: lambda event: self._parts.start(event.instance),
-            TraceEventKind.FREEZE: lambda event: self._named(event.instance).freeze(),
-            TraceEventKind.WAKE: lambda event: self._named(event.instance).wake(),
-            TraceEventKind.REPLACE: self._replace,
-            TraceEventKind.TABLE: self._table,
-            TraceEventKind.SERVER_DOWN: lambda event: self._server(event, is_up=False),
-            TraceEventKind.SERVER_UP: lambda event: self._server(event, is_up=True),
+    def _action_for(self, event: TraceEvent) -> Any:
+        actions: dict[TraceEventKind, Callable[[TraceEvent], Any]] = {
+            TraceEventKind.CHAT: self._start_chat,
+            TraceEventKind.ORDER: self._start_order,
+            TraceEventKind.JOB: self._start_job,
+            TraceEventKind.CANCEL: self._cancel_job,
+            TraceEventKind.KILL: lambda event: self._instance_by_number(event.instance).kill(),
+            TraceEventKind.RESTART: lambda event: self._trace_fleet.start(event.instance),
+            TraceEventKind.FREEZE: lambda event: self._instance_by_number(event.instance).freeze(),
+            TraceEventKind.WAKE: lambda event: self._instance_by_number(event.instance).wake(),
+            TraceEventKind.REPLACE: self._replace_instance,
+            TraceEventKind.TABLE: self._set_table_fault,
+            TraceEventKind.SERVER_DOWN: lambda event: self._set_server_state(event, is_up=False),
+            TraceEventKind.SERVER_UP: lambda event: self._set_server_state(event, is_up=True),
         }
-        return lambda: acts[event.do](event)
+        return lambda: actions[event.do](event)
 
-    def _chat(self, event: TraceEvent) -> None:
-        host = self._host(event)
+    def _start_chat(self, event: TraceEvent) -> None:
+        host = self._choose_host(event)
         if host is None:
             return
-        target = self._parts.target(is_service=False)
+        target = self._trace_fleet.target(is_service=False)
         body = {'max_tokens': event.tokens, 'prompt_tokens': event.prompt_tokens}
         request = self._request(event, target, '/v1/completions', body, is_repeatable=True)
         began_ms = self._fleet.time.now_ms()
@@ -98,26 +98,26 @@
         self._fleet.listen(request.request_id, firsts.append)
 
         def end(found: OnlineResult) -> None:
-            self._open[id(host)] -= 1
+            self._open_requests[id(host)] -= 1
             first_ms = firsts[0] - began_ms if firsts else None
             self._chats.append((event, found, first_ms))
 
-        self._open[id(host)] += 1
+        self._open_requests[id(host)] += 1
         host.start(host.instance.online.serve(request), end)
 
-    def _order(self, event: TraceEvent) -> None:
-        host = self._host(event)
+    def _start_order(self, event: TraceEvent) -> None:
+        host = self._choose_host(event)
         if host is None:
             return
-        target = self._parts.target(is_service=True)
+        target = self._trace_fleet.target(is_service=True)
         request = self._request(event, target, '/place', {}, is_repeatable=False)
         ends = self._orders.setdefault(event.name, [])
 
         def end(found: Any) -> None:
-            self._open[id(host)] -= 1
+            self._open_requests[id(host)] -= 1
             ends.append(found)
 
-        self._open[id(host)] += 1
+        self._open_requests[id(host)] += 1
         host.start(host.instance.once.serve(request, event.name), end)
 
     def _request(
@@ -151,11 +151,11 @@
             cancel=Signal(),
         )
 
-    def _job(self, event: TraceEvent) -> None:
-        host = self._host(event)
+    def _start_job(self, event: TraceEvent) -> None:
+        host = self._choose_host(event)
         if host is None:
             return
-        target = self._parts.target(is_service=False)
+        target = self._trace_fleet.target(is_service=False)
         lines = []
         for number in range(event.items):
             body: dict[str, Any] = {
@@ -178,33 +178,33 @@
         workflow = self._fleet.job_workflow(host, event.tenant, ClassName(name), b'\n'.join(lines))
         host.start(workflow, accepted)
 
-    def _cancel(self, event: TraceEvent) -> None:
-        host, job = self._host(event), self._jobs.get(event.name)
+    def _cancel_job(self, event: TraceEvent) -> None:
+        host, job = self._choose_host(event), self._jobs.get(event.name)
         if host is not None and job is not None:
             host.start(host.instance.cancel_job(None, job.job_id))
 
-    def _replace(self, event: TraceEvent) -> None:
-        host = self._named(event.instance)
+    def _replace_instance(self, event: TraceEvent) -> None:
+        host = self._instance_by_number(event.instance)
 
         def ended(_: Any) -> None:
             # As the daemon does: the process ends once its last call is answered.
-            if self._open[id(host)]:
+            if self._open_requests[id(host)]:
                 self._fleet.time.after(DRAIN_POLL_MS, lambda: ended(None))
                 return
             host.start(host.instance.finish(until_ms), lambda _: gone())
 
         def gone() -> None:
             host.kill()
-            self._parts.start(event.instance)
+            self._trace_fleet.start(event.instance)
 
         until_ms = self._fleet.time.now_ms() + STOP_WITHIN_MS
         host.start(host.instance.leave(until_ms), ended)
 
-    def _table(self, event: TraceEvent) -> None:
+    def _set_table_fault(self, event: TraceEvent) -> None:
         self._fleet.platform.table_fault.mode = FaultMode(event.name)
         self._fleet.platform.table_fault.calls_left = -1
 
-    def _server(self, event: TraceEvent, *, is_up: bool) -> None:
+    def _set_server_state(self, event: TraceEvent, *, is_up: bool) -> None:
         server = self._fleet.servers[ServerId(event.name)]
         server.is_up = is_up
         if not is_up:
--- a/citrondyke/driver/virtual/trace.py
+++ b/citrondyke/driver/virtual/trace.py
@@ -98,7 +98,7 @@
     return Trace(header, events)
 
 
-def events_of_records(records: list[OutcomeRecord]) -> list[TraceEvent]:
+def events_from_records(records: list[OutcomeRecord]) -> list[TraceEvent]:
     """Turn what instances recorded into a trace's events, counted from the first of them."""
     kinds = {
         RecordKind.ONLINE: TraceEventKind.CHAT,
--- a/citrondyke/driver/virtual/trace_fleet.py
+++ b/citrondyke/driver/virtual/trace_fleet.py
@@ -33,7 +33,7 @@
     def __init__(self, trace: Trace) -> None:
         """Build it, and start its instances."""
         self._header = trace.header
-        self.virtual = VirtualFleet(trace.header.seed)
+        self.virtual_fleet = VirtualFleet(trace.header.seed)
         self._limits = InstanceLimits(
             lease_ms=trace.header.lease_ms,
             lease_renew_every_ms=trace.header.lease_ms / 5,
@@ -42,7 +42,7 @@
             lists_poll_every_ms=500.0,
             gossip_every_ms=300.0,
         )
-        self.virtual.configure(_entries(trace))
+        self.virtual_fleet.configure(_config_entries(trace))
         for server in trace.header.servers:
             self._add_server(server)
         for number in range(trace.header.instances):
@@ -50,7 +50,7 @@
 
     def start(self, number: int) -> VirtualInstance:
         """Start an instance, or its next life."""
-        return self.virtual.add_instance(f'i{number}', f'zone-{number % 3 + 1}', self._limits)
+        return self.virtual_fleet.add_instance(f'i{number}', f'zone-{number % 3 + 1}', self._limits)
 
     def target(self, *, is_service: bool) -> str:
         """Give the trace's model, or its service."""
@@ -68,15 +68,15 @@
             AvailabilityZone(server.zone),
             TargetName(server.target),
         )
-        time = self.virtual.time
+        time = self.virtual_fleet.time
         if server.target.startswith(SERVICE_PREFIX):
-            self.virtual.add_server(VirtualService(listed, time, server.run_ms))
+            self.virtual_fleet.add_server(VirtualService(listed, time, server.run_ms))
             return
         curve = EngineCurve(base_ms=server.base_ms, knee_streams=server.knee_streams)
-        self.virtual.add_server(VirtualEngine(listed, time, curve, LOAD_LAG_MS))
+        self.virtual_fleet.add_server(VirtualEngine(listed, time, curve, LOAD_LAG_MS))
 
 
-def _entries(trace: Trace) -> list[ConfigEntry]:
+def _config_entries(trace: Trace) -> list[ConfigEntry]:
     classes = trace.header.classes
     online = next(each.name for each in classes if each.kind is ClassKind.ONLINE)
     batch = next(each.name for each in classes if each.kind is ClassKind.BATCH)
--- a/citrondyke/driver/virtual/virtual_fleet.py
+++ b/citrondyke/driver/virtual/virtual_fleet.py
@@ -35,7 +35,7 @@
 __all__ = ('VirtualFleet',)
 
 #: A job's acceptance may take so long.
-ACCEPT_LIMIT_MS = 60_000.0
+ACCEPT_TIMEOUT_MS = 60_000.0
 
 
 class VirtualFleet:
@@ -106,7 +106,7 @@
         def arrive() -> None:
             receiver = self.instances.get(receiver_id)
             if receiver is not None:
-                receiver.act(lambda: self._take(receiver, sender, message))
+                receiver.deliver(lambda: self._deliver_message(receiver, sender, message))
 
         self.time.after(self.one_way_ms, arrive)
 
@@ -179,11 +179,13 @@
         """Run a workflow to its end; time passes meanwhile."""
         results: list[Any] = []
         host.start(workflow, results.append)
-        until_ms = self.time.now_ms() + ACCEPT_LIMIT_MS
+        until_ms = self.time.now_ms() + ACCEPT_TIMEOUT_MS
         self.time.run_while(lambda: not results, until_ms)
         return results[0]
 
-    def _take(self, receiver: VirtualInstance, sender: VirtualInstance, message: Any) -> None:
+    def _deliver_message(
+        self, receiver: VirtualInstance, sender: VirtualInstance, message: Any
+    ) -> None:
         receiver.received_count += 1
         receiver.instance.on_peer_version(
             sender.listed.id, sender.instance.config_replica.current.version
--- a/citrondyke/driver/virtual/virtual_instance.py
+++ b/citrondyke/driver/virtual/virtual_instance.py
@@ -23,7 +23,7 @@
 
 if TYPE_CHECKING:
     from citrondyke.decisions.core.ops import Workflow
-    from citrondyke.driver.virtual.surroundings import Surroundings
+    from citrondyke.driver.virtual.fleet_environment import FleetEnvironment
     from citrondyke.storage.fleet_lists import ListedInstance
 
 __all__ = ('VirtualInstance',)
@@ -40,7 +40,7 @@
     """Runs an instance's workflows; it can be killed or frozen at any point between effects."""
 
     def __init__(
-        self, fleet: Surroundings, listed: ListedInstance, limits: InstanceLimits, seed: int
+        self, fleet: FleetEnvironment, listed: ListedInstance, limits: InstanceLimits, seed: int
     ) -> None:
         """Start an instance with nothing in its memory."""
         self.listed = listed
@@ -54,22 +54,22 @@
         context = Context(listed.id, listed.zone, fleet.time, Random(seed))
         self.instance = Instance(context, limits, new_share=fleet.new_share)
         self._runner = Runner()
-        self._ended: dict[OpToken, Callable[[Any], None]] = {}
-        self._held: list[Callable[[], None]] = []
-        self._cuts: dict[int, Callable[[], None]] = {}
+        self._on_end_callbacks: dict[OpToken, Callable[[Any], None]] = {}
+        self._deferred: list[Callable[[], None]] = []
+        self._aborts: dict[int, Callable[[], None]] = {}
         self.start(self.instance.run())
 
     def start(self, workflow: Workflow[Any], on_end: Callable[[Any], None] | None = None) -> None:
         """Start a workflow."""
         token, effects = self._runner.start(workflow)
         if on_end is not None:
-            self._ended[token] = on_end
-        self._carry_out(effects)
+            self._on_end_callbacks[token] = on_end
+        self._apply_effects(effects)
 
     def kill(self) -> None:
         """End it at once: its memory is gone and its connections are cut."""
         self.is_alive = False
-        for cut in list(self._cuts.values()):
+        for cut in list(self._aborts.values()):
             self._fleet.time.after(self._fleet.one_way_ms, cut)
 
     def freeze(self) -> None:
@@ -79,21 +79,21 @@
     def wake(self) -> None:
         """Let it go on."""
         self.is_frozen = False
-        held, self._held = self._held, []
-        for act in held:
-            act()
+        deferred, self._deferred = self._deferred, []
+        for action in deferred:
+            action()
 
-    def act(self, act: Callable[[], None]) -> None:
+    def deliver(self, arrival: Callable[[], None]) -> None:
         """Let something arrive here, in its own time."""
         if not self.is_alive:
             return
         if self.is_frozen:
-            self._held.append(lambda: self.act(act))
+            self._deferred.append(lambda: self.deliver(arrival))
             return
-        act()
-        self._carry_out(self._runner.take_effects())
+        arrival()
+        self._apply_effects(self._runner.take_effects())
 
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _apply_effects(self, effects: list[Effect]) -> None:
         for position, effect in enumerate(effects):
             self.effects_count += 1
             if self._fleet.crash_point is not None and self.is_alive and not self.is_frozen:
@@ -101,22 +101,22 @@
             if not self.is_alive:
                 return
             if self.is_frozen:
-                self._hold_effects(effects[position:])
+                self._defer_effects(effects[position:])
                 return
-            self._carry_out_one(effect)
+            self._apply_effect(effect)
 
-    def _hold_effects(self, effects: list[Effect]) -> None:
+    def _defer_effects(self, effects: list[Effect]) -> None:
         """Keep for its awakening what a frozen instance was about to do."""
-        self._held.append(lambda: self._carry_out(effects))
+        self._deferred.append(lambda: self._apply_effects(effects))
 
-    def _carry_out_one(self, effect: Effect) -> None:
+    def _apply_effect(self, effect: Effect) -> None:
         match effect:
             case Perform():
                 self._perform(effect.token, effect.op)
             case StartTimer():
                 self._start_timer(effect)
             case WorkflowEnded():
-                on_end = self._ended.pop(effect.token, None)
+                on_end = self._on_end_callbacks.pop(effect.token, None)
                 if on_end is not None:
                     on_end(effect.result)
 
@@ -124,16 +124,16 @@
         def due() -> None:
             self._resume(effect.token, False)
 
-        self._fleet.time.at(effect.at_ms, lambda: self.act(due))
+        self._fleet.time.at(effect.at_ms, lambda: self.deliver(due))
 
     def _resume(self, token: OpToken, result: Any) -> None:
-        self._carry_out(self._runner.resume(token, result))
+        self._apply_effects(self._runner.resume(token, result))
 
     def _perform(self, token: OpToken, op: ops.Op) -> None:
         fleet = self._fleet
 
         def answer(result: Any) -> None:
-            self.act(lambda: self._resume(token, result))
+            self.deliver(lambda: self._resume(token, result))
 
         match op:
             case ops.CallServer():
@@ -153,25 +153,25 @@
                     raise NotImplementedError(type(op).__name__)
 
     def _call_server(self, call: ServerCall, answer: Callable[[Any], None]) -> None:
-        exchange = _Exchange(self, self._fleet, call, answer)
+        exchange = _ServerExchange(self, self._fleet, call, answer)
         exchange.begin()
 
-    def keep_cut(self, exchange: _Exchange, cut: Callable[[], None]) -> None:
+    def register_abort(self, exchange: _ServerExchange, cut: Callable[[], None]) -> None:
         """Remember what cuts a request, for when this instance dies."""
-        self._cuts[id(exchange)] = cut
+        self._aborts[id(exchange)] = cut
 
-    def drop_cut(self, exchange: _Exchange) -> None:
+    def unregister_abort(self, exchange: _ServerExchange) -> None:
         """Forget it again."""
-        self._cuts.pop(id(exchange), None)
+        self._aborts.pop(id(exchange), None)
 
 
-class _Exchange(CallSink):
+class _ServerExchange(CallSink):
     """One request on the wire to a server, and its answer on the way back."""
 
     def __init__(
         self,
         host: VirtualInstance,
-        fleet: Surroundings,
+        fleet: FleetEnvironment,
         call: ServerCall,
         answer: Callable[[Any], None],
     ) -> None:
@@ -182,8 +182,8 @@
         self._began_ms = fleet.time.now_ms()
         self._frames: list[bytes] = []
         self._first_ms: float | None = None
-        self._is_over = False
-        self._cut: Callable[[], None] | None = None
+        self._is_finished = False
+        self._abort: Callable[[], None] | None = None
 
     def begin(self) -> None:
         """Put the request on the wire."""
@@ -193,39 +193,39 @@
 
     def on_token(self, *, is_last: bool) -> None:
         """Take a token from the server; it arrives a little later."""
-        self._fleet.time.after(self._fleet.one_way_ms, lambda: self._token_arrives(is_last))
+        self._fleet.time.after(self._fleet.one_way_ms, lambda: self._on_token_arrival(is_last))
 
-    def on_whole(self, status: int, body: bytes) -> None:
+    def on_complete(self, status: int, body: bytes) -> None:
         """Take a plain answer from the server."""
         reply = ServerReply(
             kind=ReplyKind.COMPLETE, status=status, content_type='application/json', body=body
         )
         self._fleet.time.after(self._fleet.one_way_ms, lambda: self._end(reply))
 
-    def on_refused(self) -> None:
+    def on_rejected(self) -> None:
         """Learn that the server did not take it."""
         reply = ServerReply(kind=ReplyKind.REFUSED, status=503)
         self._fleet.time.after(self._fleet.one_way_ms, lambda: self._end(reply))
 
-    def on_cut(self) -> None:
+    def on_aborted(self) -> None:
         """Learn that the connection was cut."""
         self._fleet.time.after(
             self._fleet.one_way_ms, lambda: self._end(self._reply(ReplyKind.CUT))
         )
 
     def _arrive(self) -> None:
-        if self._is_over or not self._host.is_alive:
+        if self._is_finished or not self._host.is_alive:
             return
         server = self._fleet.servers.get(self._call.server_id)
         if server is None or not server.is_up:
             reply = ServerReply(kind=ReplyKind.UNREACHABLE)
             self._fleet.time.after(self._fleet.one_way_ms, lambda: self._end(reply))
             return
-        self._cut = server.submit(self._call, self)
-        self._host.keep_cut(self, self._cut)
+        self._abort = server.submit(self._call, self)
+        self._host.register_abort(self, self._abort)
 
-    def _token_arrives(self, is_last: bool) -> None:
-        if self._is_over:
+    def _on_token_arrival(self, is_last: bool) -> None:
+        if self._is_finished:
             return
         now_ms = self._fleet.time.now_ms()
         if self._first_ms is None:
@@ -239,25 +239,25 @@
             self._end(self._reply(ReplyKind.COMPLETE, 200))
 
     def _on_cancel(self) -> None:
-        if self._is_over:
+        if self._is_finished:
             return
-        cut = self._cut
+        cut = self._abort
         if cut is not None:
             self._fleet.time.after(self._fleet.one_way_ms, cut)
         self._end(self._reply(ReplyKind.CANCELLED))
 
     def _on_deadline(self) -> None:
-        if self._is_over:
+        if self._is_finished:
             return
-        if self._cut is not None:
-            self._fleet.time.after(self._fleet.one_way_ms, self._cut)
+        if self._abort is not None:
+            self._fleet.time.after(self._fleet.one_way_ms, self._abort)
         self._end(self._reply(ReplyKind.LATE))
 
     def _end(self, reply: ServerReply) -> None:
-        if self._is_over:
+        if self._is_finished:
             return
-        self._is_over = True
-        self._host.drop_cut(self)
+        self._is_finished = True
+        self._host.unregister_abort(self)
         self._call.cancel.unsubscribe(self._on_cancel)
         self._answer(reply)
 
--- a/citrondyke/driver/virtual/virtual_server.py
+++ b/citrondyke/driver/virtual/virtual_server.py
@@ -33,15 +33,15 @@
         """Take a token."""
 
     @abstractmethod
-    def on_whole(self, status: int, body: bytes) -> None:
+    def on_complete(self, status: int, body: bytes) -> None:
         """Take a plain answer."""
 
     @abstractmethod
-    def on_refused(self) -> None:
+    def on_rejected(self) -> None:
         """Learn that the server did not take the request."""
 
     @abstractmethod
-    def on_cut(self) -> None:
+    def on_aborted(self) -> None:
         """Learn that the connection was cut."""
 
 
@@ -99,29 +99,29 @@
         self.steps_count = 0
         self.tokens_count = 0
         #: Tokens that resumed streams had to compute again as part of their prompts.
-        self.redone_tokens = 0
+        self.recomputed_tokens = 0
         self._curve = curve
         self._load_lag_ms = load_lag_ms
         self._sinks: dict[str, CallSink] = {}
         self._is_stepping = False
-        self._number = 0
-        self._past: deque[tuple[float, int, int]] = deque([(0.0, 0, 0)])
+        self._streams_count = 0
+        self._load_history: deque[tuple[float, int, int]] = deque([(0.0, 0, 0)])
 
     def submit(self, call: ServerCall, sink: CallSink) -> Callable[[], None]:
         """Take a request into the engine's queue."""
         request = msgspec.json.decode(call.body, type=EngineRequest)
         if request.is_crash:
             self.crash()
-            sink.on_cut()
+            sink.on_aborted()
             return lambda: None
         if request.is_never:
-            sink.on_whole(422, b'{"error": {"message": "never"}}')
+            sink.on_complete(422, b'{"error": {"message": "never"}}')
             return lambda: None
         self.runs[call.request_id] = self.runs.get(call.request_id, 0) + 1
         if call.resume_from_frame:
-            self.redone_tokens += request.prompt_tokens + call.resume_from_frame
-        self._number += 1
-        stream_id = f'{call.request_id}/{self._number}'
+            self.recomputed_tokens += request.prompt_tokens + call.resume_from_frame
+        self._streams_count += 1
+        stream_id = f'{call.request_id}/{self._streams_count}'
         self._sinks[stream_id] = sink
         self.model.submit(
             EngineStream(
@@ -133,16 +133,16 @@
                 done_tokens=call.resume_from_frame,
             )
         )
-        self._note()
+        self._record_load()
         self._step()
-        return lambda: self._cut(stream_id)
+        return lambda: self._abort(stream_id)
 
     def load(self) -> ServerLoad:
         """Report what ran some time ago."""
-        seen_ms = self._time.now_ms() - self._load_lag_ms
-        while len(self._past) > 1 and self._past[1][0] <= seen_ms:
-            self._past.popleft()
-        _, running, waiting = self._past[0]
+        as_of_ms = self._time.now_ms() - self._load_lag_ms
+        while len(self._load_history) > 1 and self._load_history[1][0] <= as_of_ms:
+            self._load_history.popleft()
+        _, running, waiting = self._load_history[0]
         if self.lie_running is not None:
             running, waiting = self.lie_running, 0
         return ServerLoad(running, waiting, self._curve.max_running, self.is_leaving)
@@ -152,13 +152,13 @@
         self.model.drop_all()
         sinks, self._sinks = self._sinks, {}
         for sink in sinks.values():
-            sink.on_cut()
-        self._note()
+            sink.on_aborted()
+        self._record_load()
 
-    def _cut(self, stream_id: str) -> None:
+    def _abort(self, stream_id: str) -> None:
         if self._sinks.pop(stream_id, None) is not None:
             self.model.cancel(stream_id)
-            self._note()
+            self._record_load()
 
     def _step(self) -> None:
         if self._is_stepping or self.model.is_idle():
@@ -177,14 +177,14 @@
             if token.last:
                 del self._sinks[token.stream_id]
             sink.on_token(is_last=token.last)
-        self._note()
+        self._record_load()
         self._step()
 
-    def _note(self) -> None:
+    def _record_load(self) -> None:
         state = (self._time.now_ms(), self.model.running_count, self.model.waiting_count)
-        if self._past[-1][0] == state[0]:
-            self._past.pop()
-        self._past.append(state)
+        if self._load_history[-1][0] == state[0]:
+            self._load_history.pop()
+        self._load_history.append(state)
 
 
 class VirtualService(VirtualServer):
@@ -209,7 +209,7 @@
         def end() -> None:
             self._running -= 1
             if not is_cut:
-                sink.on_whole(200, b'{"ok": true}')
+                sink.on_complete(200, b'{"ok": true}')
 
         def cut() -> None:
             nonlocal is_cut
--- a/citrondyke/standin/cut_handler.py
+++ b/citrondyke/standin/abortable_server.py
@@ -7,12 +7,12 @@
 
 from gevent.pywsgi import WSGIHandler, WSGIServer
 
-__all__ = ('cut_connection', 'quiet_server')
+__all__ = ('abort_connection', 'make_server')
 
 SOCKET_KEY = 'citrondyke.socket'
 
 
-class _SocketHandler(WSGIHandler):
+class _SocketExposingHandler(WSGIHandler):
     """Hands the connection's socket to the application."""
 
     def get_environ(self) -> dict[str, Any]:
@@ -25,7 +25,7 @@
         """Keep quiet: cut connections are what these servers are for."""
 
 
-class _PromptServer(WSGIServer):
+class _NoDelayServer(WSGIServer):
     """Sends each token at once."""
 
     def handle(self, sock: socket.socket, address: Any) -> None:
@@ -34,7 +34,7 @@
         super().handle(sock, address)
 
 
-def cut_connection(environ: dict[str, Any]) -> None:
+def abort_connection(environ: dict[str, Any]) -> None:
     """Close the caller's connection with no answer."""
     try:
         environ[SOCKET_KEY].shutdown(socket.SHUT_RDWR)
@@ -42,6 +42,8 @@
         return
 
 
-def quiet_server(ip: str, port: int, app: Any) -> WSGIServer:
+def make_server(ip: str, port: int, app: Any) -> WSGIServer:
     """Make a server without a request log."""
-    return _PromptServer((ip, port), app, handler_class=_SocketHandler, log=None, error_log=None)
+    return _NoDelayServer(
+        (ip, port), app, handler_class=_SocketExposingHandler, log=None, error_log=None
+    )
--- a/citrondyke/standin/engine_answer.py
+++ b/citrondyke/standin/engine_answer.py
@@ -27,7 +27,7 @@
         self._id = ('chatcmpl-' if chat else 'cmpl-') + request_id
         self._created = int(time.time())
 
-    def whole(self, tokens: Iterator[EngineToken]) -> bytes:
+    def complete_body(self, tokens: Iterator[EngineToken]) -> bytes:
         """Give the plain answer."""
         text = ''.join(token_text(self._seed, token.index) for token in tokens)
         choice: dict[str, Any] = {'index': 0, 'finish_reason': 'length', 'logprobs': None}
--- a/citrondyke/standin/engine_app.py
+++ b/citrondyke/standin/engine_app.py
@@ -13,7 +13,7 @@
 from gevent.event import Event
 from gevent.queue import SimpleQueue
 
-from citrondyke.standin.cut_handler import cut_connection
+from citrondyke.standin.abortable_server import abort_connection
 from citrondyke.standin.engine_answer import CHARS_PER_TOKEN, EngineAnswer
 from citrondyke.standin.engine_curve import EngineCurve
 from citrondyke.standin.engine_faults import BackendFaults
@@ -77,7 +77,7 @@
         self._engine = EngineModel(curve)
         self._queues: dict[str, SimpleQueue] = {}
         self._wake = Event()
-        self._loads: deque[tuple[float, LoadReport]] = deque()
+        self._load_history: deque[tuple[float, LoadReport]] = deque()
         self._streams_count = 0
         self._runs: dict[str, int] = {}
         self._started_ms: dict[str, float] = {}
@@ -94,10 +94,14 @@
 
     def load(self) -> bytes:
         """Answer ``GET /load``."""
-        seen_ms = self._clock.now_ms() - self._load_lag_ms
-        while len(self._loads) > 1 and self._loads[1][0] <= seen_ms:
-            self._loads.popleft()
-        report = self._loads[0][1] if self._loads else LoadReport(0, 0, self._curve.max_running)
+        as_of_ms = self._clock.now_ms() - self._load_lag_ms
+        while len(self._load_history) > 1 and self._load_history[1][0] <= as_of_ms:
+            self._load_history.popleft()
+        report = (
+            self._load_history[0][1]
+            if self._load_history
+            else LoadReport(0, 0, self._curve.max_running)
+        )
         if self.faults.lie_running >= 0:
             report = LoadReport(self.faults.lie_running, 0, self._curve.max_running)
         if self.faults.is_leaving:
@@ -121,30 +125,30 @@
         try:
             request = msgspec.json.decode(bottle.request.body.read(), type=_GenerateRequest)
         except msgspec.DecodeError as error:
-            return _refuse(400, str(error))
+            return _error_answer(400, str(error))
         prompt = request.prompt
         if chat:
             prompt = prompt_text([(each.role, each.content) for each in request.messages])
         if NEVER_MARK in prompt:
-            return _refuse(422, 'the prompt cannot be answered')
+            return _error_answer(422, 'the prompt cannot be answered')
         if CRASH_MARK in prompt:
             return self._crash()
         if self.faults.refuse_left > 0:
             self.faults.refuse_left -= 1
-            return _refuse(503, 'overloaded')
+            return _error_answer(503, 'overloaded')
         request_id = bottle.request.headers.get('X-Request-Id') or f'req-{self._streams_count}'
         self._runs[request_id] = self._runs.get(request_id, 0) + 1
         answer = EngineAnswer(request.model, prompt, request_id, chat=chat)
         stream_id = self._submit(request, prompt, request_id)
         if self.faults.cut_before_answer_left > 0:
             self.faults.cut_before_answer_left -= 1
-            cut_connection(bottle.request.environ)
-            self._forget(stream_id)
+            abort_connection(bottle.request.environ)
+            self._drop_stream(stream_id)
             return b''
         tokens = self._tokens(stream_id, bottle.request.environ)
         if not request.stream:
             bottle.response.content_type = 'application/json'
-            return answer.whole(tokens)
+            return answer.complete_body(tokens)
         bottle.response.content_type = 'text/event-stream'
         return answer.frames(tokens)
 
@@ -154,7 +158,7 @@
         self._engine.drop_all()
         for queue in list(self._queues.values()):
             queue.put(None)
-        cut_connection(bottle.request.environ)
+        abort_connection(bottle.request.environ)
         return b''
 
     def _submit(self, request: _GenerateRequest, prompt: str, request_id: str) -> str:
@@ -174,7 +178,7 @@
                 done_tokens=request.resume_from_token,
             )
         )
-        self._note_load()
+        self._record_load()
         self._wake.set()
         return stream_id
 
@@ -188,19 +192,19 @@
             while True:
                 token = self._queues[stream_id].get()
                 if token is None or sent == cut_after:
-                    cut_connection(environ)
+                    abort_connection(environ)
                     raise ConnectionAbortedError
                 yield token
                 sent += 1
                 if token.last:
                     return
         finally:
-            self._forget(stream_id)
+            self._drop_stream(stream_id)
 
-    def _forget(self, stream_id: str) -> None:
+    def _drop_stream(self, stream_id: str) -> None:
         self._queues.pop(stream_id, None)
         self._engine.cancel(stream_id)
-        self._note_load()
+        self._record_load()
 
     def _run_steps(self) -> None:
         while True:
@@ -214,17 +218,17 @@
                 queue = self._queues.get(token.stream_id)
                 if queue is not None:
                     queue.put(token)
-            self._note_load()
+            self._record_load()
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         report = LoadReport(
             self._engine.running_count, self._engine.waiting_count, self._curve.max_running
         )
-        if not self._loads or self._loads[-1][1] != report:
-            self._loads.append((self._clock.now_ms(), report))
+        if not self._load_history or self._load_history[-1][1] != report:
+            self._load_history.append((self._clock.now_ms(), report))
 
 
-def _refuse(status: int, message: str) -> bytes:
+def _error_answer(status: int, message: str) -> bytes:
     bottle.response.status = status
     bottle.response.content_type = 'application/json'
     return msgspec.json.encode({'error': {'message': message, 'type': 'engine_error'}})
--- a/citrondyke/standin/lagging_lists.py
+++ b/citrondyke/standin/lagging_lists.py
@@ -21,7 +21,7 @@
         self.lag_ms = 0.0
         self._instances: dict[InstanceId, ListedInstance] = {}
         self._servers: dict[ServerId, ListedServer] = {}
-        self._past: deque[tuple[float, FleetSnapshot]] = deque([(0.0, FleetSnapshot())])
+        self._snapshots: deque[tuple[float, FleetSnapshot]] = deque([(0.0, FleetSnapshot())])
 
     def put_instance(self, instance: ListedInstance, now_ms: float) -> None:
         """List an instance, or change its entry."""
@@ -45,11 +45,11 @@
 
     def at(self, now_ms: float) -> FleetSnapshot:
         """Give what the lists show now: their state ``lag_ms`` ago."""
-        seen_ms = now_ms - self.lag_ms
-        while len(self._past) > 1 and self._past[1][0] <= seen_ms:
-            self._past.popleft()
-        return self._past[0][1]
+        as_of_ms = now_ms - self.lag_ms
+        while len(self._snapshots) > 1 and self._snapshots[1][0] <= as_of_ms:
+            self._snapshots.popleft()
+        return self._snapshots[0][1]
 
     def _record(self, now_ms: float) -> None:
         snapshot = FleetSnapshot(tuple(self._instances.values()), tuple(self._servers.values()))
-        self._past.append((now_ms, snapshot))
+        self._snapshots.append((now_ms, snapshot))
--- a/citrondyke/standin/part_table.py
+++ b/citrondyke/standin/part_table.py
@@ -17,7 +17,7 @@
 
 __all__ = ('PartTable',)
 
-PAGE_PARTS = 1_000
+MAX_PARTS_PER_PAGE = 1_000
 
 
 class PartTable(PartitionedTable):
@@ -28,15 +28,15 @@
         self.version = 0
         self._rows: SortedDict = SortedDict()
         self._history: list[PartRow] = []
-        self._history_from = 0
+        self._history_start_version = 0
 
     def transact(self, transaction: PartTransaction) -> PartCommitted | PartConflict:
         """Write all or nothing."""
         part = transaction.part
         expected = [(each.table, part, each.key) for each in transaction.conditions]
-        present = tuple(self._rows[place] for place in expected if place in self._rows)
-        for condition, place in zip(transaction.conditions, expected, strict=True):
-            row = self._rows.get(place)
+        present = tuple(self._rows[row_key] for row_key in expected if row_key in self._rows)
+        for condition, row_key in zip(transaction.conditions, expected, strict=True):
+            row = self._rows.get(row_key)
             if (0 if row is None else row.version) != condition.version:
                 return PartConflict(present, self.version)
         self.version += 1
@@ -51,20 +51,20 @@
     ) -> Listing | PlatformFailure:
         """Read rows of a part from a key on."""
         rows = []
-        for place in self._rows.irange(minimum=(table, part, from_key)):
-            if place[:2] != (table, part):
+        for row_key in self._rows.irange(minimum=(table, part, from_key)):
+            if row_key[:2] != (table, part):
                 break
-            rows.append(self._rows[place])
+            rows.append(self._rows[row_key])
         return Listing(tuple(rows[:limit]), len(rows) > limit, self.version)
 
     def list_parts(self, table: str, after: str = '') -> list[str] | PlatformFailure:
         """List parts behind one."""
-        parts = {place[1] for place in self._rows if place[0] == table and place[1] > after}
-        return sorted(parts)[:PAGE_PARTS]
+        parts = {row_key[1] for row_key in self._rows if row_key[0] == table and row_key[1] > after}
+        return sorted(parts)[:MAX_PARTS_PER_PAGE]
 
     def follow(self, table: str, after_version: int, wait_ms: float) -> Feed | PlatformFailure:
         """Give the changes of a table behind a version; the caller does the waiting."""
-        if after_version < self._history_from:
+        if after_version < self._history_start_version:
             return HISTORY_LOST
         rows = [row for row in self._history if row.table == table and row.version > after_version]
         return Feed(tuple(rows), self.version)
@@ -72,12 +72,12 @@
     def forget_history(self) -> None:
         """Drop all of the history."""
         self._history = []
-        self._history_from = self.version
+        self._history_start_version = self.version
 
     def _write(self, row: PartRow) -> None:
         self._history.append(row)
-        place = (row.table, row.part, row.key)
+        row_key = (row.table, row.part, row.key)
         if row.value is None:
-            self._rows.pop(place, None)
+            self._rows.pop(row_key, None)
         else:
-            self._rows[place] = row
+            self._rows[row_key] = row
--- a/citrondyke/standin/platform_app.py
+++ b/citrondyke/standin/platform_app.py
@@ -10,7 +10,7 @@
 import msgspec
 from sortedcontainers import SortedDict
 
-from citrondyke.standin.cut_handler import cut_connection
+from citrondyke.standin.abortable_server import abort_connection
 from citrondyke.standin.faults import FaultMode, FaultSwitch
 from citrondyke.standin.lagging_lists import LaggingLists
 from citrondyke.standin.table import Table
@@ -144,7 +144,7 @@
             gevent.sleep(switch.delay_ms / 1e3)
         answer = act()
         if mode is FaultMode.LOST_REPLY:
-            cut_connection(bottle.request.environ)
+            abort_connection(bottle.request.environ)
         return answer
 
     def _read_lists(self) -> bytes:
--- a/citrondyke/standin/platform_server.py
+++ b/citrondyke/standin/platform_server.py
@@ -21,16 +21,16 @@
 
     from gevent import socket
 
-__all__ = ('Act', 'PlatformServer', 'ServerRun')
+__all__ = ('AnswerMode', 'PlatformServer', 'ServerRun')
 
 READ_BYTES = 65_536
 
 
-def _nobody() -> None:
+def _ignore_crash() -> None:
     """Stand where nobody is told."""
 
 
-class Act(Enum):
+class AnswerMode(Enum):
     """How the next request is answered."""
 
     SERVE = 'serve'
@@ -68,7 +68,7 @@
     headers: dict[bytes, bytes]
     body: bytes
     is_cut: bool = False
-    act: Act = Act.SERVE
+    answer_mode: AnswerMode = AnswerMode.SERVE
     #: By the steady clock.
     began_s: float = 0.0
 
@@ -80,19 +80,19 @@
         """Start listening on loopback."""
         self.server_id = server_id
         self.events_count = events_count
-        self.acts: deque[Act] = deque()
+        self.answer_modes: deque[AnswerMode] = deque()
         self.runs: list[ServerRun] = []
         self.refused_count = 0
         self.event_gap_ms = 1.0
         self.answer_ms = 0.0
-        self.go_on = gevent.event.Event()
+        self.resume_streams = gevent.event.Event()
         #: Bodies of requests under which it ends as it begins to run them.
-        self.deadly_bodies: set[bytes] = set()
+        self.crash_bodies: set[bytes] = set()
         #: Bodies of requests whose connections it resets; it lives on.
-        self.cut_bodies: set[bytes] = set()
-        self.is_ended = False
+        self.reset_bodies: set[bytes] = set()
+        self.has_crashed = False
         #: Called when it has ended.
-        self.on_end: Callable[[], object] = _nobody
+        self.on_crash: Callable[[], object] = _ignore_crash
         self._open: set[socket.socket] = set()
         self._server = StreamServer(('127.0.0.1', 0), self._on_connection)
         self._server.start()
@@ -104,11 +104,11 @@
 
     def crash(self) -> None:
         """End as a crash does: every connection is reset, and new ones are refused."""
-        self.is_ended = True
+        self.has_crashed = True
         self._server.stop(timeout=0)
         for sock in list(self._open):
             reset(sock)
-        self.on_end()
+        self.on_crash()
 
     def _on_connection(self, sock: socket.socket, _: object) -> None:
         http = h11.Connection(h11.SERVER)
@@ -146,71 +146,71 @@
         self, http: h11.Connection, sock: socket.socket, request: h11.Request, body: bytes
     ) -> bool:
         headers = {bytes(name): bytes(value) for name, value in request.headers}
-        act = self.acts.popleft() if self.acts else Act.SERVE
+        answer_mode = self.answer_modes.popleft() if self.answer_modes else AnswerMode.SERVE
         own = [(ATTEMPT, headers.get(ATTEMPT, b'')), (LOAD, b'1,0,8')]
         if headers.get(EXPECT_SERVER, self.server_id.encode()) != self.server_id.encode():
-            return self._whole(http, sock, 421, [*own, (b'instance-id', b'other')], b'')
-        if act is Act.REFUSE:
+            return self._send_complete(http, sock, 421, [*own, (b'instance-id', b'other')], b'')
+        if answer_mode is AnswerMode.REFUSE:
             self.refused_count += 1
-            return self._whole(http, sock, 503, [*own, (NOT_RUN, b'1')], b'')
+            return self._send_complete(http, sock, 503, [*own, (NOT_RUN, b'1')], b'')
         run = ServerRun(
             headers.get(ATTEMPT, b'').decode(),
             bytes(request.method),
             bytes(request.target),
             headers,
             body,
-            act=act,
+            answer_mode=answer_mode,
             began_s=time.monotonic(),
         )
         self.runs.append(run)
         gevent.sleep(self.answer_ms / 1e3)
-        if body in self.deadly_bodies:
+        if body in self.crash_bodies:
             self.crash()
             return False
         signed = [*own, (SEAL, f'seal-{self.server_id}-{len(self.runs)}'.encode())]
-        if act is Act.CUT or body in self.cut_bodies:
+        if answer_mode is AnswerMode.CUT or body in self.reset_bodies:
             reset(sock)
             return False
-        if act is Act.SILENT:
+        if answer_mode is AnswerMode.SILENT:
             return self._wait_for_close(sock, run)
-        if act is Act.FAIL:
-            return self._whole(http, sock, 500, signed, b'failed')
-        if act is Act.IMPOSSIBLE:
-            return self._whole(http, sock, 422, signed, b'')
-        if act is Act.WRONG_ID:
-            return self._whole(http, sock, 200, [(ATTEMPT, b'other'), signed[-1]], b'other')
-        if act is Act.UNSIGNED:
-            return self._whole(http, sock, 200, own, b'unsigned')
-        if act in (Act.UNFRAMED, Act.UNFRAMED_CUT):
-            return self._unframed(sock, signed, is_cut=act is Act.UNFRAMED_CUT)
+        if answer_mode is AnswerMode.FAIL:
+            return self._send_complete(http, sock, 500, signed, b'failed')
+        if answer_mode is AnswerMode.IMPOSSIBLE:
+            return self._send_complete(http, sock, 422, signed, b'')
+        if answer_mode is AnswerMode.WRONG_ID:
+            return self._send_complete(http, sock, 200, [(ATTEMPT, b'other'), signed[-1]], b'other')
+        if answer_mode is AnswerMode.UNSIGNED:
+            return self._send_complete(http, sock, 200, own, b'unsigned')
+        if answer_mode in (AnswerMode.UNFRAMED, AnswerMode.UNFRAMED_CUT):
+            return self._send_unframed(sock, signed, is_cut=answer_mode is AnswerMode.UNFRAMED_CUT)
         if b'stream' in run.target:
-            return self._stream(http, sock, signed, run, act)
-        kept = self._whole(http, sock, 200, signed, b'answer to ' + body)
-        if act is Act.EXTRA:
+            return self._send_stream(http, sock, signed, run, answer_mode)
+        kept = self._send_complete(http, sock, 200, signed, b'answer to ' + body)
+        if answer_mode is AnswerMode.EXTRA:
             sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra')
         return kept
 
-    def _stream(
+    def _send_stream(
         self,
         http: h11.Connection,
         sock: socket.socket,
         headers: list[tuple[bytes, bytes]],
         run: ServerRun,
-        act: Act,
+        answer_mode: AnswerMode,
     ) -> bool:
         first = int(run.headers.get(LAST_EVENT, b'0')) + 1
         head = [*headers, (b'content-type', b'text/event-stream')]
         sock.sendall(http.send(h11.Response(status_code=200, headers=head)) or b'')
         for number in range(first, self.events_count + 1):
             data = b'id: %d\ndata: text %d\n\n' % (number, number)
-            if act is Act.CUT_IN_EVENT and number == first + 2:
+            if answer_mode is AnswerMode.CUT_IN_EVENT and number == first + 2:
                 sock.sendall(http.send(h11.Data(data=data[:-5])) or b'')
                 reset(sock)
                 return False
-            if act in (Act.STALL, Act.HOLD) and number == first + 2:
-                if act is Act.STALL:
+            if answer_mode in (AnswerMode.STALL, AnswerMode.HOLD) and number == first + 2:
+                if answer_mode is AnswerMode.STALL:
                     return self._wait_for_close(sock, run)
-                self.go_on.wait()
+                self.resume_streams.wait()
             try:
                 sock.sendall(http.send(h11.Data(data=data)) or b'')
             except OSError:
@@ -220,7 +220,7 @@
         sock.sendall(http.send(h11.EndOfMessage()) or b'')
         return True
 
-    def _whole(
+    def _send_complete(
         self,
         http: h11.Connection,
         sock: socket.socket,
@@ -236,7 +236,9 @@
         return True
 
     @staticmethod
-    def _unframed(sock: socket.socket, headers: list[tuple[bytes, bytes]], *, is_cut: bool) -> bool:
+    def _send_unframed(
+        sock: socket.socket, headers: list[tuple[bytes, bytes]], *, is_cut: bool
+    ) -> bool:
         lines = b''.join(b'%b: %b\r\n' % pair for pair in headers)
         sock.sendall(b'HTTP/1.1 200 OK\r\nConnection: close\r\n' + lines + b'\r\nunframed')
         gevent.sleep(0.01)
--- a/citrondyke/standin/service_app.py
+++ b/citrondyke/standin/service_app.py
@@ -6,7 +6,7 @@
 import gevent
 import msgspec
 
-from citrondyke.standin.cut_handler import cut_connection
+from citrondyke.standin.abortable_server import abort_connection
 from citrondyke.standin.engine_app import LoadReport
 from citrondyke.standin.engine_faults import BackendFaults
 
@@ -44,7 +44,7 @@
             self._running -= 1
         if self.faults.cut_before_answer_left > 0:
             self.faults.cut_before_answer_left -= 1
-            cut_connection(request.environ)
+            abort_connection(request.environ)
         answer = {'path': path, 'method': request.method, 'key': key, 'run': self._runs[key]}
         return msgspec.json.encode(answer)
 
--- a/citrondyke/standin/store_app.py
+++ b/citrondyke/standin/store_app.py
@@ -156,7 +156,7 @@
 
 
 def _rows(rows: Iterable[PartRow], version: int, *, has_more: bool = False) -> bytes:
-    shown = []
+    entries = []
     for row in rows:
         entry: dict[str, Any] = {
             'table': row.table,
@@ -168,8 +168,8 @@
             entry['deleted'] = True
         else:
             entry['value'] = base64.b64encode(row.value).decode()
-        shown.append(entry)
-    return msgspec.json.encode({'rows': shown, 'has_more': has_more, 'ver': version, 'now_ms': 0})
+        entries.append(entry)
+    return msgspec.json.encode({'rows': entries, 'has_more': has_more, 'ver': version, 'now_ms': 0})
 
 
 def _answer(start_response: Any, status: int, body: bytes) -> Iterable[bytes]:
--- a/citrondyke/standin/table.py
+++ b/citrondyke/standin/table.py
@@ -32,15 +32,15 @@
     def transact(self, transaction: Transaction) -> Committed | Conflict:
         """Write all or nothing."""
         self.transactions_count += 1
-        broken = tuple(
+        failed_keys = tuple(
             check.key
             for check in transaction.checks
             if self._version_of(check.key) != check.version
         )
-        if broken:
+        if failed_keys:
             self.conflicts_count += 1
-            present = [self._rows[key] for key in broken if key in self._rows]
-            return Conflict({row.key: row for row in present}, broken)
+            present = [self._rows[key] for key in failed_keys if key in self._rows]
+            return Conflict({row.key: row for row in present}, failed_keys)
         self._version += 1
         for write in transaction.writes:
             if write.is_delete:
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -142,13 +142,13 @@
     def restart_ended(self) -> None:
         """Start each server that has ended again, as a new one, and wait until all know it."""
         for name, server in list(self.servers.items()):
-            if not server.is_ended:
+            if not server.has_crashed:
                 continue
             self.ended.append(self.servers.pop(name))
             self.store.remove(SERVERS_TABLE, name)
             kind = name.partition('-')[0]
             new = self.add_server(f'{kind}-{len(self.ended) + 100}', kind)
-            new.deadly_bodies = server.deadly_bodies
+            new.crash_bodies = server.crash_bodies
             new.answer_ms = server.answer_ms
         self.wait_ready()
 
--- a/tests/test_driver/test_driver_replay.py
+++ b/tests/test_driver/test_driver_replay.py
@@ -9,7 +9,7 @@
 
 from citrondyke.decisions.audit.record import OutcomeRecord, RecordKind
 from citrondyke.driver.virtual.replay import replay
-from citrondyke.driver.virtual.trace import TraceEventKind, events_of_records, read_trace
+from citrondyke.driver.virtual.trace import TraceEventKind, events_from_records, read_trace
 from citrondyke.driver.virtual.trace_outcome import TraceOutcome
 from citrondyke.ids import ClassName, TargetName, TenantId
 
@@ -37,7 +37,7 @@
             items_count=5,
         )
 
-    events = events_of_records(
+    events = events_from_records(
         [
             record(RecordKind.JOB_ENDED, 9000.0, 8000.0),
             record(RecordKind.ONLINE, 5000.0, 2000.0),
--- a/tests/test_gateway/test_callers/test_callers_forwarding.py
+++ b/tests/test_gateway/test_callers/test_callers_forwarding.py
@@ -8,7 +8,7 @@
 from citrondyke.decisions.forwarding.load_notices import ServerLoad
 from citrondyke.decisions.forwarding.server_registry import server_digest
 from citrondyke.gateway.peers.peer_codec import LoadNotice
-from citrondyke.standin.platform_server import Act, PlatformServer
+from citrondyke.standin.platform_server import AnswerMode, PlatformServer
 from tests.support.gateway import GatewayFleet, Reply, exchange, wait_until_seen
 
 
@@ -18,11 +18,11 @@
     )
 
 
-def tell(fleet: GatewayFleet, prefix: str, act: Act, *, times: int = 1) -> None:
+def tell(fleet: GatewayFleet, prefix: str, act: AnswerMode, *, times: int = 1) -> None:
     """Make all servers of a service handle their next requests in the given way."""
     for name, server in fleet.servers.items():
         if name.startswith(prefix):
-            server.acts.extend([act] * times)
+            server.answer_modes.extend([act] * times)
 
 
 def served_by(fleet: GatewayFleet, prefix: str) -> list[PlatformServer]:
@@ -57,22 +57,34 @@
 
 
 @pytest.mark.parametrize(
-    'act', [Act.CUT, Act.WRONG_ID, Act.UNSIGNED, Act.UNFRAMED_CUT, Act.FAIL, Act.REFUSE]
+    'act',
+    [
+        AnswerMode.CUT,
+        AnswerMode.WRONG_ID,
+        AnswerMode.UNSIGNED,
+        AnswerMode.UNFRAMED_CUT,
+        AnswerMode.FAIL,
+        AnswerMode.REFUSE,
+    ],
 )
-def test_idempotent_request_is_retried_at_another_server(fleet: GatewayFleet, act: Act) -> None:
+def test_idempotent_request_is_retried_at_another_server(
+    fleet: GatewayFleet, act: AnswerMode
+) -> None:
     # One server truncates or corrupts its response, fails, or rejects the request. The caller sees
     # only the whole response of the other server.
-    fleet.servers['app-1'].acts.extend([act] * 4)
+    fleet.servers['app-1'].answer_modes.extend([act] * 4)
     for number in range(8):
         body = b'mine %d' % number
         reply = fleet.call('/fetch/a', body, request_id=f'request-{number}')
         assert (reply.status, reply.body) == (200, b'answer to ' + body)
-    assert len(fleet.servers['app-1'].acts) < 4
+    assert len(fleet.servers['app-1'].answer_modes) < 4
 
 
-@pytest.mark.parametrize('act', [Act.CUT, Act.WRONG_ID, Act.UNSIGNED, Act.UNFRAMED_CUT])
+@pytest.mark.parametrize(
+    'act', [AnswerMode.CUT, AnswerMode.WRONG_ID, AnswerMode.UNSIGNED, AnswerMode.UNFRAMED_CUT]
+)
 def test_order_that_may_have_run_is_sent_once_and_not_reported_as_not_run(
-    fleet: GatewayFleet, act: Act
+    fleet: GatewayFleet, act: AnswerMode
 ) -> None:
     # The server books the order, then its response is lost or corrupted. A retry by the gateway
     # would book it twice; a 503 would make the caller retry it.
@@ -83,7 +95,7 @@
 
 
 def test_order_rejected_by_all_servers_gets_a_retry_time(fleet: GatewayFleet) -> None:
-    tell(fleet, 'app', Act.REFUSE)
+    tell(fleet, 'app', AnswerMode.REFUSE)
     reply = fleet.call('/order/a')
     assert reply.status == 503
     assert float(reply.headers['retry-after']) > 0
@@ -91,14 +103,14 @@
 
 
 def test_order_rejected_by_one_server_runs_at_the_other(fleet: GatewayFleet) -> None:
-    fleet.servers['app-1'].acts.append(Act.REFUSE)
+    fleet.servers['app-1'].answer_modes.append(AnswerMode.REFUSE)
     replies = [fleet.call('/order/a', request_id=f'order-{n}') for n in range(4)]
     assert {reply.status for reply in replies} == {200}
     assert runs(fleet, 'app') == 4
 
 
 def test_error_response_of_a_server_is_relayed_with_its_seal(fleet: GatewayFleet) -> None:
-    tell(fleet, 'app', Act.FAIL, times=3)
+    tell(fleet, 'app', AnswerMode.FAIL, times=3)
     reply = fleet.call('/fetch/a')
     assert (reply.status, reply.body) == (500, b'failed')
     assert reply.headers['response-seal'].startswith('seal-')
@@ -107,7 +119,7 @@
 def test_extra_response_reaches_no_caller(fleet: GatewayFleet) -> None:
     # A server sends a second response after the first. The connection must not be reused: the next
     # caller would get bytes that belong to no request.
-    tell(fleet, 'app', Act.EXTRA, times=20)
+    tell(fleet, 'app', AnswerMode.EXTRA, times=20)
     for number in range(10):
         body = b'mine %d' % number
         reply = fleet.call('/fetch/a', body, request_id=f'request-{number}')
@@ -115,7 +127,7 @@
 
 
 def test_response_without_a_length_ends_with_the_connection(fleet: GatewayFleet) -> None:
-    tell(fleet, 'app', Act.UNFRAMED)
+    tell(fleet, 'app', AnswerMode.UNFRAMED)
     reply = fleet.call('/fetch/a')
     assert (reply.status, reply.body, reply.is_whole) == (200, b'unframed', True)
 
@@ -128,7 +140,7 @@
 def test_disconnect_of_the_caller_ends_the_servers_work(fleet: GatewayFleet) -> None:
     # A caller disconnects while its request is running. The server's connection is closed at once,
     # so that its capacity is free for other requests.
-    tell(fleet, 'app', Act.SILENT)
+    tell(fleet, 'app', AnswerMode.SILENT)
     with fleet.connection() as sock:
         gevent.spawn(exchange, sock, '/order/a', b'x')
         wait_until_seen(lambda: runs(fleet, 'app'), 'the request at a server')
@@ -140,8 +152,8 @@
 
 
 def test_unresponsive_server_is_abandoned_for_another_one(fleet: GatewayFleet) -> None:
-    tell(fleet, 'app', Act.SILENT)
-    fleet.servers['app-2'].acts.clear()
+    tell(fleet, 'app', AnswerMode.SILENT)
+    fleet.servers['app-2'].answer_modes.clear()
     replies = [fleet.call('/fetch/a', request_id=f'request-{n}') for n in range(3)]
     assert {reply.status for reply in replies} == {200}
 
@@ -149,19 +161,19 @@
 def test_request_without_a_response_times_out_at_its_deadline(
     fleet: GatewayFleet,
 ) -> None:
-    tell(fleet, 'app', Act.SILENT, times=3)
+    tell(fleet, 'app', AnswerMode.SILENT, times=3)
     reply = fleet.call('/order/a', deadline_ms='400')
     assert reply.status == 504
     assert runs(fleet, 'app') == 1
 
 
-@pytest.mark.parametrize('act', [Act.CUT_IN_EVENT, Act.STALL])
-def test_stream_resumes_after_its_last_whole_event(fleet: GatewayFleet, act: Act) -> None:
+@pytest.mark.parametrize('act', [AnswerMode.CUT_IN_EVENT, AnswerMode.STALL])
+def test_stream_resumes_after_its_last_whole_event(fleet: GatewayFleet, act: AnswerMode) -> None:
     # A server fails in the middle of its third event, or stalls. The caller sees one stream with
     # each event once and the headers of the first server.
     tell(fleet, 'lm', act)
-    fleet.servers['lm-2'].acts.clear()
-    fleet.servers['lm-1'].acts.append(act)
+    fleet.servers['lm-2'].answer_modes.clear()
+    fleet.servers['lm-1'].answer_modes.append(act)
     for number in range(3):
         reply = fleet.call('/stream/a', request_id=f'request-{number}')
         assert reply.is_whole
@@ -171,7 +183,7 @@
 
 
 def test_stream_that_cannot_be_resumed_is_visibly_truncated(fleet: GatewayFleet) -> None:
-    tell(fleet, 'lm', Act.CUT_IN_EVENT)
+    tell(fleet, 'lm', AnswerMode.CUT_IN_EVENT)
     reply = fleet.call('/stream-once/a')
     assert not reply.is_whole
     assert reply.body == b'id: 1\ndata: text 1\n\nid: 2\ndata: text 2\n\n'
@@ -184,14 +196,14 @@
 
 
 def test_events_are_relayed_without_delay(fleet: GatewayFleet) -> None:
-    tell(fleet, 'lm', Act.HOLD)
+    tell(fleet, 'lm', AnswerMode.HOLD)
     replies: list[Reply] = []
     with fleet.connection() as sock:
         reader = gevent.spawn(lambda: replies.append(exchange(sock, '/stream/a', b'')))
         (server,) = wait_until_seen(lambda: served_by(fleet, 'lm'), 'the request at a server')
         gevent.sleep(0.1)
         assert not replies
-        server.go_on.set()
+        server.resume_streams.set()
         reader.join(10.0)
     assert replies[0].is_whole
 
@@ -241,7 +253,7 @@
         ][1:],
         'the first incarnation of both servers',
     )
-    tell(fleet, 'lm', Act.SILENT)
+    tell(fleet, 'lm', AnswerMode.SILENT)
     replies: list[Reply] = []
     with fleet.connection() as sock:
         reader = gevent.spawn(lambda: replies.append(exchange(sock, '/stream-once/a', b'')))
@@ -254,7 +266,7 @@
 def test_unresponsive_server_is_avoided_before_its_caller_disconnects(fleet: GatewayFleet) -> None:
     # A stream that may not be repeated waits at an unresponsive server. Until its caller
     # disconnects, two seconds later, every second request would go there too.
-    tell(fleet, 'lm', Act.SILENT)
+    tell(fleet, 'lm', AnswerMode.SILENT)
     book = fleet.instances[0].book
     with fleet.connection() as sock:
         reader = gevent.spawn(exchange, sock, '/stream-once/a', b'')
--- a/tests/test_gateway/test_gateway_stop.py
+++ b/tests/test_gateway/test_gateway_stop.py
@@ -4,7 +4,7 @@
 
 import gevent
 
-from citrondyke.standin.platform_server import Act
+from citrondyke.standin.platform_server import AnswerMode
 from tests.support.gateway import GatewayFleet, Reply, exchange, wait_until_seen
 
 
@@ -32,7 +32,7 @@
 
 def test_shutdown_ends_though_a_server_is_unresponsive(fleet: GatewayFleet) -> None:
     for name in ('app-1', 'app-2'):
-        fleet.servers[name].acts.append(Act.SILENT)
+        fleet.servers[name].answer_modes.append(AnswerMode.SILENT)
     instance = fleet.instances[0]
     with fleet.connection() as sock:
         gevent.spawn(exchange, sock, '/order/a', b'')
--- a/tests/test_gateway/test_jobs/test_jobs.py
+++ b/tests/test_gateway/test_jobs/test_jobs.py
@@ -9,7 +9,7 @@
 import pytest
 
 from citrondyke.ids import JobId, ServiceName
-from citrondyke.standin.platform_server import Act
+from citrondyke.standin.platform_server import AnswerMode
 from tests.support.gateway import ROUTES, GatewayFleet, wait_until_seen
 
 TEXT = '\n'.join(f'text {n}' for n in range(1, 7))
@@ -201,7 +201,7 @@
         lambda: all(len(book.eligible_servers(ServiceName('lm'))) == 1 for book in books),
         'one server',
     )
-    fleet.servers['lm-1'].acts.extend([Act.IMPOSSIBLE] * 2)
+    fleet.servers['lm-1'].answer_modes.extend([AnswerMode.IMPOSSIBLE] * 2)
     assert fleet.submit('job-1', 4).status == 202
     results = fleet.wait_done('job-1')
     assert sorted(each['state'] for each in results) == ['completed', 'completed'] + ['errored'] * 2
@@ -209,7 +209,7 @@
 
 def test_cut_item_goes_on_behind_its_last_event(fleet: GatewayFleet) -> None:
     for name in ('lm-1', 'lm-2'):
-        fleet.servers[name].acts.append(Act.CUT_IN_EVENT)
+        fleet.servers[name].answer_modes.append(AnswerMode.CUT_IN_EVENT)
     assert fleet.submit('job-1', 2).status == 202
     assert {each['text'] for each in fleet.wait_done('job-1')} == {TEXT}
 
@@ -236,7 +236,7 @@
 
 def test_items_whose_route_is_gone_are_given_up(fleet: GatewayFleet) -> None:
     for server in fleet.servers.values():
-        server.acts.extend([Act.REFUSE] * 50)
+        server.answer_modes.extend([AnswerMode.REFUSE] * 50)
     assert fleet.submit('job-1', 2).status == 202
     fleet.configure(2, [each for each in ROUTES if each['type'] != 'batch'])
     results = fleet.wait_done('job-1')
--- a/tests/test_gateway/test_servers/test_servers_crashes.py
+++ b/tests/test_gateway/test_servers/test_servers_crashes.py
@@ -7,7 +7,7 @@
 
 from citrondyke.decisions.crashes.request_fingerprint import fingerprint_of
 from citrondyke.gateway.servers.suspect_store import SUSPECTS_TABLE
-from citrondyke.standin.platform_server import Act
+from citrondyke.standin.platform_server import AnswerMode
 from citrondyke.storage.partitioned_table import Listing
 from tests.support.gateway import HOST, GatewayFleet, wait_until_seen
 
@@ -22,7 +22,7 @@
     """Send the deadly request to the instances in turn, restarting crashed servers in between."""
     statuses = []
     for server in fleet.servers.values():
-        server.deadly_bodies.add(DEADLY)
+        server.crash_bodies.add(DEADLY)
     for number in range(attempts):
         at = number % len(fleet.instances)
         reply = fleet.call('/fetch/a', DEADLY, at=at, request_id=f'attempt-{number}')
@@ -51,11 +51,11 @@
     # A request's connections are reset at one server after another, but the servers stay up. The
     # request must not be stopped: its next response may be whole.
     for server in fleet.servers.values():
-        server.cut_bodies.add(b'unlucky')
+        server.reset_bodies.add(b'unlucky')
     for number in range(ATTEMPTS):
         fleet.call('/fetch/a', b'unlucky', at=number % 2, request_id=f'attempt-{number}')
     for server in fleet.servers.values():
-        server.cut_bodies.clear()
+        server.reset_bodies.clear()
     reply = fleet.call('/fetch/a', b'unlucky', request_id='last')
     assert (reply.status, reply.body) == (200, b'answer to unlucky')
 
@@ -96,7 +96,7 @@
     # Two servers crashed by chance while they ran the request; the third one succeeds.
     send_repeatedly(fleet, 1)
     for server in fleet.servers.values():
-        server.deadly_bodies.clear()
+        server.crash_bodies.clear()
     assert fleet.call('/fetch/a', DEADLY, request_id='well').status == 200
     content = fingerprint_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
     for instance in fleet.instances:
@@ -107,15 +107,15 @@
     # A server crashes while a stream is in progress. The stream resumes after its last event at
     # another server.
     for server in fleet.servers.values():
-        server.deadly_bodies.add(DEADLY)
-        server.acts.append(Act.HOLD)
+        server.crash_bodies.add(DEADLY)
+        server.answer_modes.append(AnswerMode.HOLD)
     waiting = gevent.spawn(fleet.call, '/stream/a', b'mine', request_id='stream-1')
     holder = wait_until_seen(
         lambda: next((each for each in fleet.servers.values() if each.runs), None), 'the stream'
     )
     holder.crash()
     for server in fleet.servers.values():
-        server.go_on.set()
+        server.resume_streams.set()
     reply = waiting.get()
     assert (reply.status, reply.is_whole) == (200, True)
     assert reply.body.count(b'id: ') == 6
@@ -127,7 +127,7 @@
     # One of four items crashes each server that runs it. The other items must get their results,
     # and the poison item must not be sent again until its job's deadline.
     for server in fleet.servers.values():
-        server.deadly_bodies.add(b'item 1')
+        server.crash_bodies.add(b'item 1')
     assert fleet.submit('job', 4).status == 202
 
     def look() -> bool:
@@ -156,8 +156,8 @@
     # begins to run it, so its error response does not show that the request is harmless.
     send_repeatedly(fleet, 1)
     for server in fleet.servers.values():
-        server.deadly_bodies.clear()
-        server.acts.extend([Act.FAIL] * 4)
+        server.crash_bodies.clear()
+        server.answer_modes.extend([AnswerMode.FAIL] * 4)
     content = fingerprint_of(b'POST', HOST.encode(), b'/fetch/a', DEADLY)
     assert fleet.call('/fetch/a', DEADLY, request_id='failed').status == 500
     assert fleet.instances[0].guard.exits_count(content) == 2.0
@@ -177,6 +177,6 @@
 
     monkeypatch.setattr(fleet.instances[0].guard, '_check_exit', preempt_all)
     for server in fleet.servers.values():
-        server.acts.extend([Act.CUT] * 2)
+        server.answer_modes.extend([AnswerMode.CUT] * 2)
     assert fleet.submit('job', 4).status == 202
     assert len(fleet.wait_done('job')) == 4
--- a/tests/test_gateway/test_servers/test_servers_evidence.py
+++ b/tests/test_gateway/test_servers/test_servers_evidence.py
@@ -4,7 +4,7 @@
 
 from citrondyke.decisions.servers.server_health import ServerHealth
 from citrondyke.ids import ServerId
-from citrondyke.standin.platform_server import Act
+from citrondyke.standin.platform_server import AnswerMode
 from tests.support.gateway import GatewayFleet, wait_until_seen
 
 
@@ -19,7 +19,7 @@
     # non-idempotent request to it.
     neighbours = fleet.instances[0].book.topology
     wait_until_seen(neighbours.all_peers, 'the other instance to be known')
-    fleet.servers['app-1'].acts.extend([Act.FAIL] * 50)
+    fleet.servers['app-1'].answer_modes.extend([AnswerMode.FAIL] * 50)
     wait_until_seen(
         lambda: fleet.call('/order/a', b'x', at=0).status == 500 or None, 'a failed order'
     )
@@ -34,7 +34,7 @@
 
 
 def test_recovered_server_is_used_by_all_instances(fleet: GatewayFleet) -> None:
-    fleet.servers['app-1'].acts.extend([Act.FAIL] * 6)
+    fleet.servers['app-1'].answer_modes.extend([AnswerMode.FAIL] * 6)
 
     def both_healthy() -> bool:
         for at in range(2):
--- a/tests/test_soak/soak.py
+++ b/tests/test_soak/soak.py
@@ -13,7 +13,7 @@
 import msgspec
 from gevent import socket
 
-from citrondyke.standin.platform_server import Act
+from citrondyke.standin.platform_server import AnswerMode
 from tests.support.gateway import Reply, exchange
 from tests.support.program import Program
 from tests.test_soak.fault_proxy import Harm
@@ -38,16 +38,16 @@
 SETTLE_S = 25.0
 #: After it a process that was asked to stop is killed, as the platform does.
 STOP_WITHIN_S = 10.0
-ACTS = (
-    Act.CUT,
-    Act.REFUSE,
-    Act.FAIL,
-    Act.STALL,
-    Act.SILENT,
-    Act.EXTRA,
-    Act.WRONG_ID,
-    Act.UNSIGNED,
-    Act.CUT_IN_EVENT,
+ANSWER_MODES = (
+    AnswerMode.CUT,
+    AnswerMode.REFUSE,
+    AnswerMode.FAIL,
+    AnswerMode.STALL,
+    AnswerMode.SILENT,
+    AnswerMode.EXTRA,
+    AnswerMode.WRONG_ID,
+    AnswerMode.UNSIGNED,
+    AnswerMode.CUT_IN_EVENT,
 )
 
 
@@ -124,8 +124,8 @@
         kind = random.choice(('fetch', 'stream'))
         body = f'ends its server {self._seed}'.encode()
         self._note(f'deadly {kind}')
-        self.witness.deadly_bodies.add(body)
-        self._fleet.deadly_bodies.add(body)
+        self.witness.crash_bodies.add(body)
+        self._fleet.crash_bodies.add(body)
         while self._goes_on():
             request_id = self._new_id('deadly')
             reply = self._ask(random, f'/{kind}/x', body, request_id)
@@ -302,16 +302,16 @@
 
     def _misbehave(self, random: Random) -> None:
         name = random.choice(sorted(self._fleet.servers))
-        acts = random.choices(ACTS, k=random.randint(1, 4))
-        self._note(f'{name} {[act.value for act in acts]}')
-        self._fleet.servers[name].acts.extend(acts)
+        answer_modes = random.choices(ANSWER_MODES, k=random.randint(1, 4))
+        self._note(f'{name} {[act.value for act in answer_modes]}')
+        self._fleet.servers[name].answer_modes.extend(answer_modes)
 
     def _replace_server(self, random: Random) -> None:
         """Have a server leave as planned, once its successor is there."""
         stays = {
             name
             for name, server in self._fleet.servers.items()
-            if name not in self._fleet.left_s and not server.is_ended
+            if name not in self._fleet.left_s and not server.has_crashed
         }
         name = random.choice(sorted(stays))
         service = self._fleet.services[name]
@@ -325,7 +325,7 @@
         """Take all harm away and wait until everybody serves."""
         self._fleet.store.faults.lost_reply_share = 0.0
         for server in self._fleet.servers.values():
-            server.acts.clear()
+            server.answer_modes.clear()
         for number in range(self._fleet.instances_count):
             if self._fleet.program(number) is None:
                 self._fleet.start(number)
--- a/tests/test_soak/soak_fleet.py
+++ b/tests/test_soak/soak_fleet.py
@@ -73,7 +73,7 @@
         #: When a server said that it leaves.
         self.left_s: dict[str, float] = {}
         #: Bodies under which servers end.
-        self.deadly_bodies: set[bytes] = set()
+        self.crash_bodies: set[bytes] = set()
         self.programs: list[Program | None] = [None] * instances_count
         self.version = 0
         self.configure()
@@ -102,8 +102,8 @@
     def add_server(self, name: str, service: str) -> None:
         """Start a server and list it."""
         self.servers[name] = server = PlatformServer(name)
-        server.deadly_bodies = self.deadly_bodies
-        server.on_end = partial(gevent.spawn, self._restart, name)
+        server.crash_bodies = self.crash_bodies
+        server.on_crash = partial(gevent.spawn, self._restart, name)
         self.server_proxies[name] = FaultProxy('127.0.0.1', server.port)
         self.services[name] = service
         self.list_server(name)
--- a/tests/test_soak/test_soak_promises.py
+++ b/tests/test_soak/test_soak_promises.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from citrondyke.standin.platform_server import Act, PlatformServer, ServerRun
+from citrondyke.standin.platform_server import AnswerMode, PlatformServer, ServerRun
 from tests.support.gateway import Reply
 from tests.test_soak.soak import Soak
 from tests.test_soak.soak_fleet import HOT_ALLOWED, WINDOW_S, SoakFleet
@@ -67,8 +67,10 @@
     assert answered > len(soak.witness.asked) / 4, f'{answered} answered\n{told}'
 
 
-def run_of(request_id: str, act: Act = Act.SERVE, began_s: float = 0.0) -> ServerRun:
-    return ServerRun(request_id, b'POST', b'/', {}, b'', act=act, began_s=began_s)
+def run_of(
+    request_id: str, answer_mode: AnswerMode = AnswerMode.SERVE, began_s: float = 0.0
+) -> ServerRun:
+    return ServerRun(request_id, b'POST', b'/', {}, b'', answer_mode=answer_mode, began_s=began_s)
 
 
 def judged(
@@ -111,7 +113,7 @@
         ([], (), (job([202], DONE[:1]),), {}),
         ([], (), (job([202], [DONE[0], ('i', 'completed', TEXT)]),), {}),
         ([], (), (job([202], [DONE[0], ('k', 'completed', TEXT[:-1])]),), {}),
-        ([run_of('k', Act.FAIL)], (), (job([202], [DONE[0], ('k', 'errored', '')]),), {}),
+        ([run_of('k', AnswerMode.FAIL)], (), (job([202], [DONE[0], ('k', 'errored', '')]),), {}),
         ([run_of('i')], (), (job([503, 429], []),), {}),
         ([run_of('a', began_s=LEAVE_S + 0.1)], (), (), {'server': 0.0}),
     ],
@@ -133,7 +135,7 @@
         times_s = [0.0, 1.0, 2.0, *(2.0 + NEWS_S + 1.0 + n for n in range(beyond))]
         server.runs = [run_of(f'r-{at_s}', began_s=at_s) for at_s in times_s]
         witness = Witness()
-        witness.deadly_bodies.add(b'')
+        witness.crash_bodies.add(b'')
         assert len(witness.judge([server], {})) == wrong_count
 
 
--- a/tests/test_soak/witness.py
+++ b/tests/test_soak/witness.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from citrondyke.standin.platform_server import Act, PlatformServer, ServerRun
+from citrondyke.standin.platform_server import AnswerMode, PlatformServer, ServerRun
 from tests.support.gateway import Reply
 from tests.test_soak.soak_fleet import HOT_ALLOWED, WINDOW_S
 
@@ -64,7 +64,7 @@
         self.jobs: dict[str, JobSeen] = {}
         self.wrong: list[str] = []
         #: Bodies under which servers end.
-        self.deadly_bodies: set[bytes] = set()
+        self.crash_bodies: set[bytes] = set()
         #: When requests of the hot account were sent.
         self.hot_sent_s: dict[str, float] = {}
 
@@ -95,7 +95,7 @@
             self._judge_leaving(server, left_s.get(server.server_id))
             self._judge_keys(server)
         self._judge_window(runs)
-        for body in self.deadly_bodies:
+        for body in self.crash_bodies:
             self._judge_deadly(body, servers)
         for asked in self.asked:
             self._judge_answer(asked, runs.get(asked.request_id, []))
@@ -169,8 +169,8 @@
         if Counter(listed) != Counter(job.item_ids):
             self.complain(f'{job.job_id}: listed {len(listed)} of {len(job.item_ids)} items')
         for result in job.results.values():
-            ends = Counter(run.act for run in runs.get(result['id'], []))
-            may_fail = ends[Act.FAIL] >= 3 or ends[Act.IMPOSSIBLE] > 0
+            ends = Counter(run.answer_mode for run in runs.get(result['id'], []))
+            may_fail = ends[AnswerMode.FAIL] >= 3 or ends[AnswerMode.IMPOSSIBLE] > 0
             if result['state'] != 'completed' and not may_fail:
                 self.complain(f'{job.job_id}: {result["id"]} is {result["state"]}')
             if result['state'] == 'completed' and result['text'] != TEXT:
