--- a/citrondyke/standin/platform_server.py
+++ b/citrondyke/standin/platform_server.py
@@ -68,7 +68,7 @@
     headers: dict[bytes, bytes]
     body: bytes
     is_cut: bool = False
-    answer_mode: AnswerMode = AnswerMode.SERVE
+    act: AnswerMode = AnswerMode.SERVE
     #: By the steady clock.
     began_s: float = 0.0
 
@@ -159,7 +159,7 @@
             bytes(request.target),
             headers,
             body,
-            answer_mode=answer_mode,
+            act=answer_mode,
             began_s=time.monotonic(),
         )
         self.runs.append(run)
