--- a/citrondyke/decisions/at_most_once/__init__.py
+++ b/citrondyke/decisions/at_most_once/__init__.py
@@ -1,3 +1,3 @@
-"""Requests that run at most once."""
+"""Execution of requests that must not be repeated: each runs at most once."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/audit/__init__.py
+++ b/citrondyke/decisions/audit/__init__.py
@@ -1,3 +1,3 @@
-"""What can be shown afterwards: outcome records, chained, in the object store."""
+"""Audit log: outcome records in sealed segments, each with the digest of the one before."""
 
 from __future__ import annotations
--- a/citrondyke/decisions/crashes/suspect_update_queue.py
+++ b/citrondyke/decisions/crashes/suspect_update_queue.py
@@ -86,6 +86,7 @@
         """Queue an update.
 
         :param server: digest of the incarnation of the exited server; 0 for a success.
+        :param news: the update.
         :param score: the request's score; higher ones are sent first.
         :param is_broadcast: whether it goes to all peers.
         :param sends_count: how often it is sent.
--- a/citrondyke/errors/__init__.py
+++ b/citrondyke/errors/__init__.py
@@ -1,4 +1,4 @@
-"""Every failure a caller or an operator can see, one type each."""
+"""Errors returned to callers and operators, one class for each error code."""
 
 from __future__ import annotations
 
--- a/citrondyke/errors/bad_request_head.py
+++ b/citrondyke/errors/bad_request_head.py
@@ -1,4 +1,4 @@
-"""The failure ``bad_request_head``."""
+"""The ``bad_request_head`` error."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 
 
 class BadRequestHeadError(CitrondykeError):
-    """A request is not proper HTTP, or is larger or slower than allowed."""
+    """A request is not valid HTTP, or exceeds a limit on size or time."""
 
     code = 'bad_request_head'
     kind = 'invalid_request_error'
     http_status = 400
 
     def __init__(self, message: str, status: int = 400) -> None:
-        """Name what is wrong.
+        """Initialize the error.
 
-        :param status: 400, 408, 413 or 431.
+        :param message: what is wrong with the request.
+        :param status: HTTP status of the response: 400, 408, 413 or 431.
         """
         super().__init__(message)
         self.status = status
--- a/citrondyke/errors/base.py
+++ b/citrondyke/errors/base.py
@@ -1,4 +1,4 @@
-"""The root of all failures."""
+"""The base class of all errors."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class CitrondykeError(Exception):
-    """A failure with a stable code, shared by logs, metrics and HTTP answers."""
+    """Base class of errors, with a code shared by logs, metrics and HTTP responses."""
 
-    #: Stable; callers may depend on it.
+    #: Stable: callers may depend on it.
     code: ClassVar[str] = 'internal_error'
-    #: The ``type`` of the published error body.
+    #: The ``type`` field of the error response.
     kind: ClassVar[str] = 'server_error'
     http_status: ClassVar[int] = 500
-    #: What is true of the request unless the instance says otherwise.
+    #: Used when ``run`` is not given.
     default_run: ClassVar[RunState] = RunState.NOT_RUN
 
     def __init__(
@@ -34,10 +34,12 @@
         run: RunState | None = None,
         retry_in_ms: float | None = None,
     ) -> None:
-        """Build the failure.
+        """Initialize the error.
 
-        :param retry_in_ms: when to come back, counted from the answer;
-            ``None`` where a resend cannot help.
+        :param message: text of the error; the first line of the class's docstring by default.
+        :param run: whether a backend server may have run the request.
+        :param retry_in_ms: time after the response when the caller may retry;
+            ``None`` if a retry cannot succeed.
         """
         super().__init__(message or (type(self).__doc__ or '').splitlines()[0])
         self.run = run or self.default_run
@@ -45,5 +47,5 @@
 
     @property
     def message(self) -> str:
-        """Give the text for people."""
+        """Return the human-readable message."""
         return str(self.args[0])
--- a/citrondyke/errors/body_too_large.py
+++ b/citrondyke/errors/body_too_large.py
@@ -1,4 +1,4 @@
-"""The failure ``body_too_large``."""
+"""The ``body_too_large`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class BodyTooLargeError(CitrondykeError):
-    """The body is larger than this door takes."""
+    """The request body exceeds the size limit of this endpoint."""
 
     code = 'body_too_large'
     kind = 'invalid_request_error'
--- a/citrondyke/errors/broken_reply.py
+++ b/citrondyke/errors/broken_reply.py
@@ -1,4 +1,4 @@
-"""The failure ``broken_reply``."""
+"""The ``broken_reply`` error."""
 
 from __future__ import annotations
 
@@ -10,26 +10,30 @@
 
 
 class ReplyFailureKind(Enum):
-    """How an answer failed to come."""
+    """How reading a response failed."""
 
-    #: No connection came about; nothing was sent.
+    #: No connection was established; no byte was sent.
     NO_CONNECTION = 'no_connection'
-    #: The connection ended before the answer was whole.
+    #: The connection closed before the response was complete.
     CUT = 'cut'
-    #: Nothing came in time.
+    #: No data arrived before the timeout.
     SILENT = 'silent'
-    #: What came is no answer, or belongs to another request.
+    #: The data received is not a valid response, or belongs to another request.
     MALFORMED = 'malformed'
 
 
 class BrokenReplyError(CitrondykeError):
-    """The other end's answer did not come whole."""
+    """No complete response was received."""
 
     code = 'broken_reply'
     http_status = 502
     default_run = RunState.UNKNOWN
 
     def __init__(self, kind: ReplyFailureKind, detail: str = '') -> None:
-        """Name how it failed."""
+        """Initialize the error.
+
+        :param kind: how reading the response failed.
+        :param detail: appended to the message.
+        """
         super().__init__(f'{kind.value}: {detail}' if detail else kind.value)
         self.failure_kind = kind
--- a/citrondyke/errors/caller_gone.py
+++ b/citrondyke/errors/caller_gone.py
@@ -1,4 +1,4 @@
-"""The failure ``caller_gone``."""
+"""The ``caller_gone`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CallerGoneError(CitrondykeError):
-    """The caller closed its connection before its answer was whole."""
+    """The caller closed its connection before the response was complete."""
 
     code = 'caller_gone'
     http_status = 499
--- a/citrondyke/errors/config_conflict.py
+++ b/citrondyke/errors/config_conflict.py
@@ -1,4 +1,4 @@
-"""The failure ``config_conflict``."""
+"""The ``config_conflict`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ConfigConflictError(CitrondykeError):
-    """Another operator changed the configuration first."""
+    """The configuration has changed since the expected version."""
 
     code = 'config_conflict'
     kind = 'conflict_error'
--- a/citrondyke/errors/deadline_passed.py
+++ b/citrondyke/errors/deadline_passed.py
@@ -1,4 +1,4 @@
-"""The failure ``deadline_passed``."""
+"""The ``deadline_passed`` error."""
 
 from __future__ import annotations
 
--- a/citrondyke/errors/idempotency_conflict.py
+++ b/citrondyke/errors/idempotency_conflict.py
@@ -1,4 +1,4 @@
-"""The failure ``idempotency_conflict``."""
+"""The ``idempotency_conflict`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class IdempotencyConflictError(CitrondykeError):
-    """The idempotency key was used before with other content."""
+    """The idempotency key was already used with different content."""
 
     code = 'idempotency_conflict'
     kind = 'conflict_error'
--- a/citrondyke/errors/in_progress.py
+++ b/citrondyke/errors/in_progress.py
@@ -1,4 +1,4 @@
-"""The failure ``in_progress``."""
+"""The ``in_progress`` error."""
 
 from __future__ import annotations
 
--- a/citrondyke/errors/instance_starting.py
+++ b/citrondyke/errors/instance_starting.py
@@ -1,4 +1,4 @@
-"""The failure ``instance_starting``."""
+"""The ``instance_starting`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class InstanceStartingError(CitrondykeError):
-    """The instance has not read its configuration yet."""
+    """The instance has not loaded its configuration yet."""
 
     code = 'instance_starting'
     kind = 'overloaded_error'
--- a/citrondyke/errors/invalid_field.py
+++ b/citrondyke/errors/invalid_field.py
@@ -1,4 +1,4 @@
-"""The failure ``invalid_field``."""
+"""The ``invalid_field`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class InvalidFieldError(CitrondykeError):
-    """A field of the request is wrong."""
+    """A field of the request is invalid."""
 
     code = 'invalid_field'
     kind = 'invalid_request_error'
--- a/citrondyke/errors/invalid_header.py
+++ b/citrondyke/errors/invalid_header.py
@@ -1,4 +1,4 @@
-"""The failure ``invalid_header``."""
+"""The ``invalid_header`` error."""
 
 from __future__ import annotations
 
@@ -8,12 +8,15 @@
 
 
 class InvalidHeaderError(CitrondykeError, ValueError):
-    """A header cannot be sent: its name is no token, or its value would end the line."""
+    """A header cannot be sent: its name is not a token or its value contains a line break."""
 
     code = 'invalid_header'
     kind = 'invalid_request_error'
     http_status = 400
 
     def __init__(self, name: bytes) -> None:
-        """Name the header."""
-        super().__init__(f'header {name[:80]!r}')
+        """Initialize the error.
+
+        :param name: name of the header.
+        """
+        super().__init__(f'invalid header {name[:80]!r}')
--- a/citrondyke/errors/item_preempted.py
+++ b/citrondyke/errors/item_preempted.py
@@ -1,4 +1,4 @@
-"""The failure ``gave_way``."""
+"""The ``gave_way`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ItemPreemptedError(CitrondykeError):
-    """A batch item's run was ended so that its place is free; it goes on later."""
+    """A batch item was preempted to free capacity; it resumes later."""
 
     code = 'gave_way'
     default_run = RunState.RAN
--- a/citrondyke/errors/log_unreadable.py
+++ b/citrondyke/errors/log_unreadable.py
@@ -1,4 +1,4 @@
-"""The failure ``log_unreadable``."""
+"""The ``log_unreadable`` error."""
 
 from __future__ import annotations
 
@@ -15,5 +15,9 @@
     http_status = 400
 
     def __init__(self, file: str, detail: str) -> None:
-        """Name the file and what is wrong with it."""
+        """Initialize the error.
+
+        :param file: path of the file.
+        :param detail: what is wrong with it.
+        """
         super().__init__(f'{file}: {detail}')
--- a/citrondyke/errors/malformed_json.py
+++ b/citrondyke/errors/malformed_json.py
@@ -1,4 +1,4 @@
-"""The failure ``malformed_json``."""
+"""The ``malformed_json`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MalformedJsonError(CitrondykeError):
-    """The body is not JSON."""
+    """The request body is not valid JSON."""
 
     code = 'malformed_json'
     kind = 'invalid_request_error'
--- a/citrondyke/errors/memory_full.py
+++ b/citrondyke/errors/memory_full.py
@@ -1,4 +1,4 @@
-"""The failure ``memory_full``."""
+"""The ``memory_full`` error."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class MemoryFullError(CitrondykeError):
-    """The instance holds as many bytes for others as it may."""
+    """The instance has no free memory for the body of the request."""
 
     code = 'memory_full'
     kind = 'overloaded_error'
     http_status = 503
 
     def __init__(self, request: CallerRequest) -> None:
-        """Name the request that was not read whole.
+        """Initialize the error.
 
-        :param request: without its body.
+        :param request: the request, without its body.
         """
-        super().__init__('no room for the body of a request')
+        super().__init__('no free memory for the body of a request')
         self.request = request
--- a/citrondyke/errors/not_found.py
+++ b/citrondyke/errors/not_found.py
@@ -1,4 +1,4 @@
-"""The failure ``not_found``."""
+"""The ``not_found`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class NotFoundError(CitrondykeError):
-    """There is nothing by that name for this tenant."""
+    """The tenant has no object with this name."""
 
     code = 'not_found'
     kind = 'invalid_request_error'
--- a/citrondyke/errors/outcome_not_durable.py
+++ b/citrondyke/errors/outcome_not_durable.py
@@ -1,4 +1,4 @@
-"""The failure ``outcome_not_durable``."""
+"""The ``outcome_not_durable`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class OutcomeNotDurableError(CitrondykeError):
-    """The request ran; its outcome is being stored and can be read with the same key."""
+    """The request ran, but its outcome is not stored yet; retry with the same key."""
 
     code = 'outcome_not_durable'
     kind = 'server_error'
--- a/citrondyke/errors/outcome_unknown.py
+++ b/citrondyke/errors/outcome_unknown.py
@@ -1,4 +1,4 @@
-"""The failure ``outcome_unknown``."""
+"""The ``outcome_unknown`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class OutcomeUnknownError(CitrondykeError):
-    """The request may have run; it will not be repeated."""
+    """The request may have run; it will not be retried."""
 
     code = 'outcome_unknown'
     kind = 'server_error'
--- a/citrondyke/errors/overloaded.py
+++ b/citrondyke/errors/overloaded.py
@@ -1,4 +1,4 @@
-"""The failure ``overloaded``."""
+"""The ``overloaded`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class OverloadedError(CitrondykeError):
-    """There is no room for the request within its target."""
+    """There is not enough capacity to serve the request within its target."""
 
     code = 'overloaded'
     kind = 'overloaded_error'
--- a/citrondyke/errors/peer_authentication.py
+++ b/citrondyke/errors/peer_authentication.py
@@ -1,4 +1,4 @@
-"""The failure ``peer_authentication``."""
+"""The ``peer_authentication`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PeerAuthenticationError(CitrondykeError):
-    """A message between instances is not authentic."""
+    """A message from another instance failed authentication."""
 
     code = 'peer_authentication'
     kind = 'authentication_error'
--- a/citrondyke/errors/platform_unavailable.py
+++ b/citrondyke/errors/platform_unavailable.py
@@ -1,4 +1,4 @@
-"""The failure ``platform_unavailable``."""
+"""The ``platform_unavailable`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class PlatformUnavailableError(CitrondykeError):
-    """The platform's table service or object store is not answering."""
+    """The platform's table service or object store is unavailable."""
 
     code = 'platform_unavailable'
     kind = 'overloaded_error'
--- a/citrondyke/errors/server_failed.py
+++ b/citrondyke/errors/server_failed.py
@@ -1,4 +1,4 @@
-"""The failure ``server_failed``."""
+"""The ``server_failed`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ServerFailedError(CitrondykeError):
-    """The backend server failed while it had the request."""
+    """The backend server failed while it was processing the request."""
 
     code = 'server_failed'
     kind = 'server_error'
--- a/citrondyke/errors/server_unreachable.py
+++ b/citrondyke/errors/server_unreachable.py
@@ -1,4 +1,4 @@
-"""The failure ``server_unreachable``."""
+"""The ``server_unreachable`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ServerUnreachableError(CitrondykeError):
-    """No backend server took the request."""
+    """No backend server accepted the request."""
 
     code = 'server_unreachable'
     kind = 'server_error'
--- a/citrondyke/errors/settings_invalid.py
+++ b/citrondyke/errors/settings_invalid.py
@@ -1,4 +1,4 @@
-"""The failure ``settings_invalid``."""
+"""The ``settings_invalid`` error."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 
 class SettingsInvalidError(CitrondykeError):
-    """A settings file cannot be used."""
+    """A settings file is invalid."""
 
     code = 'settings_invalid'
     kind = 'settings_error'
 
     def __init__(self, file: str, key: str, value: object, allowed: str) -> None:
-        """Build the failure.
+        """Initialize the error.
 
-        :param key: the dotted path of the key, empty for the file itself.
-        :param allowed: what the key takes.
+        :param key: dotted path of the key; empty for the file itself.
+        :param allowed: description of the allowed values.
         """
         super().__init__(f'{file}: {key or "(file)"}: {value!r} is not allowed; allowed: {allowed}')
         self.file = file
--- a/citrondyke/errors/slow_sender.py
+++ b/citrondyke/errors/slow_sender.py
@@ -1,4 +1,4 @@
-"""The failure ``slow_sender``."""
+"""The ``slow_sender`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SlowSenderError(CitrondykeError):
-    """The body did not arrive in time."""
+    """The request body did not arrive in time."""
 
     code = 'slow_sender'
     kind = 'timeout_error'
--- a/citrondyke/errors/stream_broken.py
+++ b/citrondyke/errors/stream_broken.py
@@ -1,4 +1,4 @@
-"""The failure ``stream_broken``."""
+"""The ``stream_broken`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class StreamBrokenError(CitrondykeError):
-    """The answer was cut and could not be resumed."""
+    """The response stream was interrupted and could not be resumed."""
 
     code = 'stream_broken'
     kind = 'server_error'
--- a/citrondyke/errors/too_many_connections.py
+++ b/citrondyke/errors/too_many_connections.py
@@ -1,4 +1,4 @@
-"""The failure ``too_many_connections``."""
+"""The ``too_many_connections`` error."""
 
 from __future__ import annotations
 
--- a/citrondyke/errors/unauthorized.py
+++ b/citrondyke/errors/unauthorized.py
@@ -1,4 +1,4 @@
-"""The failure ``unauthorized``."""
+"""The ``unauthorized`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UnauthorizedError(CitrondykeError):
-    """The key is missing or names no tenant."""
+    """The API key is missing or unknown."""
 
     code = 'unauthorized'
     kind = 'authentication_error'
--- a/citrondyke/errors/unknown_class.py
+++ b/citrondyke/errors/unknown_class.py
@@ -1,4 +1,4 @@
-"""The failure ``unknown_class``."""
+"""The ``unknown_class`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UnknownClassError(CitrondykeError):
-    """There is no class of work by that name."""
+    """The class of work does not exist."""
 
     code = 'unknown_class'
     kind = 'invalid_request_error'
--- a/citrondyke/errors/unknown_id.py
+++ b/citrondyke/errors/unknown_id.py
@@ -1,4 +1,4 @@
-"""The failure ``unknown_id``."""
+"""The ``unknown_id`` error."""
 
 from __future__ import annotations
 
@@ -8,12 +8,16 @@
 
 
 class UnknownIdError(CitrondykeError):
-    """No line of the logs names the id."""
+    """No event in the logs contains the id."""
 
     code = 'unknown_id'
     kind = 'invalid_request_error'
     http_status = 404
 
-    def __init__(self, wanted: str, events_count: int) -> None:
-        """Name the id and how much was searched."""
-        super().__init__(f'{wanted}: in none of {events_count} events')
+    def __init__(self, requested_id: str, events_count: int) -> None:
+        """Initialize the error.
+
+        :param requested_id: the id that was looked up.
+        :param events_count: number of events searched.
+        """
+        super().__init__(f'{requested_id}: in none of {events_count} events')
--- a/citrondyke/errors/unknown_model.py
+++ b/citrondyke/errors/unknown_model.py
@@ -1,4 +1,4 @@
-"""The failure ``unknown_model``."""
+"""The ``unknown_model`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UnknownModelError(CitrondykeError):
-    """No backend server serves that model."""
+    """No backend server serves this model."""
 
     code = 'unknown_model'
     kind = 'invalid_request_error'
--- a/citrondyke/errors/unknown_service.py
+++ b/citrondyke/errors/unknown_service.py
@@ -1,4 +1,4 @@
-"""The failure ``unknown_service``."""
+"""The ``unknown_service`` error."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UnknownServiceError(CitrondykeError):
-    """There is no service by that name."""
+    """The service does not exist."""
 
     code = 'unknown_service'
     kind = 'invalid_request_error'
--- a/citrondyke/errors/unreadable_bytes.py
+++ b/citrondyke/errors/unreadable_bytes.py
@@ -1,4 +1,4 @@
-"""The failure ``unreadable_bytes``."""
+"""The ``unreadable_bytes`` error."""
 
 from __future__ import annotations
 
@@ -8,15 +8,18 @@
 
 
 class UnreadableBytesError(CitrondykeError, ValueError):
-    """Bytes of a row, a message or a body are not what they should be."""
+    """Bytes of a row, a message or a body cannot be decoded."""
 
     code = 'unreadable_bytes'
     http_status = 400
 
     def __init__(self, detail: str) -> None:
-        """Say what is wrong with them."""
+        """Initialize the error.
+
+        :param detail: what is wrong; cut to ``DETAIL_CHARACTERS``.
+        """
         super().__init__(detail[:DETAIL_CHARACTERS])
 
 
-#: Of the detail, which may quote a key of any length.
+#: Limits the length of the detail, which may quote a key of any length.
 DETAIL_CHARACTERS = 200
