--- a/citrondyke/platform/__init__.py
+++ b/citrondyke/platform/__init__.py
@@ -1,3 +1,3 @@
-"""The way the users' platform speaks: names, formats and calls, and nothing that decides."""
+"""Adapter to the users' platform: names, formats and calls, without any decisions."""
 
 from __future__ import annotations
--- a/citrondyke/platform/adapters.py
+++ b/citrondyke/platform/adapters.py
@@ -1,4 +1,4 @@
-"""Everything around an instance, as the platform speaks."""
+"""Creates the adapters between an instance and the platform."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 def create_platform_adapters(
     clock: Clock, settings: GatewaySettings, source_ip: str = ''
 ) -> PlatformAdapters:
-    """Make the clients of the platform.
+    """Create the clients, decoders and dialect of the platform.
 
-    :param source_ip: address to call the store from; empty for any.
+    :param source_ip: local address of connections to the store; empty for any.
     """
     address = settings.store.address
     http = HttpClient(clock, address.ip, address.port, source_ip)
@@ -42,6 +42,6 @@
         SERVERS_TABLE,
         RowDecoder(CONFIG_KEY, decode_config, decode_server),
         PlatformDialect(),
-        lambda moved: http.move(moved.ip, moved.port),
+        lambda new_address: http.move(new_address.ip, new_address.port),
         traffic,
     )
--- a/citrondyke/platform/dialect.py
+++ b/citrondyke/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The headers of callers and servers, and the shapes of the batch job calls."""
+"""Headers of callers and servers, and formats of the batch job calls."""
 
 from __future__ import annotations
 
@@ -34,22 +34,22 @@
 __all__ = ('PlatformDialect',)
 
 ATTEMPT_HEADER = b'attempt-id'
-#: How long the sender waits; a length of time, though its name says deadline.
+#: How long the sender waits: a duration in ms, despite the name of the header.
 TIMEOUT_HEADER = b'deadline-ms'
 LAST_EVENT_HEADER = b'last-event-id'
 PREFIX_HEADER = b'prefix-hash'
-#: The server's own mark on its answer.
+#: Mark by which a server signs its own responses.
 SEAL_HEADER = b'response-seal'
 EXPECT_SERVER_HEADER = b'expect-instance'
 NOT_RUN_HEADER = b'not-executed'
-#: Of a server: running, waiting, slots.
+#: A server's load: running requests, waiting requests, slots, service time in percent.
 LOAD_HEADER = b'instance-load'
 WAIT_HEADER = b'wait-ms'
 KEY_HEADER = b'x-api-key'
-#: The account of the key that a request brought, for its server.
+#: Tells the server which account the request's key belongs to.
 ACCOUNT_HEADER = b'tenant'
 MISDIRECTED_REQUEST = 421
-#: Headers that concern one connection only, and those that this instance sets anew.
+#: Headers that apply to a single connection, and those that this instance sets itself.
 HOP_BY_HOP_HEADERS = frozenset(
     (
         b'connection',
@@ -70,7 +70,7 @@
 )
 RESULTS_PATH = '/-/lots/'
 ITEMS_PATH = '/-/items/'
-#: What can stand in a request's first line.
+#: Request targets that can be sent in a request line.
 TARGET_PATTERN = re.compile(r'/[!-~]*')
 
 
@@ -99,13 +99,13 @@
 
 
 class PlatformDialect(Dialect):
-    """The platform's names on the wire."""
+    """Translates the headers and job calls of the platform."""
 
     def request_metadata(self, request: CallerRequest) -> RequestMetadata:
-        """Read what a caller says."""
+        """Read the metadata of a request from its headers."""
         request_id = (request.header(ATTEMPT_HEADER) or b'').decode('latin-1')
         prefix = (request.header(PREFIX_HEADER) or b'').decode('latin-1')
-        # The last entry is the request's own; what stands before it is shared.
+        # The last entry belongs to this request only; the entries before it are shared.
         shared = prefix.rpartition(',')[0]
         return RequestMetadata(
             request_id=RequestId(request_id),
@@ -123,19 +123,19 @@
         last_event_id: int | None,
         account_id: TenantId,
     ) -> Headers:
-        """Make the headers of a request to a server from a caller's."""
-        made = [pair for pair in _end_to_end_headers(headers) if pair[0] not in REPLACED_HEADERS]
-        made.append((EXPECT_SERVER_HEADER, server_id.encode()))
+        """Derive the headers of a request to a server from those of the caller."""
+        result = [pair for pair in _end_to_end_headers(headers) if pair[0] not in REPLACED_HEADERS]
+        result.append((EXPECT_SERVER_HEADER, server_id.encode()))
         if left_ms is not None:
-            made.append((TIMEOUT_HEADER, str(max(1, int(left_ms))).encode()))
+            result.append((TIMEOUT_HEADER, str(max(1, int(left_ms))).encode()))
         if last_event_id is not None:
-            made.append((LAST_EVENT_HEADER, str(last_event_id).encode()))
+            result.append((LAST_EVENT_HEADER, str(last_event_id).encode()))
         if account_id:
-            made.append((ACCOUNT_HEADER, account_id.encode()))
-        return made
+            result.append((ACCOUNT_HEADER, account_id.encode()))
+        return result
 
     def reply_metadata(self, head: ReplyHead) -> ReplyMetadata:
-        """Read what a server says."""
+        """Read the metadata of a reply from its headers and status."""
         return ReplyMetadata(
             request_id=(head.header(ATTEMPT_HEADER) or b'').decode('latin-1'),
             is_signed=head.header(SEAL_HEADER) is not None
@@ -148,18 +148,18 @@
         )
 
     def response_headers(self, head: ReplyHead) -> Headers:
-        """Make the headers of an answer to a caller from a server's."""
+        """Derive the headers of a response to a caller from those of the server."""
         return _end_to_end_headers(head.headers)
 
     def own_response_headers(self, request_id: RequestId, retry_in_ms: float | None) -> Headers:
-        """Make the headers of this instance's own answer."""
-        made: Headers = [(ATTEMPT_HEADER, request_id.encode('latin-1'))]
+        """Build the headers of a response that this instance creates itself."""
+        result: Headers = [(ATTEMPT_HEADER, request_id.encode('latin-1'))]
         if retry_in_ms is not None:
-            made.append((b'retry-after', f'{retry_in_ms / 1e3:.3f}'.encode()))
-        return made
+            result.append((b'retry-after', f'{retry_in_ms / 1e3:.3f}'.encode()))
+        return result
 
     def job_call(self, request: CallerRequest) -> JobCall | None:
-        """Read a call about a batch job."""
+        """Parse a call about a batch job; return ``None`` for any other request."""
         path = request.path
         query = parse_qs(request.target.partition(b'?')[2].decode('latin-1'))
         if path.startswith(RESULTS_PATH):
@@ -183,7 +183,10 @@
         return None
 
     def job_items(self, body: bytes) -> list[JobItem]:
-        """Read the items of a submitted job."""
+        """Decode the items of a submitted job.
+
+        :raises InvalidFieldError: when the body or one of its items is invalid.
+        """
         try:
             job = decode_json(body, _Job)
             for item in job.requests:
@@ -202,27 +205,27 @@
             raise InvalidFieldError(f'requests: {error}') from error
 
     def job_page(self, page: JobPage) -> bytes:
-        """Write results of a job."""
-        results = [_Result(each.id, each.state.value, each.text) for each in page.results]
+        """Encode a page of results of a job."""
+        results = [_Result(result.id, result.state.value, result.text) for result in page.results]
         return msgspec.json.encode(_Page(page.total, page.after + len(results), results))
 
     def item_headers(self, item: JobItem, host: str) -> Headers:
-        """Make the headers that a batch item's request starts from."""
-        made: Headers = [
+        """Build the initial headers of the request of a batch item."""
+        result: Headers = [
             (b'host', host.encode('latin-1')),
             (ATTEMPT_HEADER, item.id.encode('latin-1')),
         ]
-        made.extend(
+        result.extend(
             (name.lower().encode('latin-1'), value.encode('latin-1'))
             for name, value in item.headers.items()
         )
-        return made
+        return result
 
 
 def _check_item(item: _Item) -> None:
-    """Check that an item can be sent as it is.
+    """Check that the id, headers and path of an item are valid in a request.
 
-    :raises ValueError: when it cannot.
+    :raises ValueError: when one of them is not.
     """
     check_headers(
         [
@@ -238,17 +241,24 @@
 
 
 def _key_digest(request: CallerRequest) -> str:
-    """Digest the key at once, so that its text goes no further; two keys are nobody's."""
+    """Return the digest of the API key, so that the key itself is not passed on.
+
+    Several keys are joined into a text that matches no account.
+    """
     keys = [value for name, value in request.headers if name == KEY_HEADER]
     return key_hash(b','.join(keys).decode('latin-1')) if keys else ''
 
 
 def _end_to_end_headers(headers: Headers) -> Headers:
-    named: set[bytes] = set()
+    connection_options: set[bytes] = set()
     for name, value in headers:
         if name == b'connection':
-            named.update(part.strip().lower() for part in value.split(b','))
-    return [pair for pair in headers if pair[0] not in HOP_BY_HOP_HEADERS and pair[0] not in named]
+            connection_options.update(part.strip().lower() for part in value.split(b','))
+    return [
+        pair
+        for pair in headers
+        if pair[0] not in HOP_BY_HOP_HEADERS and pair[0] not in connection_options
+    ]
 
 
 def _parse_float(value: bytes | None) -> float | None:
@@ -262,12 +272,13 @@
     return int(value) if value is not None and value.isdigit() else None
 
 
-#: Digits of a count that are read; more are no count of requests, and costly to read.
+#: Digits of a count that are parsed. No count of requests has more, and parsing a very long
+#: number is expensive.
 MAX_COUNT_DIGITS = 9
 
 
 def _parse_load(value: bytes | None) -> tuple[int, int] | None:
-    """Read the running and the waiting requests; whatever stands behind them may be odd."""
+    """Parse the counts of running and waiting requests; ignore the other parts."""
     counts = [
         _parse_int(part.strip()[:MAX_COUNT_DIGITS]) for part in (value or b'').split(b',')[:2]
     ]
@@ -276,7 +287,7 @@
     return counts[0], counts[1]
 
 
-#: The figure of how long work takes stands here, in percent of the usual.
+#: Index of the part that holds the service time, in percent of the typical one.
 SLOWDOWN_INDEX = 3
 
 
--- a/citrondyke/platform/early_addresses.py
+++ b/citrondyke/platform/early_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses to listen on as the deploy file puts them into the environment."""
+"""Addresses to listen on, from an environment variable that the deploy file sets."""
 
 from __future__ import annotations
 
@@ -8,19 +8,20 @@
 
 __all__ = ('LISTEN_VARIABLE', 'early_addresses')
 
-#: ``IP:PORT`` of the callers' and the health address, with a space between.
+#: ``IP:PORT`` for callers and for health checks, separated by a space.
 LISTEN_VARIABLE = 'CITRONDYKE_LISTEN'
 
 
 def early_addresses(environment: Mapping[str, str]) -> list[tuple[str, int]]:
-    """Give the addresses; none where they are not stated or not readable.
+    """Return the addresses; empty when the variable is missing or invalid.
 
-    The settings file has them too and stays the authority, but takes longer to be read.
+    The settings file remains authoritative. It has the same addresses, but reading it takes
+    longer, and until then callers would be refused.
     """
-    found = []
-    for word in environment.get(LISTEN_VARIABLE, '').split():
-        ip, _, port = word.rpartition(':')
+    addresses = []
+    for entry in environment.get(LISTEN_VARIABLE, '').split():
+        ip, _, port = entry.rpartition(':')
         if not ip or not port.isdecimal() or int(port) > 65_535:  # noqa: PLR2004
             return []
-        found.append((ip, int(port)))
-    return found
+        addresses.append((ip, int(port)))
+    return addresses
--- a/citrondyke/platform/rows.py
+++ b/citrondyke/platform/rows.py
@@ -1,4 +1,4 @@
-"""The rows that the platform writes: the operator's configuration and the backend servers."""
+"""Decodes rows that the platform writes: the operator's configuration and backend servers."""
 
 from __future__ import annotations
 
@@ -36,15 +36,15 @@
     'streaming': RouteKind.STREAM,
     'batch': RouteKind.BATCH,
 }
-#: Ids go into a header as they are: printable ASCII, up to the length of a key.
+#: Ids are sent in a header unescaped: printable ASCII, at most as long as a row key.
 ID_PATTERN = re.compile(r'[!-~]{1,200}')
-#: What a counter on the wire between instances holds.
+#: Range of a counter in messages between instances.
 NonNegativeInt64 = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
-#: Places of a server: counts of requests on it are 16 bits wide on that wire.
+#: Capacity of a server: counts of its requests have 16 bits in messages between instances.
 SlotsCount = Annotated[int, msgspec.Meta(ge=1, le=65_535)]
 NonEmpty = Annotated[str, msgspec.Meta(min_length=1)]
 MAX_PORT = 65_535
-#: Accounts and keys of one configuration; with as many as these it takes 40 MB.
+#: Limits on the accounts and keys of one configuration, which takes 40 MB at both limits.
 MAX_ACCOUNTS = 20_000
 MAX_KEYS = 50_000
 
@@ -62,26 +62,26 @@
     timeout_ms: float
     slo_ms: float = 1_000.0
     priority: int = 0
-    #: Either this or ``split``.
+    #: Alternative to ``split``.
     service: str = ''
     split: list[_Share] = []
     max_attempts: int = 1
     resumable: bool = False
     completion_slo_ms: float = 0.0
-    #: Not a wait of a caller: how old an item may grow before it may be abandoned.
+    #: Age from which an item may be abandoned; does not limit the wait of a caller.
     max_wait_s: float = 0.0
-    #: Not requests but tokens that may wait on the route; 0 is no limit.
+    #: Backlog limit of the route, in tokens rather than requests; 0 for no limit.
     max_count: Annotated[int, msgspec.Meta(ge=0)] = 0
-    #: Needs no key.
+    #: Whether the route needs no API key.
     public: bool = False
 
 
 class _Limits(msgspec.Struct, frozen=True):
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
-    #: Of a whole head, counted from its first byte.
+    #: Time to receive a whole head, from its first byte.
     header_timeout_ms: float = 3_000.0
-    #: Between two requests of one connection.
+    #: Idle time between two requests on a connection.
     idle_timeout_ms: float = 15_000.0
 
 
@@ -89,7 +89,7 @@
     name: Annotated[str, msgspec.Meta(pattern=r'^[!-~]{1,100}$')]
     api_keys: list[NonEmpty]
     priority: int | None = None
-    #: 0 is no limit.
+    #: 0 for no limit.
     rate_per_s: Annotated[float, msgspec.Meta(ge=0)] = 0.0
     burst: Annotated[float, msgspec.Meta(ge=0)] = 0.0
 
@@ -109,16 +109,16 @@
     slots: SlotsCount
     state: Literal['ready', 'draining']
     cold_left_ms: float
-    #: Of this life's writes.
+    #: Number of the write, counted from the start of this incarnation.
     seq: NonNegativeInt64
-    #: Start of this life, in Unix ms; stated on some deployments only.
+    #: Start of this incarnation, in Unix ms; set in some deployments only.
     born: NonNegativeInt64 | msgspec.UnsetType = msgspec.UNSET
 
 
 def decode_config(value: bytes) -> RouteTable:
     """Decode the operator's configuration.
 
-    :raises UnreadableBytesError: when it is none.
+    :raises UnreadableBytesError: when the bytes are not a configuration.
     """
     config = decode_json(value, _Config)
     limits = config.limits
@@ -136,27 +136,27 @@
 
 
 def _accounts(tenants: list[_Tenant]) -> tuple[Account, ...]:
-    """Check the accounts and make them; errors name the field, never a key.
+    """Validate and create the accounts; errors name the field and never show a key.
 
-    :raises UnreadableBytesError: when a name or a key stands twice, or there are too many.
+    :raises UnreadableBytesError: when a name or a key is used twice, or there are too many.
     """
     if len(tenants) > MAX_ACCOUNTS:
         raise UnreadableBytesError(f'tenants: {len(tenants)}, at most {MAX_ACCOUNTS}')
     names: set[str] = set()
-    holders: dict[str, int] = {}
-    made = []
-    for place, tenant in enumerate(tenants):
+    index_by_key: dict[str, int] = {}
+    accounts = []
+    for index, tenant in enumerate(tenants):
         if tenant.name in names:
-            raise UnreadableBytesError(f'tenants[{place}].name: {tenant.name!r} stands twice')
+            raise UnreadableBytesError(f'tenants[{index}].name: {tenant.name!r} is used twice')
         names.add(tenant.name)
         for key in tenant.api_keys:
-            if holders.setdefault(key, place) != place:
+            if index_by_key.setdefault(key, index) != index:
                 raise UnreadableBytesError(
-                    f'tenants[{place}].api_keys: tenants[{holders[key]}] holds one of them too'
+                    f'tenants[{index}].api_keys: tenants[{index_by_key[key]}] has the same key'
                 )
-        if len(holders) > MAX_KEYS:
-            raise UnreadableBytesError(f'tenants[{place}].api_keys: more than {MAX_KEYS} keys')
-        made.append(
+        if len(index_by_key) > MAX_KEYS:
+            raise UnreadableBytesError(f'tenants[{index}].api_keys: more than {MAX_KEYS} keys')
+        accounts.append(
             Account(
                 id=TenantId(tenant.name),
                 key_hashes=tuple(key_hash(key) for key in tenant.api_keys),
@@ -165,19 +165,19 @@
                 burst=tenant.burst,
             )
         )
-    return tuple(made)
+    return tuple(accounts)
 
 
 def decode_server(key: str, value: bytes) -> ServerListEntry:
     """Decode a backend server's row.
 
-    An entry with a field missing, of another type or out of range was not written by a server:
-    requests sent to what it names would be lost, or would run at whoever is there.
+    An entry with a field that is missing, of another type or out of range was not written by a
+    server. Requests sent to its address would be lost, or would run in an unrelated process.
 
-    :raises UnreadableBytesError: when it is none.
+    :raises UnreadableBytesError: when the key or the value is not that of a server.
     """
     if not ID_PATTERN.fullmatch(key):
-        raise UnreadableBytesError(f'the key {key!r} is no id')
+        raise UnreadableBytesError(f'the key {key!r} is not a valid server id')
     server = decode_json(value, _Server)
     ip, port = _address(server.address)
     return ServerListEntry(
@@ -200,7 +200,7 @@
     except ValueError as error:
         raise UnreadableBytesError(f'address: {error}') from error
     if not (port.isascii() and port.isdigit() and 1 <= int(port) <= MAX_PORT):
-        raise UnreadableBytesError(f'address: port {port!r}')
+        raise UnreadableBytesError(f'address: invalid port {port!r}')
     return ip, int(port)
 
 
--- a/citrondyke/platform/settings_file.py
+++ b/citrondyke/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into the gateway's settings."""
+"""Decodes the platform's settings file into the settings of the gateway."""
 
 from __future__ import annotations
 
@@ -26,99 +26,100 @@
 T = TypeVar('T')
 
 FILE_VARIABLE = 'CITRONDYKE_NODE_FILE'
-#: Descriptors that the platform reserves for files.
+#: File descriptors that the platform reserves for files.
 RESERVED_FDS = 200
-#: A call of a caller holds its own connection and one to a backend server; the rest is for peers,
-#: the store and idle connections.
+#: Each request uses a connection to its caller and one to a backend server; the third descriptor
+#: is for peers, the store and idle connections.
 FDS_PER_CALLER = 3
 
 
 class _Listen(msgspec.Struct, frozen=True):
     """Addresses that the instance listens on, ``IP:PORT``."""
 
-    #: For callers.
+    #: Address for callers.
     frontend: str
-    #: For the balancer's health check.
+    #: Address for the health checks of the load balancer.
     ready: str
 
 
 class _Limits(msgspec.Struct, frozen=True):
-    """What the process may use."""
+    """Resource limits of the process."""
 
-    #: Beyond it the process is killed, in MB.
+    #: Memory in MB, beyond which the process is killed.
     memory_mb: int = 128
-    #: Descriptors; 200 of them are not for connections.
+    #: Limit on open file descriptors; 200 of them are not used for connections.
     max_fds: int = 4_096
 
 
 class _Bounds(msgspec.Struct, frozen=True):
-    """Times and parts that the platform holds the instance to."""
+    """Time limits and quotas that the platform enforces."""
 
-    #: From SIGTERM until the process is killed, in s.
+    #: Time from SIGTERM until the process is killed, in s.
     grace_s: float = 8.0
-    #: How long a batch job stays readable after it was submitted, in s.
+    #: How long a batch job can be read after its submission, in s.
     status_s: float = 120.0
-    #: Part by which accepted tokens may pass a batch route's bound, and an account's requests in
-    #: a window its limit.
+    #: Share by which accepted tokens may exceed the backlog limit of a batch route, and the
+    #: requests of an account in a window may exceed its limit.
     quota_overshoot: Annotated[float, msgspec.Meta(ge=0)] = 0.1
-    #: Requests of an account that may come on top of that in a window.
+    #: Number of requests by which an account may exceed that limit in a window in addition.
     quota_slack: Annotated[float, msgspec.Meta(ge=0)] = 0.0
-    #: Length of the window, in s.
+    #: Length of this window, in s.
     quota_window_s: Annotated[float, msgspec.Meta(gt=0)] = 5.0
 
 
 class _Platform(msgspec.Struct, frozen=True):
     """The platform's store."""
 
-    #: Of the store; nothing else of the platform has an address.
+    #: Address of the store, the only service of the platform.
     address: str
-    #: Largest value of a row, in bytes.
+    #: Maximum size of a row value, in bytes.
     row_bytes: int = 65_536
-    #: Read calls a second that the store takes from all instances together.
+    #: Read calls per second that the store accepts from all instances together.
     reads_per_s: Annotated[float, msgspec.Meta(gt=0)] = 2_000.0
 
 
 class PlatformFile(msgspec.Struct, frozen=True):
-    """The file that ``CITRONDYKE_NODE_FILE`` names; other keys are passed over."""
+    """The file named by ``CITRONDYKE_NODE_FILE``; unknown keys are ignored."""
 
-    #: The instance's id.
+    #: Id of the instance.
     node_name: str
-    #: Its address, for peers.
+    #: IP address of the instance for its peers.
     ip: str
-    #: Its availability zone.
+    #: Availability zone of the instance.
     zone: str
-    #: First and last port that is free, both included.
+    #: First and last port that the instance may use, both inclusive.
     internal_ports: tuple[int, int]
     #: Table of addresses to listen on.
     listen: _Listen
     #: Table of the store.
     platform: _Platform
-    #: Table of what the process may use.
+    #: Table of resource limits.
     limits: _Limits = _Limits()
-    #: Table of bounds.
+    #: Table of time limits and quotas.
     bounds: _Bounds = _Bounds()
-    #: Addresses of the operators' interface of some instances; only the IPs are of use here.
+    #: Addresses of the operator interface of some instances; only their IPs are used.
     seeds: tuple[str, ...] = ()
 
 
 def load_platform_settings(metrics_port: int) -> GatewaySettings:
-    """Read the file that the platform names.
+    """Read the settings file named in the environment.
 
-    :raises SettingsInvalidError: naming file, key and what is wrong.
+    :param metrics_port: port on which metrics are served.
+    :raises SettingsInvalidError: naming the file, the key and the problem.
     """
-    name = os.environ.get(FILE_VARIABLE, '')
-    if not name:
-        raise SettingsInvalidError(FILE_VARIABLE, '', name, 'the path of a settings file')
+    file_name = os.environ.get(FILE_VARIABLE, '')
+    if not file_name:
+        raise SettingsInvalidError(FILE_VARIABLE, '', file_name, 'the path of a settings file')
     try:
-        with open(name, encoding='utf-8') as opened:
-            text = opened.read()
+        with open(file_name, encoding='utf-8') as stream:
+            text = stream.read()
     except (OSError, UnicodeDecodeError) as error:
-        raise SettingsInvalidError(name, '', str(error), 'a readable text file') from error
-    return platform_settings(text, name, metrics_port)
+        raise SettingsInvalidError(file_name, '', str(error), 'a readable text file') from error
+    return platform_settings(text, file_name, metrics_port)
 
 
 def is_platform_file(file: Path) -> bool:
-    """Tell whether a file is one that the platform writes; one that cannot be read is not."""
+    """Return whether the platform wrote a file; false for a file that cannot be read."""
     try:
         return 'node_name' in _decode(file.read_text(), dict[str, Any])
     except (OSError, ValueError):
@@ -126,16 +127,18 @@
 
 
 def platform_settings(text: str, name: str, metrics_port: int) -> GatewaySettings:
-    """Decode the text of a settings file; unknown fields are passed over.
+    """Decode the text of a settings file; unknown fields are ignored.
 
-    :raises SettingsInvalidError: naming file, key and what is wrong.
+    :param name: name of the file, for error messages.
+    :param metrics_port: port on which metrics are served.
+    :raises SettingsInvalidError: naming the file, the key and the problem.
     """
     try:
         file = _decode(text, PlatformFile)
         first_port, last_port = file.internal_ports
         if last_port <= first_port:
             raise SettingsInvalidError(
-                name, 'internal_ports', str(file.internal_ports), 'two ports'
+                name, 'internal_ports', str(file.internal_ports), 'a range of at least two ports'
             )
         seed_ips = tuple(_address(seed).ip for seed in file.seeds)
         return GatewaySettings(
@@ -169,9 +172,9 @@
 
 
 def _decode(text: str, kind: type[T]) -> T:
-    """Decode the platform's own TOML, or JSON as the template of the deploy file makes it.
+    """Decode the TOML of the platform, or the JSON that the deploy template produces from it.
 
-    The reader of TOML takes longer to import than the rest of the settings to be read.
+    JSON shortens the start: importing the TOML parser takes longer than reading the settings.
     """
     if text.lstrip().startswith('{'):
         return msgspec.json.decode(text, type=kind, strict=False)
--- a/citrondyke/platform/store_client.py
+++ b/citrondyke/platform/store_client.py
@@ -1,4 +1,4 @@
-"""The platform's store: rows, feeds and objects over its HTTP calls."""
+"""HTTP client of the platform's store: rows, feeds and objects."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 INSUFFICIENT_STORAGE = 507
 NOT_FOUND = 404
 OK = 200
-#: Stands for bytes that were no base64: neither JSON, MessagePack nor compressed.
+#: Replaces a value that is not base64. Valid neither as JSON nor MessagePack nor compressed data.
 UNREADABLE_VALUE = b'\xc1'
 
 
@@ -62,7 +62,7 @@
     part: str = ''
     value: str | None = None
     ver: int | None = None
-    #: In a feed only: the row was dropped.
+    #: The row was deleted; set in a feed only.
     deleted: bool = False
 
 
@@ -73,7 +73,7 @@
 
 
 class _Rows(msgspec.Struct, frozen=True):
-    #: The newest version of the whole store, not of these rows.
+    #: Newest version of the whole store, not of these rows.
     ver: int
     rows: list[_Row] = []
     has_more: bool = False
@@ -89,15 +89,15 @@
 
 
 class PlatformTable(PartitionedTable):
-    """Rows and feeds."""
+    """Table of rows with a feed of changes."""
 
     def __init__(
         self, http: HttpClient, call_timeout_ms: float, traffic: StoreTraffic | None = None
     ) -> None:
-        """Use a client.
+        """Use an HTTP client.
 
-        :param call_timeout_ms: of each call; a feed's waiting time comes on top.
-        :param traffic: told of the bytes of answers.
+        :param call_timeout_ms: timeout of each call; the waiting time of a feed is added to it.
+        :param traffic: counts the bytes of answers.
         """
         self._http = http
         self._timeout_ms = call_timeout_ms
@@ -106,7 +106,7 @@
     def transact(
         self, transaction: PartTransaction
     ) -> PartCommitted | PartConflict | PlatformFailure:
-        """Try a transaction, once."""
+        """Send a transaction without a retry."""
         part = transaction.part
         body = _Transaction(
             [_Row(each.table, each.key, part, ver=each.version) for each in transaction.conditions],
@@ -122,7 +122,7 @@
         tables = {each.table for each in transaction.puts}
         tables.update(each.table for each in transaction.removals)
         self._record_traffic('write', '+'.join(sorted(tables)), answer)
-        rows = _decode(answer, _Rows, also=(PRECONDITION_FAILED,))
+        rows = _decode(answer, _Rows, also_ok=(PRECONDITION_FAILED,))
         if isinstance(rows, PlatformFailure):
             return rows
         if isinstance(answer, HttpAnswer) and answer.status == PRECONDITION_FAILED:
@@ -132,7 +132,7 @@
     def read(
         self, table: str, part: str, from_key: str = '', limit: int = 500
     ) -> Listing | PlatformFailure:
-        """Read rows of a part from a key on."""
+        """Read the rows of a part, starting at a key."""
         query = {'table': table, 'part': part, 'limit': str(limit)}
         if from_key:
             query['from'] = from_key
@@ -142,7 +142,7 @@
         return Listing(tuple(_part_row(row) for row in rows.rows), rows.has_more, rows.ver)
 
     def list_parts(self, table: str, after: str = '') -> list[str] | PlatformFailure:
-        """List parts behind one."""
+        """List the parts that follow a given one."""
         query = {'table': table} | ({'after': after} if after else {})
         found = self._get('/-/rows-parts', query, _Parts, self._timeout_ms)
         return found if isinstance(found, PlatformFailure) else found.parts
@@ -150,8 +150,8 @@
     def follow(
         self, table: str, after_version: int, wait_ms: float
     ) -> ChangeBatch | PlatformFailure:
-        """Wait for changes of a table behind a version."""
-        # Here "after" is a version, though in the lists of parts and names it is a name.
+        """Wait for changes of a table after a version."""
+        # "after" is a version here, whereas it is a name in lists of parts and objects.
         query = {'table': table, 'after': str(after_version), 'wait_ms': str(int(wait_ms))}
         rows = self._get('/-/rows-feed', query, _Rows, wait_ms + self._timeout_ms)
         if isinstance(rows, PlatformFailure):
@@ -159,11 +159,11 @@
         return ChangeBatch(tuple(_part_row(row) for row in rows.rows), rows.ver)
 
     def _get(
-        self, path: str, query: dict[str, str], kind: type[Decoded], timeout_ms: float
+        self, path: str, query: dict[str, str], reply_type: type[Decoded], timeout_ms: float
     ) -> Decoded | PlatformFailure:
         answer = self._http.call('GET', f'{path}?{urlencode(query)}', b'', [], timeout_ms)
         self._record_traffic(path.rpartition('-')[2], query['table'], answer)
-        return _decode(answer, kind)
+        return _decode(answer, reply_type)
 
     def _record_traffic(self, kind: str, table: str, answer: HttpAnswer | HttpFailure) -> None:
         if self._traffic is None:
@@ -174,10 +174,13 @@
 
 
 class PlatformObjectStore(ObjectStore):
-    """Objects."""
+    """Objects of the store."""
 
     def __init__(self, http: HttpClient, call_timeout_ms: float) -> None:
-        """Use a client."""
+        """Use an HTTP client.
+
+        :param call_timeout_ms: timeout of each call.
+        """
         self._http = http
         self._timeout_ms = call_timeout_ms
 
@@ -189,7 +192,7 @@
         return _failure(answer)
 
     def get(self, key: ObjectKey) -> bytes | PlatformFailure:
-        """Fetch an object."""
+        """Read an object."""
         answer = self._http.call(
             'GET', f'/-/blob-get/{quote(key, safe="")}', b'', [], self._timeout_ms
         )
@@ -207,29 +210,29 @@
         return None if failure == MISSING else failure
 
     def list_keys(self, prefix: str) -> list[ObjectKey] | PlatformFailure:
-        """List the keys below a prefix, in order."""
-        found: list[ObjectKey] = []
+        """List the keys that start with a prefix, in order."""
+        keys: list[ObjectKey] = []
         while True:
-            query = {'path_prefix': prefix} | ({'after': found[-1]} if found else {})
+            query = {'path_prefix': prefix} | ({'after': keys[-1]} if keys else {})
             answer = self._http.call(
                 'GET', f'/-/blob-list?{urlencode(query)}', b'', [], self._timeout_ms
             )
             page = _decode(answer, _Names)
             if isinstance(page, PlatformFailure):
                 return page
-            found.extend(ObjectKey(name) for name in page.names)
+            keys.extend(ObjectKey(name) for name in page.names)
             if not page.has_more or not page.names:
-                return found
+                return keys
 
 
 def _decode(
-    answer: HttpAnswer | HttpFailure, kind: type[Decoded], also: tuple[int, ...] = ()
+    answer: HttpAnswer | HttpFailure, reply_type: type[Decoded], also_ok: tuple[int, ...] = ()
 ) -> Decoded | PlatformFailure:
-    if not isinstance(answer, HttpAnswer) or answer.status not in (OK, *also):
+    if not isinstance(answer, HttpAnswer) or answer.status not in (OK, *also_ok):
         failure = _failure(answer)
         return AMBIGUOUS if failure is None else failure
     try:
-        return decode_json(answer.body, kind)
+        return decode_json(answer.body, reply_type)
     except UnreadableBytesError as error:
         log.warning('store.unreadable', extra={'detail': error.message})
         return AMBIGUOUS
@@ -265,5 +268,5 @@
     try:
         return base64.b64decode(row.value, validate=True)
     except (binascii.Error, ValueError):
-        # One row must not hide the others of its answer; no reader takes this for a value.
+        # An exception would lose the other rows of the answer; no decoder accepts this value.
         return UNREADABLE_VALUE
--- a/tests/test_platform/__init__.py
+++ b/tests/test_platform/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of requests that run at most once."""
+"""Tests of the adapter to the users' platform."""
 
 from __future__ import annotations
--- a/tests/test_platform/test_platform_accounts.py
+++ b/tests/test_platform/test_platform_accounts.py
@@ -1,4 +1,4 @@
-"""Accounts in the operator's configuration: what is refused, and which field is named."""
+"""Accounts in the operator's configuration: invalid ones are rejected by the name of the field."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 
 
 def test_accounts_are_found_by_the_digest_of_any_of_their_keys() -> None:
-    found = table(
+    route_table = table(
         {'name': 'acme', 'api_keys': ['a', 'b'], 'priority': 1, 'rate_per_s': 54, 'burst': 5}
     )
     for key in ('a', 'b'):
-        account = found.authenticate(key_hash(key), is_public=False)
+        account = route_table.authenticate(key_hash(key), is_public=False)
         assert isinstance(account, Account)
         assert (account.id, account.priority, account.rate_per_s) == ('acme', 1, 54.0)
-    unknown = found.authenticate(key_hash('c'), is_public=False)
+    unknown = route_table.authenticate(key_hash('c'), is_public=False)
     assert unknown == NoAccount(NoAccountReason.UNKNOWN_KEY)
-    assert found.authenticate('', is_public=False) == NoAccount(NoAccountReason.NO_KEY)
-    assert found.authenticate('', is_public=True) is ANONYMOUS_ACCOUNT
+    assert route_table.authenticate('', is_public=False) == NoAccount(NoAccountReason.NO_KEY)
+    assert route_table.authenticate('', is_public=True) is ANONYMOUS_ACCOUNT
 
 
-def test_keys_are_needed_as_soon_as_the_configuration_speaks_of_accounts() -> None:
-    # The operator removes the last account. Read like a configuration without accounts, the whole
-    # fleet would be open to anybody.
+def test_empty_list_of_accounts_still_requires_keys() -> None:
+    # The operator removes the last account. If this were treated like a configuration without a
+    # list of accounts, the whole fleet would accept requests without a key.
     assert not table().authenticate('', is_public=False)
     open_table = decode_config(msgspec.json.encode({'version': 3}))
     assert open_table.authenticate('', is_public=False) is ANONYMOUS_ACCOUNT
@@ -58,7 +58,7 @@
         ([{'name': f'a{n}', 'api_keys': []} for n in range(MAX_ACCOUNTS + 1)], 'tenants'),
     ],
 )
-def test_bad_account_is_refused_by_its_field_and_without_its_key(
+def test_error_for_invalid_account_names_the_field_but_not_the_key(
     accounts: list[dict[str, Any]], field: str
 ) -> None:
     with pytest.raises(UnreadableBytesError) as caught:
--- a/tests/test_platform/test_platform_decoding.py
+++ b/tests/test_platform/test_platform_decoding.py
@@ -1,4 +1,4 @@
-"""The platform's settings, rows and headers, decoded."""
+"""Decoding of the platform's settings, rows and headers."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
     return CallerRequest(method, target, pairs, b'', 0.0)
 
 
-def test_settings_are_decoded_into_the_products_words() -> None:
+def test_settings_are_decoded() -> None:
     settings = platform_settings(SETTINGS, 'boot.toml', 9000)
     assert (settings.instance_id, settings.zone, settings.peer_port) == ('edge-1', 'van-east', 7660)
     assert (settings.callers.port, settings.health.port) == (8144, 8140)
@@ -86,16 +86,16 @@
     assert settings.stop_within_ms == 8_000.0
     assert settings.memory_bytes == 320 * 1024 * 1024
     assert settings.limit_tolerance == OvershootBudget(overshoot=0.1)
-    stated = SETTINGS.replace('grace_s = 8', 'quota_slack = 20\nquota_window_s = 7')
-    tolerance = platform_settings(stated, 'boot.toml', 9000).limit_tolerance
+    changed_text = SETTINGS.replace('grace_s = 8', 'quota_slack = 20\nquota_window_s = 7')
+    tolerance = platform_settings(changed_text, 'boot.toml', 9000).limit_tolerance
     assert tolerance == OvershootBudget(window_ms=7_000.0, overshoot=0.1, slack=20.0)
 
 
-def test_settings_are_the_same_as_json() -> None:
-    # The template of the deploy file hands them over so; the platform's own file is TOML.
+def test_settings_in_json_equal_those_in_toml() -> None:
+    # The deploy template passes the settings as JSON; the platform's own file is TOML.
     text = msgspec.json.encode(msgspec.toml.decode(SETTINGS)).decode()
-    in_json = platform_settings(text, 'boot.toml', 9000)
-    assert in_json == platform_settings(SETTINGS, 'boot.toml', 9000)
+    from_json = platform_settings(text, 'boot.toml', 9000)
+    assert from_json == platform_settings(SETTINGS, 'boot.toml', 9000)
     with pytest.raises(SettingsInvalidError):
         platform_settings(text[:-1], 'boot.toml', 9000)
 
@@ -111,13 +111,13 @@
         ('grace_s = 8', 'quota_window_s = 0'),
     ],
 )
-def test_wrong_settings_name_their_file(change: tuple[str, str]) -> None:
+def test_error_for_invalid_settings_names_the_file(change: tuple[str, str]) -> None:
     with pytest.raises(SettingsInvalidError) as caught:
         platform_settings(SETTINGS.replace(*change), 'boot.toml', 0)
     assert 'boot.toml' in caught.value.message
 
 
-def test_longest_prefix_of_the_host_is_the_route() -> None:
+def test_route_with_the_longest_matching_prefix_is_found() -> None:
     table = decode_config(msgspec.json.encode(CONFIG))
     first = table.find('calls.example', '/a/x')
     second = table.find('calls.example', '/a/b/x')
@@ -131,7 +131,7 @@
     assert table.limits.head_bytes == 100
 
 
-def test_server_that_is_not_ready_is_leaving() -> None:
+def test_draining_server_is_leaving() -> None:
     row = server_row(state='draining')
     server = decode_server('i-1', msgspec.json.encode(row))
     assert (server.id, server.ip, server.port, server.slots_count) == ('i-1', '10.0.0.1', 80, 8)
@@ -139,7 +139,7 @@
     assert not decode_server('i-1', msgspec.json.encode({**row, 'state': 'ready'})).is_leaving
 
 
-def test_headers_of_one_connection_are_not_passed_on() -> None:
+def test_hop_by_hop_and_forged_headers_are_not_forwarded() -> None:
     headers = [
         (b'host', b'h'),
         (b'attempt-id', b'a'),
@@ -153,8 +153,10 @@
         (b'tenant', b'forged'),
         (b'model', b'm'),
     ]
-    made = PlatformDialect().server_headers(headers, ServerId('i-1'), 1_200.7, 4, TenantId('acme'))
-    assert made == [
+    forwarded = PlatformDialect().server_headers(
+        headers, ServerId('i-1'), 1_200.7, 4, TenantId('acme')
+    )
+    assert forwarded == [
         (b'host', b'h'),
         (b'attempt-id', b'a'),
         (b'model', b'm'),
@@ -165,19 +167,19 @@
     ]
 
 
-def test_replies_tell_whether_they_ran() -> None:
+def test_reply_metadata_is_read_from_headers_and_status() -> None:
     metadata = PlatformDialect().reply_metadata
-    mark = (b'response-seal', b'x')
-    assert metadata(ReplyHead(200, [mark])).is_signed
-    assert not metadata(ReplyHead(200, [mark, (b'content-encoding', b'gzip')])).is_signed
+    seal = (b'response-seal', b'x')
+    assert metadata(ReplyHead(200, [seal])).is_signed
+    assert not metadata(ReplyHead(200, [seal, (b'content-encoding', b'gzip')])).is_signed
     assert metadata(ReplyHead(503, [(b'not-executed', b'1')])).was_not_run
-    assert not metadata(ReplyHead(503, [mark])).was_not_run
+    assert not metadata(ReplyHead(503, [seal])).was_not_run
     assert metadata(ReplyHead(421, [])).is_misplaced
     assert metadata(ReplyHead(200, [(b'instance-load', b'3,1,8')])).load == (3, 1)
     assert metadata(ReplyHead(200, [(b'instance-load', b'many')])).load is None
 
 
-def test_job_calls_are_recognized() -> None:
+def test_job_calls_are_parsed() -> None:
     dialect = PlatformDialect()
     read = dialect.job_call(request(b'GET', b'/-/lots/j%2F1?after=12', wait_ms='1000'))
     assert read is not None
@@ -196,7 +198,7 @@
     assert dialect.job_call(request(b'POST', b'/-/lots/j')) is None
 
 
-def test_page_of_results_is_written_as_asked_for() -> None:
+def test_page_of_results_is_encoded() -> None:
     page = JobPage(40, 12, [ItemResult('i', ItemState.COMPLETED, 'a\nb')])
     assert msgspec.json.decode(PlatformDialect().job_page(page)) == {
         'total': 40,
@@ -206,7 +208,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_job_body_is_read_or_told(body: bytes) -> None:
+def test_any_job_body_is_decoded_or_rejected(body: bytes) -> None:
     try:
         PlatformDialect().job_items(body)
     except InvalidFieldError as error:
@@ -214,26 +216,26 @@
 
 
 @given(st.binary(max_size=60), st.binary(max_size=60))
-def test_any_headers_are_read(name: bytes, value: bytes) -> None:
+def test_any_headers_are_parsed_without_error(name: bytes, value: bytes) -> None:
     dialect = PlatformDialect()
     pairs = [(name.lower(), value), (b'deadline-ms', value), (b'last-event-id', value)]
     dialect.request_metadata(CallerRequest(b'GET', b'/', pairs, b'', 0.0))
     dialect.reply_metadata(ReplyHead(200, [(b'instance-load', value), (b'attempt-id', value)]))
 
 
-def test_check_settings_takes_both_forms(tmp_path: Path) -> None:
+def test_check_settings_accepts_both_kinds_of_files(tmp_path: Path) -> None:
     def check(name: str, text: str) -> tuple[int, str]:
         file = tmp_path / name
         file.write_text(text)
         command = [sys.executable, '-m', 'citrondyke.cmd.citrondyked', '--check-settings']
-        done = subprocess.run(
+        completed = subprocess.run(
             [*command, '--settings', str(file)], check=False, capture_output=True, text=True
         )
-        return done.returncode, done.stdout + done.stderr
-
-    code, said = check('boot.toml', SETTINGS)
-    assert (code, 'as the platform writes it' in said) == (0, True)
-    code, said = check('bad.toml', SETTINGS.replace('"10.200.1.7:8142"', '"nowhere"'))
-    assert (code, 'bad.toml' in said) == (2, True)
-    code, said = check('own.toml', '[instance]\n')
-    assert (code, 'instance' in said) == (2, True)
+        return completed.returncode, completed.stdout + completed.stderr
+
+    code, output = check('boot.toml', SETTINGS)
+    assert (code, 'as the platform writes it' in output) == (0, True)
+    code, output = check('bad.toml', SETTINGS.replace('"10.200.1.7:8142"', '"nowhere"'))
+    assert (code, 'bad.toml' in output) == (2, True)
+    code, output = check('own.toml', '[instance]\n')
+    assert (code, 'instance' in output) == (2, True)
--- a/tests/test_platform/test_platform_foreign_entries.py
+++ b/tests/test_platform/test_platform_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of the list of servers that no server wrote."""
+"""Server list entries that were written by something other than a server."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from tests.support.manual_clock import ManualClock, manual_context
 from tests.support.peers import server_row
 
-DEEP = b'{"a":' + b'[' * 5_000 + b']' * 5_000 + b'}'
+DEEPLY_NESTED = b'{"a":' + b'[' * 5_000 + b']' * 5_000 + b'}'
 JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
@@ -34,7 +34,7 @@
     return {key: value for key, value in server_row().items() if key != name}
 
 
-WRONG = [
+INVALID_ENTRIES = [
     *(without(name) for name in server_row()),
     *(server_row(**{name: None}) for name in server_row()),
     *(server_row(**{name: ['x']}) for name in server_row()),
@@ -55,84 +55,86 @@
 
 
 class StateUnderTest:
-    """What one instance believes, without a store."""
+    """Replicated state of one instance, without a store."""
 
     def __init__(self) -> None:
         clock = ManualClock()
         context = manual_context(clock)
-        self.book = ServerRegistry(context)
+        self.registry = ServerRegistry(context)
         decoder = RowDecoder(CONFIG_KEY, decode_config, decode_server)
-        self.over: list[str] = []
+        self.exited: list[str] = []
         self.replicated = ReplicatedState(
             context,
             decoder,
-            self.book,
+            self.registry,
             Dependency(clock, 'store'),
             2_200.0,
             lambda _: None,
-            lambda state: self.over.append(state.listed.id),
+            lambda state: self.exited.append(state.listed.id),
         )
 
     def ids(self) -> set[str]:
-        return {state.listed.id for state in self.book.states()}
+        return {state.listed.id for state in self.registry.states()}
 
 
 def row(key: str, version: int, value: bytes) -> PartRow:
     return PartRow(SERVERS_TABLE, '', key, version, value)
 
 
-GOOD = msgspec.json.encode(server_row())
+VALID_ENTRY = msgspec.json.encode(server_row())
 
 
-@pytest.mark.parametrize('entry', WRONG, ids=lambda entry: str(entry)[:60])
-def test_entry_by_another_writer_names_no_server(entry: dict[str, Any]) -> None:
+@pytest.mark.parametrize('entry', INVALID_ENTRIES, ids=lambda entry: str(entry)[:60])
+def test_invalid_entry_is_rejected(entry: dict[str, Any]) -> None:
     with pytest.raises(UnreadableBytesError):
         decode_server('i-1', msgspec.json.encode(entry))
 
 
 @pytest.mark.parametrize('key', ['', 'i 1', 'i-1\r\nHost: x', 'ï-1', 'i' * 201])
-def test_key_that_no_header_can_carry_names_no_server(key: str) -> None:
+def test_key_that_is_invalid_in_a_header_is_rejected(key: str) -> None:
     with pytest.raises(UnreadableBytesError):
-        decode_server(key, GOOD)
+        decode_server(key, VALID_ENTRY)
 
 
-def test_unknown_fields_are_passed_over() -> None:
+def test_unknown_fields_are_ignored() -> None:
     assert decode_server('i-1', msgspec.json.encode(server_row(stage='x', models=[{}]))).seq == 4
 
 
-@pytest.mark.parametrize('raw', [b'', b'\xff\xfe', DEEP, b'[]', b'null', b'{"service":"\\ud800"}'])
+@pytest.mark.parametrize(
+    'raw', [b'', b'\xff\xfe', DEEPLY_NESTED, b'[]', b'null', b'{"service":"\\ud800"}']
+)
 def test_feed_and_read_agree_on_an_unreadable_entry(raw: bytes) -> None:
-    # Another writer puts something over a server's entry. Kept by the feed and dropped by the
-    # next read, the server would get requests for as long as no read comes; an exception past
-    # the handler would end the follower's task for good.
+    # Another writer overwrites a server's entry. If the feed kept the server and only the next
+    # read dropped it, the server would get requests until that read. An exception that passes
+    # the handler would end the task that follows the table for good.
     by_feed, by_read = StateUnderTest(), StateUnderTest()
-    before = [row('i-1', 5, GOOD), row('i-2', 6, GOOD)]
+    before = [row('i-1', 5, VALID_ENTRY), row('i-2', 6, VALID_ENTRY)]
     for instance in (by_feed, by_read):
         instance.replicated.on_server_listing(before, 6)
     by_feed.replicated.on_server_rows([row('i-1', 7, raw)])
-    by_read.replicated.on_server_listing([row('i-1', 7, raw), row('i-2', 6, GOOD)], 7)
+    by_read.replicated.on_server_listing([row('i-1', 7, raw), row('i-2', 6, VALID_ENTRY)], 7)
     assert by_feed.ids() == by_read.ids() == {'i-2'}
     for instance in (by_feed, by_read):
-        instance.replicated.on_server_rows([row('i-1', 8, GOOD)])
+        instance.replicated.on_server_rows([row('i-1', 8, VALID_ENTRY)])
         assert instance.ids() == {'i-1', 'i-2'}
 
 
-def test_outage_keeps_no_server_whose_entry_another_writer_holds() -> None:
+def test_server_with_overwritten_entry_is_removed_despite_an_outage() -> None:
     instance = StateUnderTest()
-    instance.replicated.on_server_listing([row('i-1', 5, GOOD)], 5)
+    instance.replicated.on_server_listing([row('i-1', 5, VALID_ENTRY)], 5)
     instance.replicated._servers.record_outage(1_000.0)
     instance.replicated.on_server_rows([row('i-1', 7, b'?')])
     assert instance.ids() == set()
 
 
-def test_unreadable_configuration_confirms_nothing() -> None:
-    # A version that cannot be read may hold the route that a caller asks for; "no such route"
-    # would be final for it.
+def test_unreadable_configuration_is_not_confirmed() -> None:
+    # A version that cannot be read may contain the route that a caller requests; the answer
+    # "no such route" would be final for that caller.
     instance = StateUnderTest()
     config = msgspec.json.encode({'version': 1, 'routes': []})
     instance.replicated.on_config_listing([PartRow('op', '', CONFIG_KEY, 3, config)], 3)
     assert instance.replicated.config.is_confirmed(1_000.0)
-    for raw in (DEEP, b'\xff', b'{"version":"x"}', b'{"version":-1}'):
+    for raw in (DEEPLY_NESTED, b'\xff', b'{"version":"x"}', b'{"version":-1}'):
         other = StateUnderTest()
         other.replicated.on_config_listing([PartRow('op', '', CONFIG_KEY, 4, raw)], 4)
         assert not other.replicated.config.is_confirmed(1_000.0)
@@ -147,28 +149,28 @@
         JSON_VALUES,
     )
     | st.builds(
-        lambda at, byte: GOOD[:at] + bytes([byte]) + GOOD[at:],
+        lambda at, byte: VALID_ENTRY[:at] + bytes([byte]) + VALID_ENTRY[at:],
         st.integers(0, 120),
         st.integers(0, 255),
     )
 )
-def test_no_bytes_leave_the_decoder_or_change_another_entry(raw: bytes) -> None:
+def test_any_bytes_in_one_entry_leave_other_entries_unchanged(raw: bytes) -> None:
     instance = StateUnderTest()
-    instance.replicated.on_server_listing([row('i-2', 6, GOOD)], 6)
+    instance.replicated.on_server_listing([row('i-2', 6, VALID_ENTRY)], 6)
     instance.replicated.on_server_rows([row('i-1', 7, raw)])
     instance.replicated.on_config_changes([PartRow('op', '', CONFIG_KEY, 8, raw)])
-    state = instance.book.state(ServerId('i-2'))
+    state = instance.registry.state(ServerId('i-2'))
     assert state is not None
-    assert state.listed == decode_server('i-2', GOOD)
+    assert state.listed == decode_server('i-2', VALID_ENTRY)
     for other in instance.ids() - {'i-2'}:
-        found = instance.book.state(ServerId(other))
+        found = instance.registry.state(ServerId(other))
         assert found is not None
         assert 1 <= found.listed.port <= 65_535
         assert found.listed.slots_count >= 1
 
 
 @given(st.binary())
-def test_packed_bytes_never_raise_anything_else(raw: bytes) -> None:
+def test_decompression_and_msgpack_raise_only_their_documented_error(raw: bytes) -> None:
     for decode in (lambda: decompress(raw, 1_000), lambda: decode_msgpack(raw, ServerListEntry)):
         with contextlib.suppress(UnreadableBytesError):
             decode()
--- a/tests/test_platform/test_platform_names.py
+++ b/tests/test_platform/test_platform_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in its adapter only."""
+"""Wire names of the platform are used in its adapter only."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import citrondyke
 
 ROOT = Path(citrondyke.__file__).parent
-#: The stand-ins speak as the platform does; everything else speaks the product's words.
+#: The stand-ins imitate the platform; all other packages use the product's own terms.
 ALLOWED = ('platform', 'standin')
 NAMES = re.compile(
     r'attempt-id|deadline-ms|prefix-hash|response-seal|expect-instance|not-executed'
@@ -22,20 +22,22 @@
 )
 
 
-def test_names_of_the_platform_stay_in_the_adapter() -> None:
-    # Another platform is another adapter. A name that leaks makes its change a change everywhere.
-    found = []
+def test_names_of_the_platform_are_used_in_its_adapter_only() -> None:
+    # A port to another platform replaces the adapter only. A name that is used elsewhere would
+    # spread such a change over the whole tree.
+    leaks = []
     for file in sorted(ROOT.rglob('*.py')):
         if file.relative_to(ROOT).parts[0] in ALLOWED:
             continue
         for number, line in enumerate(file.read_text().splitlines(), 1):
             if NAMES.search(line):
-                found.append(f'{file.relative_to(ROOT)}:{number}: {line.strip()}')
-    assert not found
+                leaks.append(f'{file.relative_to(ROOT)}:{number}: {line.strip()}')
+    assert not leaks
 
 
-def test_adapter_decides_nothing() -> None:
-    # Timers, retries and chance are decisions; they stand where they are tested without the wire.
+def test_adapter_contains_no_decisions() -> None:
+    # Timers, retries and randomness are decisions. They belong where they can be tested without
+    # a network.
     for file in sorted((ROOT / 'platform').rglob('*.py')):
         text = file.read_text()
         assert not re.search(r'\bsleep\(|\bspawn\(|\brandom\b|now_ms\(', text), file
