--- a/citrondyke/driver/__init__.py
+++ b/citrondyke/driver/__init__.py
@@ -1,3 +1,3 @@
-"""Hosts the decisions."""
+"""Drivers, which run the workflows of the decisions and carry out their operations."""
 
 from __future__ import annotations
--- a/citrondyke/driver/gevent_driver.py
+++ b/citrondyke/driver/gevent_driver.py
@@ -1,4 +1,4 @@
-"""Hosts workflows in greenlets: carries out their operations, one after the other."""
+"""Runs workflows in greenlets and carries out their operations one at a time."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class GeventDriver:
-    """The daemon's driver; each workflow runs in the greenlet that asks for its result."""
+    """Driver of the daemon; each workflow runs in the greenlet that requests its result."""
 
     def __init__(
         self,
@@ -41,9 +41,9 @@
         peers: PeerNode,
         on_fatal: Callable[[], None],
     ) -> None:
-        """Carry out operations by the parts handed in.
+        """Create a driver that carries out operations with the given adapters.
 
-        :param on_fatal: called when a workflow fails without which the instance is of no use.
+        :param on_fatal: called when an essential workflow fails.
         """
         self._on_fatal = on_fatal
         self._clock = clock
@@ -66,22 +66,22 @@
         }
 
     def run(self, workflow: Workflow[T]) -> T:
-        """Run a workflow in this greenlet and give its result."""
+        """Run a workflow in this greenlet and return its result."""
         result: Any = None
         try:
             while True:
                 op = workflow.send(result)
                 result = self._handlers[type(op)](op)
         except StopIteration as stop:
-            ended: T = stop.value
-            return ended
+            value: T = stop.value
+            return value
         finally:
             workflow.close()
 
     def stream(self, workflow: Workflow[T]) -> Generator[bytes, None, T]:
-        """Run a workflow, giving out the frames of its server calls as they come.
+        """Run a workflow and yield the frames of its server calls as they arrive.
 
-        Closing the generator closes the workflow, which gives back all that it holds.
+        Closing the generator closes the workflow, which releases all that it holds.
         """
         result: Any = None
         try:
@@ -92,13 +92,16 @@
                     continue
                 result = self._handlers[type(op)](op)
         except StopIteration as stop:
-            ended: T = stop.value
-            return ended
+            value: T = stop.value
+            return value
         finally:
             workflow.close()
 
     def spawn(self, workflow: Workflow[Any], *, is_essential: bool = False) -> gevent.Greenlet:
-        """Run a workflow in a greenlet of its own."""
+        """Run a workflow in a new greenlet.
+
+        :param is_essential: whether the instance stops if the workflow fails.
+        """
         return gevent.spawn(self._run_logged, workflow, is_essential)
 
     def _run_logged(self, workflow: Workflow[Any], is_essential: bool) -> None:
@@ -106,8 +109,9 @@
             self.run(workflow)
         except Exception:
             log.exception('workflow failed')
-            # An instance that, say, no longer follows the lists would go on sending requests
-            # to servers that left, and look healthy; ending it lets another take its place.
+            # Without an essential workflow the instance would still look healthy. For example, if
+            # it no longer followed the lists, it would keep sending requests to removed servers.
+            # Stopping it lets another instance take over.
             if is_essential:
                 self._on_fatal()
 
--- a/citrondyke/driver/virtual/__init__.py
+++ b/citrondyke/driver/virtual/__init__.py
@@ -1,7 +1,7 @@
-"""Hosts whole instances in virtual time, for benchmarks, replay and models of failures.
+"""Runs whole instances in virtual time, for benchmarks, trace replay and failure models.
 
-Kept small on purpose: engines, the platform and the wires are fakes at the interfaces, and the
-decisions are the very ones that the daemon hosts.
+Only the backend servers, the platform and the network are simulated, each behind its interface.
+The decisions are the same code that the daemon runs.
 """
 
 from __future__ import annotations
--- a/citrondyke/driver/virtual/fleet_environment.py
+++ b/citrondyke/driver/virtual/fleet_environment.py
@@ -1,4 +1,4 @@
-"""What an instance in virtual time needs of the fleet around it."""
+"""The interface of the simulated fleet that an instance in virtual time runs in."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 
 class FleetEnvironment(Protocol):
-    """Time, servers, the platform and the other instances."""
+    """Clock, backend servers, platform and peers of an instance in virtual time."""
 
     time: VirtualTime
     one_way_ms: float
     platform: VirtualPlatform
     new_share: Any
-    #: Called before each effect of an instance, so that a test can end it there.
+    #: Called before each effect of an instance, so that a test can kill it at that point.
     crash_point: Callable[[Any, Effect], None] | None
 
     @property
     def servers(self) -> Mapping[ServerId, VirtualServer]:
-        """Give the backend servers."""
+        """Return the backend servers by id."""
 
     def send_peer(self, sender: Any, instance_id: InstanceId, message: Any) -> None:
-        """Send a message to another instance."""
+        """Send a message to a peer."""
 
     def pull_config(
         self,
@@ -39,7 +39,7 @@
         after_version: ConfigVersion,
         answer: Callable[[Any], None],
     ) -> None:
-        """Ask another instance for configuration changes."""
+        """Request the configuration changes after a version from a peer."""
 
     def on_frame(self, call: ServerCall, now_ms: float) -> None:
-        """Take note of a token that arrived."""
+        """Notify the listener of a request that one of its tokens arrived."""
--- a/citrondyke/driver/virtual/replay.py
+++ b/citrondyke/driver/virtual/replay.py
@@ -1,4 +1,4 @@
-"""Runs a trace in virtual time and tells its outcome."""
+"""Replays a trace in virtual time and reports its outcome."""
 
 from __future__ import annotations
 
@@ -25,13 +25,14 @@
 
 __all__ = ('replay',)
 
+#: Virtual time at which the events of the trace start.
 READY_MS = 1000.0
 STOP_WITHIN_MS = 10_000.0
 DRAIN_POLL_MS = 20.0
 
 
 class _Replay:
-    """One run."""
+    """One replay of a trace."""
 
     def __init__(self, trace: Trace) -> None:
         self._trace = trace
@@ -42,11 +43,11 @@
         self._orders: dict[str, list[Any]] = {}
         self._jobs: dict[str, AcceptedJob] = {}
         self._next_host = 0
-        #: Requests that each instance is answering.
+        #: Requests in flight at each instance, by ``id()`` of its host.
         self._open_requests: Counter[int] = Counter()
 
     def run(self) -> TraceOutcome:
-        """Run it to its end."""
+        """Replay the trace until its end."""
         time = self._fleet.time
         time.run_until(READY_MS)
         for event in self._trace.events:
@@ -55,7 +56,10 @@
         return self._outcome()
 
     def _choose_host(self, event: TraceEvent) -> VirtualInstance | None:
-        """Choose as the balancer does: in turns among those whose health check is good."""
+        """Choose an instance by round robin among those that pass their health check.
+
+        This is how the load balancer chooses.
+        """
         if event.instance >= 0:
             return self._instance_by_number(event.instance)
         hosts = [
@@ -93,14 +97,14 @@
         target = self._trace_fleet.target(is_service=False)
         body = {'max_tokens': event.tokens, 'prompt_tokens': event.prompt_tokens}
         request = self._request(event, target, '/v1/completions', body, is_repeatable=True)
-        began_ms = self._fleet.time.now_ms()
-        firsts: list[float] = []
-        self._fleet.listen(request.request_id, firsts.append)
+        start_ms = self._fleet.time.now_ms()
+        frame_times_ms: list[float] = []
+        self._fleet.listen(request.request_id, frame_times_ms.append)
 
-        def end(found: OnlineResult) -> None:
+        def end(result: OnlineResult) -> None:
             self._open_requests[id(host)] -= 1
-            first_ms = firsts[0] - began_ms if firsts else None
-            self._chats.append((event, found, first_ms))
+            first_ms = frame_times_ms[0] - start_ms if frame_times_ms else None
+            self._chats.append((event, result, first_ms))
 
         self._open_requests[id(host)] += 1
         host.start(host.instance.online.serve(request), end)
@@ -111,11 +115,11 @@
             return
         target = self._trace_fleet.target(is_service=True)
         request = self._request(event, target, '/place', {}, is_repeatable=False)
-        ends = self._orders.setdefault(event.name, [])
+        results = self._orders.setdefault(event.name, [])
 
-        def end(found: Any) -> None:
+        def end(result: Any) -> None:
             self._open_requests[id(host)] -= 1
-            ends.append(found)
+            results.append(result)
 
         self._open_requests[id(host)] += 1
         host.start(host.instance.once.serve(request, event.name), end)
@@ -168,7 +172,7 @@
             line = {'custom_id': f'{event.name}-{number}', 'url': '/v1/completions', 'body': body}
             lines.append(msgspec.json.encode(line))
 
-        def accepted(job: Any) -> None:
+        def on_accepted(job: Any) -> None:
             if isinstance(job, AcceptedJob):
                 self._jobs[event.name] = job
 
@@ -176,7 +180,7 @@
             each.name for each in self._header.classes if each.kind is ClassKind.BATCH
         )
         workflow = self._fleet.job_workflow(host, event.tenant, ClassName(name), b'\n'.join(lines))
-        host.start(workflow, accepted)
+        host.start(workflow, on_accepted)
 
     def _cancel_job(self, event: TraceEvent) -> None:
         host, job = self._choose_host(event), self._jobs.get(event.name)
@@ -186,19 +190,19 @@
     def _replace_instance(self, event: TraceEvent) -> None:
         host = self._instance_by_number(event.instance)
 
-        def ended(_: Any) -> None:
-            # As the daemon does: the process ends once its last call is answered.
+        def exit_when_idle(_: Any) -> None:
+            # As in the daemon, the process exits once its last call is answered.
             if self._open_requests[id(host)]:
-                self._fleet.time.after(DRAIN_POLL_MS, lambda: ended(None))
+                self._fleet.time.after(DRAIN_POLL_MS, lambda: exit_when_idle(None))
                 return
-            host.start(host.instance.finish(until_ms), lambda _: gone())
+            host.start(host.instance.finish(until_ms), lambda _: restart())
 
-        def gone() -> None:
+        def restart() -> None:
             host.kill()
             self._trace_fleet.start(event.instance)
 
         until_ms = self._fleet.time.now_ms() + STOP_WITHIN_MS
-        host.start(host.instance.leave(until_ms), ended)
+        host.start(host.instance.leave(until_ms), exit_when_idle)
 
     def _set_table_fault(self, event: TraceEvent) -> None:
         self._fleet.platform.table_fault.mode = FaultMode(event.name)
@@ -218,9 +222,9 @@
             for event, _, first_ms in self._chats
             if first_ms is not None and first_ms <= targets[ClassName(event.class_name or default)]
         )
-        asked = sum(1 for event in self._trace.events if event.do is TraceEventKind.CHAT)
-        chats = Counter(end.kind.value for _, end, _ in self._chats)
-        chats['without an end'] = asked - len(self._chats)
+        chats_count = sum(1 for event in self._trace.events if event.do is TraceEventKind.CHAT)
+        chats = Counter(result.kind.value for _, result, _ in self._chats)
+        chats['without an end'] = chats_count - len(self._chats)
         runs = [
             count
             for server in self._fleet.servers.values()
@@ -231,29 +235,33 @@
             chats=dict(sorted(chats.items())),
             chats_in_time=in_time,
             orders=dict(
-                sorted(Counter(self._order_outcome(ends) for ends in self._orders.values()).items())
+                sorted(
+                    Counter(
+                        self._order_outcome(results) for results in self._orders.values()
+                    ).items()
+                )
             ),
             order_runs_most=max(runs, default=0),
             jobs={name: self._job_outcome(job) for name, job in sorted(self._jobs.items())},
         )
 
-    def _order_outcome(self, ends: list[Any]) -> str:
-        """Give the one outcome that an order's callers were told; two are named as such."""
-        told = sorted({end.kind.value for end in ends})
-        return ' and '.join(told) or 'without an end'
+    def _order_outcome(self, results: list[Any]) -> str:
+        """Return the outcome that an order's callers received; several are joined by "and"."""
+        kinds = sorted({result.kind.value for result in results})
+        return ' and '.join(kinds) or 'without an end'
 
     def _job_outcome(self, job: AcceptedJob) -> JobOutcome:
-        row = self._fleet.platform.table.read([job_row_key(job.job_id)])[0]
-        found = msgspec.json.decode(row.value, type=JobRow)
-        ended_ms = found.finished_epoch_ms
+        stored = self._fleet.platform.table.read([job_row_key(job.job_id)])[0]
+        row = msgspec.json.decode(stored.value, type=JobRow)
+        finished_epoch_ms = row.finished_epoch_ms
         return JobOutcome(
-            found.state.value,
-            found.succeeded_count,
-            found.failed_count,
-            ended_ms is not None and ended_ms <= found.deadline_epoch_ms,
+            row.state.value,
+            row.succeeded_count,
+            row.failed_count,
+            finished_epoch_ms is not None and finished_epoch_ms <= row.deadline_epoch_ms,
         )
 
 
 def replay(trace: Trace) -> TraceOutcome:
-    """Run a trace in virtual time."""
+    """Replay a trace in virtual time."""
     return _Replay(trace).run()
--- a/citrondyke/driver/virtual/trace.py
+++ b/citrondyke/driver/virtual/trace.py
@@ -1,4 +1,4 @@
-"""A recorded or written course of events that can be run again."""
+"""Traces: recorded or hand-written sequences of events that can be replayed."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 __all__ = ('Trace', 'TraceEvent', 'TraceEventKind', 'TraceHeader', 'TraceServer', 'read_trace')
 
-#: Bytes of a prompt for each of its tokens.
+#: Bytes of a prompt per token; records hold only the bytes of a prompt.
 BYTES_PER_TOKEN = 4
 
 
 class TraceEventKind(Enum):
-    """What happens."""
+    """Kind of an event in a trace."""
 
     CHAT = 'chat'
     ORDER = 'order'
@@ -27,23 +27,23 @@
     RESTART = 'restart'
     FREEZE = 'freeze'
     WAKE = 'wake'
-    #: A planned stop; the instance is started anew once it has ended.
+    #: A planned stop; the instance is started again once it has exited.
     REPLACE = 'replace'
-    #: The table service changes to the mode in ``name``.
+    #: The table service switches to the fault mode in ``name``.
     TABLE = 'table'
     SERVER_DOWN = 'server_down'
     SERVER_UP = 'server_up'
 
 
 class TraceServer(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend server of the trace."""
+    """A backend server in a trace."""
 
     id: str
     target: str
     zone: str = 'zone-1'
     base_ms: float = 4.0
     knee_streams: int = 32
-    #: Plain services only.
+    #: Time of one run; used only for plain services.
     run_ms: float = 20.0
 
 
@@ -51,7 +51,7 @@
     """First line of a trace."""
 
     name: str
-    #: What the users told of it.
+    #: Description of the incident, as reported by users.
     tells: str = ''
     seed: int = 1
     instances: int = 3
@@ -62,26 +62,26 @@
 
 
 class TraceEvent(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One further line."""
+    """One event; each line of a trace after the first holds one."""
 
     at_ms: float
     do: TraceEventKind
     tenant: str = 'coastal'
     class_name: str = ''
-    #: A job's or server's name, an order's key, or a mode.
+    #: Name of a job or server, key of an order, or fault mode.
     name: str = ''
-    #: Through or to which instance; the next one in turn where it is negative.
+    #: Number of the instance that receives the event; negative for round robin.
     instance: int = -1
     tokens: int = 20
     prompt_tokens: int = 50
     items: int = 0
-    #: Items of a job that can never be done.
+    #: Numbers of a job's items that always fail.
     never: tuple[int, ...] = ()
     within_ms: float = 30_000.0
 
 
 class Trace(msgspec.Struct, frozen=True):
-    """A whole trace."""
+    """Header and events of a trace."""
 
     header: TraceHeader
     events: tuple[TraceEvent, ...]
@@ -90,7 +90,7 @@
 def read_trace(file: Path) -> Trace:
     """Read a trace.
 
-    :raises msgspec.DecodeError: when a line is none.
+    :raises msgspec.DecodeError: if a line cannot be decoded.
     """
     first, *rest = file.read_bytes().splitlines()
     header = msgspec.json.decode(first, type=TraceHeader)
@@ -99,7 +99,7 @@
 
 
 def events_from_records(records: list[OutcomeRecord]) -> list[TraceEvent]:
-    """Turn what instances recorded into a trace's events, counted from the first of them."""
+    """Convert outcome records of instances to events, timed from the first arrival."""
     kinds = {
         RecordKind.ONLINE: TraceEventKind.CHAT,
         RecordKind.ONCE: TraceEventKind.ORDER,
@@ -115,10 +115,10 @@
     )
     if not arrivals:
         return []
-    began_ms = arrivals[0][0]
+    start_epoch_ms = arrivals[0][0]
     return [
         TraceEvent(
-            at_ms=round(at_ms - began_ms, 3),
+            at_ms=round(at_ms - start_epoch_ms, 3),
             do=kinds[record.kind],
             tenant=record.tenant_id,
             class_name=record.class_name,
--- a/citrondyke/driver/virtual/trace_fleet.py
+++ b/citrondyke/driver/virtual/trace_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet that a trace is played on."""
+"""The virtual fleet that a trace is replayed on."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     """A virtual fleet with the servers, classes and tenants of a trace."""
 
     def __init__(self, trace: Trace) -> None:
-        """Build it, and start its instances."""
+        """Build the fleet and start its instances."""
         self._header = trace.header
         self.virtual_fleet = VirtualFleet(trace.header.seed)
         self._limits = InstanceLimits(
@@ -49,11 +49,11 @@
             self.start(number)
 
     def start(self, number: int) -> VirtualInstance:
-        """Start an instance, or its next life."""
+        """Start an instance, or its next incarnation."""
         return self.virtual_fleet.add_instance(f'i{number}', f'zone-{number % 3 + 1}', self._limits)
 
     def target(self, *, is_service: bool) -> str:
-        """Give the trace's model, or its service."""
+        """Return the target of the first service in the trace, or of its first model."""
         return next(
             server.target
             for server in self._header.servers
--- a/citrondyke/driver/virtual/trace_outcome.py
+++ b/citrondyke/driver/virtual/trace_outcome.py
@@ -1,4 +1,4 @@
-"""What a run of a trace came to."""
+"""The outcome of a replayed trace."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class JobOutcome(msgspec.Struct, frozen=True):
-    """How a job of the trace ended."""
+    """Final state of a job in the trace."""
 
     state: str
     succeeded: int
@@ -17,12 +17,13 @@
 
 
 class TraceOutcome(msgspec.Struct, kw_only=True):
-    """What a run of a trace came to; the same trace always gives the same."""
+    """Outcome of a replay, which is the same for each replay of a trace."""
 
+    #: Number of chats by kind of result.
     chats: dict[str, int]
-    #: Chats whose first token came within their class's target.
+    #: Chats whose first token arrived within the target of their class.
     chats_in_time: int
     orders: dict[str, int]
-    #: The most times that any one order ran.
+    #: Largest number of times that a single order ran.
     order_runs_most: int
     jobs: dict[str, JobOutcome]
--- a/citrondyke/driver/virtual/virtual_fleet.py
+++ b/citrondyke/driver/virtual/virtual_fleet.py
@@ -1,4 +1,4 @@
-"""Instances, servers and the platform together in virtual time."""
+"""A fleet of instances, backend servers and the platform in virtual time."""
 
 from __future__ import annotations
 
@@ -34,12 +34,12 @@
 
 __all__ = ('VirtualFleet',)
 
-#: A job's acceptance may take so long.
+#: Longest virtual time that a workflow such as the acceptance of a job may take.
 ACCEPT_TIMEOUT_MS = 60_000.0
 
 
 class VirtualFleet:
-    """Everything in one process and one thread; the same seed gives the same run."""
+    """A whole fleet in one thread; runs with the same seed are identical."""
 
     def __init__(
         self,
@@ -50,10 +50,12 @@
         datagram_loss: float = 0.0,
         new_share: Callable[[ServerView], ServerShare] | None = None,
     ) -> None:
-        """Start with nothing but the platform.
+        """Create a fleet that has only the platform.
 
-        :param one_way_ms: time on the wire between instances and to servers.
-        :param datagram_loss: share of datagrams that never arrive.
+        :param one_way_ms: one-way latency between instances and to servers.
+        :param platform_one_way_ms: one-way latency to the platform.
+        :param datagram_loss: share of datagrams that are lost, from 0 to 1.
+        :param new_share: creates the sharing policy of a server; ``None`` for the default one.
         """
         self.time = VirtualTime()
         self.random = Random(seed)
@@ -62,7 +64,7 @@
         self.instances: dict[InstanceId, VirtualInstance] = {}
         self.servers: dict[ServerId, VirtualServer] = {}
         self.new_share = new_share
-        #: Called before each effect, so that a test can kill the instance right there.
+        #: Called before each effect, so that a test can kill the instance at that point.
         self.crash_point: Callable[[VirtualInstance, Effect], None] | None = None
         self.datagrams_count = 0
         self._datagram_loss = datagram_loss
@@ -77,27 +79,27 @@
         self.platform.table.transact(Transaction(WriteId('seed'), (), (write,)))
 
     def add_server(self, server: VirtualServer) -> None:
-        """List a server and let it take requests."""
+        """Add a server to the server list, so that it gets requests."""
         self.servers[server.listed.id] = server
         self.platform.lists.put_server(server.listed, self.time.now_ms())
 
     def add_instance(self, name: str, zone: str, limits: InstanceLimits) -> VirtualInstance:
-        """List and start an instance; one that died before starts with an empty memory."""
+        """List and start an instance; a restarted one has lost its memory."""
         listed = ListedInstance(InstanceId(name), '10.0.0.1', 1, 1, AvailabilityZone(zone))
         self._limits = limits
         self.platform.lists.put_instance(listed, self.time.now_ms())
-        made = VirtualInstance(self, listed, limits, self.random.getrandbits(32))
-        self.instances[listed.id] = made
-        return made
+        instance = VirtualInstance(self, listed, limits, self.random.getrandbits(32))
+        self.instances[listed.id] = instance
+        return instance
 
     def live_instances(self) -> list[VirtualInstance]:
-        """List the instances that run."""
+        """Return the instances that are alive and not frozen."""
         return [each for each in self.instances.values() if each.is_alive and not each.is_frozen]
 
     def send_peer(
         self, sender: VirtualInstance, receiver_id: InstanceId, message: msgspec.Struct
     ) -> None:
-        """Put a datagram on the wire; it may get lost."""
+        """Send a datagram, which may be lost."""
         self.datagrams_count += 1
         sender.sent_count += 1
         if self.random.random() < self._datagram_loss:
@@ -116,7 +118,7 @@
         after_version: ConfigVersion,
         answer: Callable[[Any], None],
     ) -> None:
-        """Ask a peer for changes over a stream."""
+        """Request configuration changes from a peer over a stream."""
         peer = self.instances.get(instance_id)
         changes: list[ConfigChange] = []
         if peer is not None and peer.is_alive and not peer.is_frozen:
@@ -124,11 +126,11 @@
         self.time.after(2 * self.one_way_ms, lambda: answer(changes))
 
     def listen(self, request_id: str, listener: Callable[[float], None]) -> None:
-        """Hear of each token that arrives for a request."""
+        """Call a listener with the time of each token that arrives for a request."""
         self._frame_listeners[request_id] = listener
 
     def on_frame(self, call: ServerCall, now_ms: float) -> None:
-        """Take note of a token that arrived."""
+        """Notify the listener of a request that one of its tokens arrived."""
         listener = self._frame_listeners.get(call.request_id)
         if listener is not None:
             listener(now_ms)
@@ -136,7 +138,10 @@
     def accept_job(
         self, host: VirtualInstance, tenant_id: str, class_name: str, lines: bytes
     ) -> AcceptedJob:
-        """Upload and start a job; time passes meanwhile."""
+        """Upload and start a job; virtual time advances until it is accepted.
+
+        :raises TypeError: if the job is rejected.
+        """
         workflow = self.job_workflow(host, tenant_id, ClassName(class_name), lines)
         result: JobResult = self.complete(host, workflow)
         if not isinstance(result, AcceptedJob):
@@ -146,7 +151,10 @@
     def job_workflow(
         self, host: VirtualInstance, tenant_id: str, class_name: ClassName, lines: bytes
     ) -> Workflow[JobResult]:
-        """Put a job's segments into the object store; give what accepts the job."""
+        """Store a job's segments and return the workflow that accepts the job.
+
+        :raises ValueError: if a line of the job is invalid.
+        """
         self._uploads_count += 1
         upload_id = f'upload-{self._uploads_count}'
         reader = JobFileReader(self._limits.segment_items, 1_000_000, 1_000_000)
@@ -170,13 +178,13 @@
         if isinstance(recorded, JobRejection):
             return recorded
         file_id, row = recorded
-        wish = JobRequest(
+        request = JobRequest(
             tenant_id=tenant_id, file_id=file_id, endpoint=row.url, class_name=class_name
         )
-        return (yield from acceptance.accept(wish))
+        return (yield from acceptance.accept(request))
 
     def complete(self, host: VirtualInstance, workflow: Any) -> Any:
-        """Run a workflow to its end; time passes meanwhile."""
+        """Run a workflow and return its result; virtual time advances until it ends."""
         results: list[Any] = []
         host.start(workflow, results.append)
         until_ms = self.time.now_ms() + ACCEPT_TIMEOUT_MS
--- a/citrondyke/driver/virtual/virtual_instance.py
+++ b/citrondyke/driver/virtual/virtual_instance.py
@@ -1,4 +1,4 @@
-"""One instance in virtual time."""
+"""An instance in virtual time."""
 
 from __future__ import annotations
 
@@ -28,25 +28,26 @@
 
 __all__ = ('VirtualInstance',)
 
-#: A frame in the middle of an answer, and the one at its end.
+#: Frame of each token of an answer except the last one.
 FRAME = (
     b'{"id":"v","created":0,"model":"m","choices":[{"delta":{"content":"w "},'
     b'"finish_reason":null}]}'
 )
+#: Frame of the last token of an answer.
 LAST_FRAME = FRAME.replace(b'null', b'"length"')
 
 
 class VirtualInstance:
-    """Runs an instance's workflows; it can be killed or frozen at any point between effects."""
+    """Runs an instance, which can be killed or frozen between any two effects."""
 
     def __init__(
         self, fleet: FleetEnvironment, listed: ListedInstance, limits: InstanceLimits, seed: int
     ) -> None:
-        """Start an instance with nothing in its memory."""
+        """Start an instance with an empty memory."""
         self.listed = listed
         self.is_alive = True
         self.is_frozen = False
-        #: Messages sent and received, and their bytes where the fleet encodes them.
+        #: Peer messages sent and received.
         self.sent_count = 0
         self.received_count = 0
         self.effects_count = 0
@@ -60,31 +61,34 @@
         self.start(self.instance.run())
 
     def start(self, workflow: Workflow[Any], on_end: Callable[[Any], None] | None = None) -> None:
-        """Start a workflow."""
+        """Start a workflow.
+
+        :param on_end: called with the result of the workflow.
+        """
         token, effects = self._runner.start(workflow)
         if on_end is not None:
             self._on_end_callbacks[token] = on_end
         self._apply_effects(effects)
 
     def kill(self) -> None:
-        """End it at once: its memory is gone and its connections are cut."""
+        """Kill the instance: its memory is lost and its connections are aborted."""
         self.is_alive = False
-        for cut in list(self._aborts.values()):
-            self._fleet.time.after(self._fleet.one_way_ms, cut)
+        for abort in list(self._aborts.values()):
+            self._fleet.time.after(self._fleet.one_way_ms, abort)
 
     def freeze(self) -> None:
-        """Stop it; what arrives meanwhile waits."""
+        """Suspend the instance; arrivals are deferred until it wakes."""
         self.is_frozen = True
 
     def wake(self) -> None:
-        """Let it go on."""
+        """Resume the instance and run what was deferred."""
         self.is_frozen = False
         deferred, self._deferred = self._deferred, []
         for action in deferred:
             action()
 
     def deliver(self, arrival: Callable[[], None]) -> None:
-        """Let something arrive here, in its own time."""
+        """Run the handler of an arrival, deferred while frozen and dropped once killed."""
         if not self.is_alive:
             return
         if self.is_frozen:
@@ -106,7 +110,7 @@
             self._apply_effect(effect)
 
     def _defer_effects(self, effects: list[Effect]) -> None:
-        """Keep for its awakening what a frozen instance was about to do."""
+        """Defer the remaining effects of a frozen instance until it wakes."""
         self._deferred.append(lambda: self._apply_effects(effects))
 
     def _apply_effect(self, effect: Effect) -> None:
@@ -121,10 +125,10 @@
                     on_end(effect.result)
 
     def _start_timer(self, effect: StartTimer) -> None:
-        def due() -> None:
+        def on_timer() -> None:
             self._resume(effect.token, False)
 
-        self._fleet.time.at(effect.at_ms, lambda: self.deliver(due))
+        self._fleet.time.at(effect.at_ms, lambda: self.deliver(on_timer))
 
     def _resume(self, token: OpToken, result: Any) -> None:
         self._apply_effects(self._runner.resume(token, result))
@@ -156,17 +160,17 @@
         exchange = _ServerExchange(self, self._fleet, call, answer)
         exchange.begin()
 
-    def register_abort(self, exchange: _ServerExchange, cut: Callable[[], None]) -> None:
-        """Remember what cuts a request, for when this instance dies."""
-        self._aborts[id(exchange)] = cut
+    def register_abort(self, exchange: _ServerExchange, abort: Callable[[], None]) -> None:
+        """Register the abort callback of a request, to be called if this instance is killed."""
+        self._aborts[id(exchange)] = abort
 
     def unregister_abort(self, exchange: _ServerExchange) -> None:
-        """Forget it again."""
+        """Remove the abort callback of a finished request."""
         self._aborts.pop(id(exchange), None)
 
 
 class _ServerExchange(CallSink):
-    """One request on the wire to a server, and its answer on the way back."""
+    """One request to a server and its answer, both with network latency."""
 
     def __init__(
         self,
@@ -179,36 +183,36 @@
         self._fleet = fleet
         self._call = call
         self._answer = answer
-        self._began_ms = fleet.time.now_ms()
+        self._start_ms = fleet.time.now_ms()
         self._frames: list[bytes] = []
         self._first_ms: float | None = None
         self._is_finished = False
         self._abort: Callable[[], None] | None = None
 
     def begin(self) -> None:
-        """Put the request on the wire."""
+        """Send the request."""
         self._call.cancel.subscribe(self._on_cancel)
         self._fleet.time.after(self._fleet.one_way_ms, self._arrive)
         self._fleet.time.at(self._call.deadline_ms, self._on_deadline)
 
     def on_token(self, *, is_last: bool) -> None:
-        """Take a token from the server; it arrives a little later."""
+        """Receive a token from the server, which arrives one latency later."""
         self._fleet.time.after(self._fleet.one_way_ms, lambda: self._on_token_arrival(is_last))
 
     def on_complete(self, status: int, body: bytes) -> None:
-        """Take a plain answer from the server."""
+        """Receive an answer without a stream from the server."""
         reply = ServerReply(
             kind=ReplyKind.COMPLETE, status=status, content_type='application/json', body=body
         )
         self._fleet.time.after(self._fleet.one_way_ms, lambda: self._end(reply))
 
     def on_rejected(self) -> None:
-        """Learn that the server did not take it."""
+        """Handle that the server rejected the request without running it."""
         reply = ServerReply(kind=ReplyKind.REFUSED, status=503)
         self._fleet.time.after(self._fleet.one_way_ms, lambda: self._end(reply))
 
     def on_aborted(self) -> None:
-        """Learn that the connection was cut."""
+        """Handle that the server aborted the connection."""
         self._fleet.time.after(
             self._fleet.one_way_ms, lambda: self._end(self._reply(ReplyKind.CUT))
         )
@@ -229,7 +233,7 @@
             return
         now_ms = self._fleet.time.now_ms()
         if self._first_ms is None:
-            self._first_ms = now_ms - self._began_ms
+            self._first_ms = now_ms - self._start_ms
         self._frames.append(LAST_FRAME if is_last else FRAME)
         if self._host.is_alive and not self._host.is_frozen:
             if self._call.on_frame is not None:
@@ -241,9 +245,9 @@
     def _on_cancel(self) -> None:
         if self._is_finished:
             return
-        cut = self._abort
-        if cut is not None:
-            self._fleet.time.after(self._fleet.one_way_ms, cut)
+        abort = self._abort
+        if abort is not None:
+            self._fleet.time.after(self._fleet.one_way_ms, abort)
         self._end(self._reply(ReplyKind.CANCELLED))
 
     def _on_deadline(self) -> None:
--- a/citrondyke/driver/virtual/virtual_platform.py
+++ b/citrondyke/driver/virtual/virtual_platform.py
@@ -1,4 +1,4 @@
-"""The platform in virtual time, with its faults."""
+"""The platform in virtual time, with injectable faults."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 
 __all__ = ('VirtualPlatform',)
 
-#: Timeout of an instance's calls.
+#: Timeout of the calls of an instance to the platform.
 TIMEOUT_MS = 1500.0
 
 
 class VirtualPlatform:
-    """Table, objects and lists at some distance; each call takes effect half-way."""
+    """Table service, object store and lists; a call takes effect one latency after it is sent."""
 
     def __init__(self, time: VirtualTime, one_way_ms: float) -> None:
-        """Start empty.
+        """Create an empty platform.
 
-        :param one_way_ms: time on the wire in each direction, with the service's own.
+        :param one_way_ms: latency in each direction, which includes the time of the service itself.
         """
         self.table = Table()
         self.lists = LaggingLists()
@@ -37,7 +37,7 @@
         self._one_way_ms = one_way_ms
 
     def perform(self, op: ops.Op, answer: Callable[[Any], None]) -> bool:
-        """Carry out an operation that is the platform's; tell whether it is one."""
+        """Carry out an operation; return ``False`` if it is not one of the platform."""
         match op:
             case ops.Transact():
                 self._call(self.table_fault, lambda: self.table.transact(op.transaction), answer)
@@ -62,7 +62,7 @@
         return True
 
     def _call(
-        self, fault: FaultSwitch, act: Callable[[], Any], answer: Callable[[Any], None]
+        self, fault: FaultSwitch, action: Callable[[], Any], answer: Callable[[Any], None]
     ) -> None:
         def arrive() -> None:
             mode = fault.take()
@@ -72,12 +72,12 @@
             if mode is FaultMode.HANG:
                 self._time.after(TIMEOUT_MS, lambda: answer(AMBIGUOUS))
                 return
-            result = act()
+            result = action()
             if mode is FaultMode.LOST_REPLY:
                 self._time.after(self._one_way_ms, lambda: answer(AMBIGUOUS))
                 return
-            slow_ms = fault.delay_ms if mode is FaultMode.SLOW else 0.0
-            self._time.after(self._one_way_ms + slow_ms, lambda: answer(result))
+            delay_ms = fault.delay_ms if mode is FaultMode.SLOW else 0.0
+            self._time.after(self._one_way_ms + delay_ms, lambda: answer(result))
 
         self._time.after(self._one_way_ms, arrive)
 
--- a/citrondyke/driver/virtual/virtual_server.py
+++ b/citrondyke/driver/virtual/virtual_server.py
@@ -1,4 +1,4 @@
-"""A backend server in virtual time."""
+"""Backend servers in virtual time."""
 
 from __future__ import annotations
 
@@ -26,79 +26,82 @@
 
 
 class CallSink(ABC):
-    """Where a server's answer goes."""
+    """Receiver of a server's answer."""
 
     @abstractmethod
     def on_token(self, *, is_last: bool) -> None:
-        """Take a token."""
+        """Receive a token."""
 
     @abstractmethod
     def on_complete(self, status: int, body: bytes) -> None:
-        """Take a plain answer."""
+        """Receive an answer without a stream."""
 
     @abstractmethod
     def on_rejected(self) -> None:
-        """Learn that the server did not take the request."""
+        """Handle that the server rejected the request without running it."""
 
     @abstractmethod
     def on_aborted(self) -> None:
-        """Learn that the connection was cut."""
+        """Handle that the server aborted the connection."""
 
 
 class EngineRequest(msgspec.Struct, frozen=True):
-    """What a virtual engine reads of a request's body."""
+    """Fields of a request's body that a virtual engine reads."""
 
     max_tokens: int = DEFAULT_MAX_TOKENS
     prompt_tokens: int = 50
     prefix: str = ''
     prefix_tokens: int = 0
-    #: Ends the server's work on everything, as a crash does.
+    #: Makes the server crash, so that all its streams are lost.
     is_crash: bool = False
-    #: Can never be answered.
+    #: Makes the server answer 422, however often the request is sent.
     is_never: bool = False
 
 
 class VirtualServer(ABC):
-    """Something that requests can be sent to."""
+    """Base class of servers that requests are sent to."""
 
     def __init__(self, listed: ListedServer, time: VirtualTime) -> None:
-        """Start up and idle."""
+        """Create a server that is up and idle."""
         self.listed = listed
         self.is_up = True
         self.is_leaving = False
-        #: How often each request was taken.
+        #: How often each request was run.
         self.runs: dict[RequestId, int] = {}
         self._time = time
 
     @abstractmethod
     def submit(self, call: ServerCall, sink: CallSink) -> Callable[[], None]:
-        """Take a request; give what cuts it."""
+        """Accept a request and return a callback that aborts it."""
 
     @abstractmethod
     def load(self) -> ServerLoad:
-        """Report its load, with a lag."""
+        """Return the load that the server reports; it may be out of date."""
 
     @abstractmethod
     def crash(self) -> None:
-        """Lose everything under way."""
+        """Lose all requests in flight."""
 
 
 class VirtualEngine(VirtualServer):
-    """A continuous-batching engine that steps in virtual time."""
+    """A continuous-batching inference engine in virtual time."""
 
     def __init__(
         self, listed: ListedServer, time: VirtualTime, curve: EngineCurve, load_lag_ms: float
     ) -> None:
-        """Start idle."""
+        """Create an idle engine.
+
+        :param load_lag_ms: age of the load that the engine reports.
+        """
         super().__init__(listed, time)
         self.model = EngineModel(curve)
-        #: Each step takes so many times its normal time.
+        #: Factor by which each step is slowed down.
         self.slowness = 1.0
-        #: What it reports instead of its load; ``None`` for the truth.
+        #: Number of running streams to report instead of the real load; ``None`` for the real one.
         self.lie_running: int | None = None
         self.steps_count = 0
         self.tokens_count = 0
-        #: Tokens that resumed streams had to compute again as part of their prompts.
+        #: Tokens recomputed for resumed streams: their prompts and the tokens generated before.
         self.recomputed_tokens = 0
         self._curve = curve
         self._load_lag_ms = load_lag_ms
@@ -108,7 +111,7 @@
         self._load_history: deque[tuple[float, int, int]] = deque([(0.0, 0, 0)])
 
     def submit(self, call: ServerCall, sink: CallSink) -> Callable[[], None]:
-        """Take a request into the engine's queue."""
+        """Queue a request and return a callback that aborts it."""
         request = msgspec.json.decode(call.body, type=EngineRequest)
         if request.is_crash:
             self.crash()
@@ -138,7 +141,7 @@
         return lambda: self._abort(stream_id)
 
     def load(self) -> ServerLoad:
-        """Report what ran some time ago."""
+        """Return the load as of ``load_lag_ms`` ago."""
         as_of_ms = self._time.now_ms() - self._load_lag_ms
         while len(self._load_history) > 1 and self._load_history[1][0] <= as_of_ms:
             self._load_history.popleft()
@@ -148,7 +151,7 @@
         return ServerLoad(running, waiting, self._curve.max_running, self.is_leaving)
 
     def crash(self) -> None:
-        """Lose all streams; their connections are cut."""
+        """Lose all streams and abort their connections."""
         self.model.drop_all()
         sinks, self._sinks = self._sinks, {}
         for sink in sinks.values():
@@ -188,39 +191,39 @@
 
 
 class VirtualService(VirtualServer):
-    """A plain service in virtual time; it counts what it runs."""
+    """A plain service in virtual time, which counts its runs by idempotency key."""
 
     def __init__(self, listed: ListedServer, time: VirtualTime, run_ms: float) -> None:
-        """Start idle.
+        """Create an idle service.
 
-        :param run_ms: how long one run takes.
+        :param run_ms: duration of one run.
         """
         super().__init__(listed, time)
         self._run_ms = run_ms
         self._running = 0
 
     def submit(self, call: ServerCall, sink: CallSink) -> Callable[[], None]:
-        """Run a request; what is cut has run all the same."""
+        """Run a request; aborting it drops the answer, but the run still counts."""
         key = RequestId(dict(call.headers).get('Idempotency-Key', call.request_id))
         self.runs[key] = self.runs.get(key, 0) + 1
         self._running += 1
-        is_cut = False
+        is_aborted = False
 
         def end() -> None:
             self._running -= 1
-            if not is_cut:
+            if not is_aborted:
                 sink.on_complete(200, b'{"ok": true}')
 
-        def cut() -> None:
-            nonlocal is_cut
-            is_cut = True
+        def abort() -> None:
+            nonlocal is_aborted
+            is_aborted = True
 
         self._time.after(self._run_ms, end)
-        return cut
+        return abort
 
     def load(self) -> ServerLoad:
-        """Report its load."""
+        """Return the current load."""
         return ServerLoad(self._running, 0, 64, self.is_leaving)
 
     def crash(self) -> None:
-        """Do nothing: runs that began go on to their end."""
+        """Do nothing: started runs continue to their end."""
--- a/tests/test_driver/__init__.py
+++ b/tests/test_driver/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the drivers."""
+"""Tests of the drivers and of trace replay."""
 
 from __future__ import annotations
--- a/tests/test_driver/test_driver_replay.py
+++ b/tests/test_driver/test_driver_replay.py
@@ -1,4 +1,4 @@
-"""Recorded traces come to their stated outcomes, exactly."""
+"""Replay of traces reproduces their expected outcomes exactly."""
 
 from __future__ import annotations
 
@@ -18,12 +18,14 @@
 
 
 @pytest.mark.parametrize('name', NAMES)
-def test_trace_comes_to_its_stated_outcome(name: str) -> None:
-    stated = msgspec.json.decode((TRACES / f'{name}.outcome.json').read_bytes(), type=TraceOutcome)
-    assert replay(read_trace(TRACES / f'{name}.jsonl')) == stated
+def test_replay_reproduces_the_expected_outcome(name: str) -> None:
+    expected = msgspec.json.decode(
+        (TRACES / f'{name}.outcome.json').read_bytes(), type=TraceOutcome
+    )
+    assert replay(read_trace(TRACES / f'{name}.jsonl')) == expected
 
 
-def test_records_become_a_trace_from_its_first_arrival() -> None:
+def test_events_from_records_are_timed_from_the_first_arrival() -> None:
     def record(kind: RecordKind, at_ms: float, total_ms: float) -> OutcomeRecord:
         return OutcomeRecord(
             at_epoch_ms=at_ms,
