--- a/citrondyke/peer/__init__.py
+++ b/citrondyke/peer/__init__.py
@@ -1,3 +1,3 @@
-"""Messages between instances: Cap'n Proto over authenticated datagrams and streams."""
+"""Messages between instances, in Cap'n Proto over authenticated datagrams and streams."""
 
 from __future__ import annotations
--- a/citrondyke/peer/codec.py
+++ b/citrondyke/peer/codec.py
@@ -1,4 +1,4 @@
-"""Turns messages between instances into authenticated bytes and back."""
+"""Encoding and authentication of the messages between instances."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
 
 
 class ConfigPull(msgspec.Struct, frozen=True):
-    """Asks a peer, over a stream, for the changes behind a version."""
+    """Request to a peer, over a stream, for the configuration changes after a version."""
 
     after_version: ConfigVersion
 
 
 class ConfigChanges(msgspec.Struct, frozen=True):
-    """Answers a ``ConfigPull``."""
+    """Response to a ``ConfigPull``."""
 
     changes: tuple[ConfigChange, ...]
 
@@ -56,17 +56,17 @@
 
 
 class PeerCodec:
-    """Encodes with a keyed hash and takes no byte that lacks it.
+    """Encodes messages with a keyed hash, and decodes only data with a valid one.
 
-    With several keys the first signs and all are accepted, so that keys can be rotated.
+    The first key signs, and all keys are accepted, so that keys can be rotated.
     """
 
     def __init__(self, keys: Iterable[bytes]) -> None:
-        """Use the keys that all instances share."""
+        """Store the keys, which all instances share."""
         self._keys = tuple(keys)
 
     def encode(self, envelope: Envelope) -> bytes:
-        """Encode a message."""
+        """Encode and sign a message."""
         built = _SCHEMA.Envelope.new_message()
         built.sender = envelope.sender
         built.epoch = envelope.epoch
@@ -77,9 +77,9 @@
         return _tag(self._keys[0], body) + body
 
     def decode(self, data: bytes) -> Envelope:
-        """Decode a message.
+        """Verify and decode a message.
 
-        :raises PeerAuthenticationError: when the bytes are not an authentic message.
+        :raises PeerAuthenticationError: if the hash is wrong or the data is malformed.
         """
         tag, body = data[:TAG_BYTES], data[TAG_BYTES:]
         if not any(hmac.compare_digest(tag, _tag(key, body)) for key in self._keys):
@@ -103,10 +103,10 @@
 
 def _write_facts(probe: Any, facts: tuple[MemberFact, ...]) -> None:
     built = probe.init('facts', len(facts))
-    for place, fact in zip(built, facts, strict=True):
-        place.instanceId = fact.instance_id
-        place.state = fact.state.value
-        place.incarnation = fact.incarnation
+    for entry, fact in zip(built, facts, strict=True):
+        entry.instanceId = fact.instance_id
+        entry.state = fact.state.value
+        entry.incarnation = fact.incarnation
 
 
 def _write_ping(built: Any, message: Ping) -> None:
--- a/citrondyke/peer/node.py
+++ b/citrondyke/peer/node.py
@@ -1,4 +1,4 @@
-"""One end of the traffic between instances."""
+"""Sockets for the messages between instances."""
 
 from __future__ import annotations
 
@@ -25,7 +25,8 @@
 
 log = logbook.Logger(__name__)
 
-#: Larger messages do not fit one packet of a common network; receivers fetch them instead.
+#: Larger messages do not fit into one packet of a typical network; recipients fetch their content
+#: over a stream instead.
 DATAGRAM_LIMIT_BYTES = 1200
 STREAM_LIMIT_BYTES = 16 * 1024 * 1024
 STREAM_TIMEOUT_S = 2.0
@@ -33,7 +34,7 @@
 
 
 class TrafficCounts(msgspec.Struct):
-    """What went over the wire so far, datagrams and streams together."""
+    """Totals of messages and bytes, of datagrams and streams together."""
 
     sent_count: int = 0
     sent_bytes: int = 0
@@ -43,10 +44,10 @@
 
 
 class PeerNode:
-    """Datagrams for news, a stream for configuration that is asked for."""
+    """Sends and receives datagrams for updates, and streams for requested configuration."""
 
     def __init__(self, codec: PeerCodec, ip: str, port: int) -> None:
-        """Listen on nothing before ``start``."""
+        """Open no sockets; ``start`` does."""
         self.traffic = TrafficCounts()
         self._codec = codec
         self._ip = ip
@@ -58,7 +59,7 @@
         self._streams: StreamServer | None = None
 
     def start(self, instance: Instance) -> None:
-        """Listen, and hand everything to the instance."""
+        """Listen, and pass received messages to the instance."""
         self._instance = instance
         self._datagrams = DatagramServer((self._ip, self._port), self._on_datagram)
         self._datagrams.start()
@@ -66,38 +67,39 @@
         self._streams.start()
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         if self._datagrams is not None:
             self._datagrams.stop()
         if self._streams is not None:
             self._streams.stop()
 
     def send(self, instance_id: InstanceId, message: msgspec.Struct) -> None:
-        """Send a message; one that is too large or finds no address is dropped."""
+        """Send a message; drop it if it is too large or the recipient's address is not known."""
         instance = self._instance
         if instance is None or self._datagrams is None:
             return
-        listed = instance.members.address(instance_id)
-        if listed is None:
+        member = instance.members.address(instance_id)
+        if member is None:
             return
         data = self._codec.encode(self._envelope(message))
         if len(data) > DATAGRAM_LIMIT_BYTES:
-            # The version in every header tells the receiver that there is something to fetch.
+            # The header of every message has the configuration version, from which recipients
+            # recognize that there are changes to fetch.
             if isinstance(message, ConfigPush):
                 return
-            log.warning('datagram of {} bytes not sent', len(data))
+            log.warning('datagram of {} bytes exceeds the limit, not sent', len(data))
             return
-        self._send_bytes(data, (listed.ip, listed.peer_port))
+        self._send_bytes(data, (member.ip, member.peer_port))
 
     def pull_config(
         self, instance_id: InstanceId, after_version: ConfigVersion
     ) -> list[ConfigChange]:
-        """Ask a peer for configuration changes; nothing where that fails."""
+        """Request configuration changes from a peer; return none if that fails."""
         instance = self._instance
-        listed = None if instance is None else instance.members.address(instance_id)
-        if listed is None:
+        member = None if instance is None else instance.members.address(instance_id)
+        if member is None:
             return []
-        address = (listed.ip, listed.peer_port)
+        address = (member.ip, member.peer_port)
         try:
             with socket.create_connection(address, timeout=STREAM_TIMEOUT_S) as sock:
                 self._write_frame(sock, ConfigPull(after_version))
@@ -138,7 +140,7 @@
         except PeerAuthenticationError:
             self.traffic.rejected_count += 1
             return None
-        # Before its lease is there an instance has no epoch yet; its numbers prove nothing.
+        # An instance has no epoch before it has a lease, so its numbers cannot reveal a replay.
         if envelope.epoch and not self._window.accept(
             envelope.sender, envelope.epoch, envelope.number
         ):
@@ -168,7 +170,7 @@
         try:
             self._datagrams.sendto(data, address)
         except OSError:
-            # A peer that just went away; its silence is noticed by the pings.
+            # The peer has probably just stopped; failure detection by pings notices that.
             return
 
     def _write_frame(self, sock: socket.socket, message: msgspec.Struct) -> None:
--- a/citrondyke/peer/replay_window.py
+++ b/citrondyke/peer/replay_window.py
@@ -1,4 +1,4 @@
-"""Knows a datagram that was taken before."""
+"""Detection of replayed datagrams."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 __all__ = ('ReplayWindow',)
 
-#: Numbers behind the highest one that may still arrive late.
+#: Distance from the highest received number within which late datagrams are still accepted.
 WINDOW_SIZE = 128
 SENDERS_LIMIT = 4096
 
@@ -20,37 +20,42 @@
 class _SenderState(msgspec.Struct):
     epoch: int
     highest: int
-    #: Bit ``n`` stands for the number ``highest - n``.
-    bits: int
+    #: Bit ``n`` is set if the number ``highest - n`` was received.
+    received_bits: int
 
 
 class ReplayWindow:
-    """Takes each number of each sender's life once, in about any order."""
+    """Accepts each number of each sender's incarnation once; numbers may arrive out of order."""
 
     def __init__(self) -> None:
-        """Start having seen nothing."""
-        self._seen: OrderedDict[InstanceId, _SenderState] = OrderedDict()
+        """Start without received numbers."""
+        self._senders: OrderedDict[InstanceId, _SenderState] = OrderedDict()
 
     def accept(self, sender: InstanceId, epoch: int, number: int) -> bool:
-        """Tell whether a datagram is new; a replayed one could bring an old load or state back."""
-        seen = self._seen.get(sender)
-        if seen is None or epoch > seen.epoch:
-            self._seen[sender] = _SenderState(epoch, number, 1)
-            self._seen.move_to_end(sender)
-            if len(self._seen) > SENDERS_LIMIT:
-                self._seen.popitem(last=False)
+        """Record a datagram; return whether it is new.
+
+        A replayed datagram would restore a stale load or state.
+        """
+        state = self._senders.get(sender)
+        if state is None or epoch > state.epoch:
+            self._senders[sender] = _SenderState(epoch, number, 1)
+            self._senders.move_to_end(sender)
+            if len(self._senders) > SENDERS_LIMIT:
+                self._senders.popitem(last=False)
             return True
-        if epoch < seen.epoch:
+        if epoch < state.epoch:
             return False
-        if number > seen.highest:
-            shift = number - seen.highest
-            seen.bits = (
-                ((seen.bits << shift) | 1) & ((1 << WINDOW_SIZE) - 1) if shift < WINDOW_SIZE else 1
+        if number > state.highest:
+            shift = number - state.highest
+            state.received_bits = (
+                ((state.received_bits << shift) | 1) & ((1 << WINDOW_SIZE) - 1)
+                if shift < WINDOW_SIZE
+                else 1
             )
-            seen.highest = number
+            state.highest = number
             return True
-        offset = seen.highest - number
-        if offset >= WINDOW_SIZE or seen.bits >> offset & 1:
+        offset = state.highest - number
+        if offset >= WINDOW_SIZE or state.received_bits >> offset & 1:
             return False
-        seen.bits |= 1 << offset
+        state.received_bits |= 1 << offset
         return True
--- a/tests/test_gateway/test_peers/__init__.py
+++ b/tests/test_gateway/test_peers/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway's peers."""
+"""Tests of membership, and of the messages between instances."""
--- a/tests/test_gateway/test_peers/test_peers_limit_codec.py
+++ b/tests/test_gateway/test_peers/test_peers_limit_codec.py
@@ -1,4 +1,4 @@
-"""Messages of limits arrive as they were sent, and bad ones do not arrive."""
+"""Limit messages are decoded as they were encoded, and invalid ones are rejected."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 COPY = SlotCopy(7, 3, 11, -1_500.0, {TenantId('large'): -20.5})
 
 
-def sent(message: LimitMessage) -> bytes:
+def encoded(message: LimitMessage) -> bytes:
     return encode_message(PeerMessage(InstanceId('a'), ConfigVersion(1), LimitText(message)))
 
 
@@ -47,13 +47,13 @@
         FloorsAcknowledged(3, 7, 3),
     ],
 )
-def test_message_arrives_as_it_was_sent(message: LimitMessage) -> None:
-    assert decode_message(sent(message)).text == LimitText(message)
+def test_message_survives_encoding_and_decoding(message: LimitMessage) -> None:
+    assert decode_message(encoded(message)).text == LimitText(message)
 
 
-@pytest.mark.parametrize('level', [float('nan'), float('inf')])
-def test_copy_with_levels_that_are_no_numbers_is_unreadable(level: float) -> None:
-    # Compared with such a level nothing is too much: an account would have no limit.
-    copy = SlotCopy(7, 3, 11, 0.0, {TenantId('large'): level})
+@pytest.mark.parametrize('floor', [float('nan'), float('inf')])
+def test_copy_with_floor_that_is_not_finite_is_rejected(floor: float) -> None:
+    # No use exceeds such a floor in a comparison, so the account would have no limit.
+    copy = SlotCopy(7, 3, 11, 0.0, {TenantId('large'): floor})
     with pytest.raises(ValueError, match='finite numbers'):
-        decode_message(sent(FloorsTold(3, copy)))
+        decode_message(encoded(FloorsTold(3, copy)))
--- a/tests/test_gateway/test_peers/test_peers_list_readers.py
+++ b/tests/test_gateway/test_peers/test_peers_list_readers.py
@@ -1,4 +1,4 @@
-"""Two instances of a zone read the list of servers for the others; each test has one failure."""
+"""Two instances of a zone read the server list for the others; each test injects one failure."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 class ReadersFleet(GatewayFleet):
-    """Six instances of one zone, for which it pays that two read."""
+    """Six instances of one zone, with a list large enough for the election of two readers."""
 
     def __init__(self) -> None:
         super().__init__()
-        #: Calls of the list of servers, by the address of who made them.
+        #: Store calls for the server list, by the address of the calling instance.
         self.calls_by_ip: Counter[str] = Counter()
-        #: Whole reads of the configuration, likewise.
+        #: Full reads of the configuration, by the address of the calling instance.
         self.config_reads: Counter[str] = Counter()
         answer = self.store.__call__
 
@@ -43,21 +43,21 @@
 
         self._wsgi.application = counted
 
-    def reading(self) -> list[GatewayInstance]:
+    def readers(self) -> list[GatewayInstance]:
         return [
             each for each in self.instances if each.peers.list_read_delegation.is_delegate_reader
         ]
 
-    def following(self) -> list[GatewayInstance]:
+    def followers(self) -> list[GatewayInstance]:
         return [each for each in self.instances if each.peers.list_read_delegation.is_delegated]
 
-    def wait_covered(self) -> None:
+    def wait_delegated(self) -> None:
         wait_until_seen(
-            lambda: len(self.reading()) == 2 and len(self.following()) == INSTANCES - 2,
+            lambda: len(self.readers()) == 2 and len(self.followers()) == INSTANCES - 2,
             'two readers and four followers',
         )
 
-    def know_leaving(self, name: str) -> list[GatewayInstance]:
+    def instances_with_leaving(self, name: str) -> list[GatewayInstance]:
         return [
             each
             for each in self.instances
@@ -65,24 +65,26 @@
         ]
 
     def check_drain(self, instances: list[GatewayInstance] | None = None) -> None:
-        """Have a server leave, and see that some instances, or all, hear of it."""
-        judged = list(self.instances) if instances is None else instances
+        """Drain a server, and check that the given instances, by default all, learn of it."""
+        checked = list(self.instances) if instances is None else instances
         self.list_server('app-1', 'app', state='draining', seq=2)
         wait_until_seen(
-            lambda: all(each in self.know_leaving('app-1') for each in judged), 'all to know'
+            lambda: all(each in self.instances_with_leaving('app-1') for each in checked),
+            'all instances to know the change',
         )
 
     def drop(self, instance: GatewayInstance) -> None:
-        """End one instance without a word."""
+        """Stop one instance without a shutdown."""
         self.instances.remove(instance)
         instance.stop_abruptly()
 
 
 @pytest.fixture
-def readers(monkeypatch: pytest.MonkeyPatch) -> Iterator[ReadersFleet]:
-    """A fleet in which readers and followers are settled.
+def readers_fleet(monkeypatch: pytest.MonkeyPatch) -> Iterator[ReadersFleet]:
+    """A fleet whose readers are elected and whose followers have delegated their reads.
 
-    All instances share one process: on a busy machine each would be slow for the others.
+    The timeouts are longer than in production: all instances share one process, so on a busy
+    machine they delay each other.
     """
     monkeypatch.setattr(reader_election, 'WORTHWHILE_BYTES', 1)
     monkeypatch.setattr(server_list_read_delegation, 'MEMBERS_TIMEOUT_MS', 2_500.0)
@@ -95,169 +97,179 @@
         for _ in range(INSTANCES):
             made.start_instance()
         made.wait_ready()
-        made.wait_covered()
+        made.wait_delegated()
         yield made
     finally:
         made.end()
 
 
-def silence(instance: GatewayInstance) -> None:
-    """Let nothing that an instance sends arrive, and nothing be answered."""
+def make_unresponsive(instance: GatewayInstance) -> None:
+    """Drop all server list messages of an instance, and leave requests to it unanswered."""
     instance.peers.list_read_delegation._publisher._send = lambda *_: None
     instance.peers.list_read_delegation.answer = lambda *_: gevent.sleep(30.0)  # type: ignore[method-assign]
 
 
-def test_followers_leave_the_list_to_two_readers(readers: ReadersFleet) -> None:
-    # 300 instances that read 1.3 MB each, and each change four times, are 60 MB/s of the store.
+def test_only_the_two_readers_read_the_list(readers_fleet: ReadersFleet) -> None:
+    # If 300 instances read 1.3 MB each, and each change four times, the store sends 60 MB/s.
     gevent.sleep(4.5)
-    readers.calls_by_ip.clear()
+    readers_fleet.calls_by_ip.clear()
     gevent.sleep(2.5)
-    reading = {each.address.ip for each in readers.reading()}
-    assert set(readers.calls_by_ip) <= reading
-    readers.check_drain()
+    reading = {each.address.ip for each in readers_fleet.readers()}
+    assert set(readers_fleet.calls_by_ip) <= reading
+    readers_fleet.check_drain()
 
 
-def test_small_fleet_reads_as_before(fleet: GatewayFleet) -> None:
-    # Few bytes are no reason to rely on a neighbour.
+def test_small_fleet_reads_without_delegation(fleet: GatewayFleet) -> None:
+    # With a small list the saved bytes do not justify depending on a peer.
     gevent.sleep(0.5)
     assert not any(each.peers.list_read_delegation.is_delegate_reader for each in fleet.instances)
     assert not any(each.peers.list_read_delegation.is_delegated for each in fleet.instances)
 
 
 @pytest.mark.parametrize('count', [1, 2])
-def test_reader_that_is_killed_is_no_gap(readers: ReadersFleet, count: int) -> None:
-    for reader in readers.reading()[:count]:
-        readers.drop(reader)
-    readers.check_drain()
+def test_updates_arrive_after_readers_are_killed(readers_fleet: ReadersFleet, count: int) -> None:
+    for reader in readers_fleet.readers()[:count]:
+        readers_fleet.drop(reader)
+    readers_fleet.check_drain()
 
 
 @pytest.mark.parametrize('count', [1, 2])
-def test_reader_that_says_nothing_is_no_gap(readers: ReadersFleet, count: int) -> None:
-    # Frozen, or cut off from the others: its connections are taken and nothing comes.
-    for reader in readers.reading()[:count]:
-        silence(reader)
-    readers.check_drain()
+def test_updates_arrive_while_readers_are_unresponsive(
+    readers_fleet: ReadersFleet, count: int
+) -> None:
+    # The readers are frozen or partitioned: connections to them are accepted but not answered.
+    for reader in readers_fleet.readers()[:count]:
+        make_unresponsive(reader)
+    readers_fleet.check_drain()
 
 
 @pytest.mark.parametrize('count', [1, 2])
-def test_reader_that_the_store_refuses_covers_nobody_for_long(
-    readers: ReadersFleet, count: int
+def test_delegation_to_readers_that_the_store_rejects_expires(
+    readers_fleet: ReadersFleet, count: int
 ) -> None:
-    reading = readers.reading()[:count]
-    readers.store.faults.refused_ips = {each.address.ip for each in reading}
+    reading = readers_fleet.readers()[:count]
+    readers_fleet.store.faults.refused_ips = {each.address.ip for each in reading}
     gevent.sleep(1.7)
-    readers.check_drain([each for each in readers.instances if each not in reading])
+    readers_fleet.check_drain([each for each in readers_fleet.instances if each not in reading])
 
 
-def test_reader_that_lies_behind_is_not_believed(readers: ReadersFleet) -> None:
-    # Its feed and its reads show an old list, and it tells that it is up to date.
-    behind = readers.reading()[0]
-    servers = behind.peers.list_read_delegation._follower
+def test_stale_reader_does_not_hide_changes(readers_fleet: ReadersFleet) -> None:
+    # The feed and the reads of the reader return an old list, which it publishes as current.
+    stale = readers_fleet.readers()[0]
+    servers = stale.peers.list_read_delegation._follower
     assert servers is not None
     servers._on_rows = lambda _: None
     servers._on_listing = lambda *_: None
-    following = [each for each in readers.instances if each is not behind]
-    readers.check_drain(following)
-    # Nor does anybody go back to what it tells, though all of its rows are asked for by then.
+    others = [each for each in readers_fleet.instances if each is not stale]
+    readers_fleet.check_drain(others)
+    # By now all rows of the stale reader were requested, and must not have replaced newer ones.
     gevent.sleep(2.5)
-    assert all(each in readers.know_leaving('app-1') for each in following)
+    assert all(each in readers_fleet.instances_with_leaving('app-1') for each in others)
 
 
-def test_lost_datagrams_are_made_up_by_the_next_position(readers: ReadersFleet) -> None:
+def test_lost_datagrams_are_recovered_after_the_next_cursor(readers_fleet: ReadersFleet) -> None:
     sends = []
-    for reader in readers.reading():
+    for reader in readers_fleet.readers():
         publisher = reader.peers.list_read_delegation._publisher
         sends.append((publisher, publisher._send))
         publisher._send = lambda *_: None
-    readers.list_server('app-1', 'app', state='draining', seq=2)
+    readers_fleet.list_server('app-1', 'app', state='draining', seq=2)
     gevent.sleep(0.6)
     for publisher, send in sends:
         publisher._send = send
-    wait_until_seen(lambda: len(readers.know_leaving('app-1')) == INSTANCES, 'all to know')
-    readers.wait_covered()
+    wait_until_seen(
+        lambda: len(readers_fleet.instances_with_leaving('app-1')) == INSTANCES,
+        'all instances to know the change',
+    )
+    readers_fleet.wait_delegated()
 
 
-def test_start_of_all_without_any_member_known(readers: ReadersFleet) -> None:
-    # The store has lost the rows of the last lives: nobody knows whom to wait for.
-    for instance in list(readers.instances):
-        readers.drop(instance)
+def test_restart_of_all_without_known_members(readers_fleet: ReadersFleet) -> None:
+    # The store has lost the heartbeats of the last incarnations, so that no instance knows the
+    # elected readers to wait for.
+    for instance in list(readers_fleet.instances):
+        readers_fleet.drop(instance)
     for number in range(INSTANCES):
-        readers.store.remove(INSTANCES_TABLE, f'instance-{number}')
+        readers_fleet.store.remove(INSTANCES_TABLE, f'instance-{number}')
     for _ in range(INSTANCES):
-        readers.start_instance()
-    readers.wait_ready()
+        readers_fleet.start_instance()
+    readers_fleet.wait_ready()
 
 
-def test_start_of_all_reads_the_list_twice(readers: ReadersFleet) -> None:
-    # After a loss of all the rows of the last lives say who reads.
-    for instance in list(readers.instances):
-        readers.drop(instance)
-    readers.calls_by_ip.clear()
-    readers.config_reads.clear()
+def test_restart_of_all_reads_the_list_twice(readers_fleet: ReadersFleet) -> None:
+    # After an outage of all instances the heartbeats of the last incarnations determine the
+    # readers.
+    for instance in list(readers_fleet.instances):
+        readers_fleet.drop(instance)
+    readers_fleet.calls_by_ip.clear()
+    readers_fleet.config_reads.clear()
     for _ in range(INSTANCES):
-        readers.start_instance()
+        readers_fleet.start_instance()
     wait_until_seen(
-        lambda: all(each.replicated.is_complete for each in readers.instances), 'all to serve'
+        lambda: all(each.replicated.is_complete for each in readers_fleet.instances),
+        'all instances to have their state',
     )
-    assert len(readers.calls_by_ip) <= 2
-    assert len(readers.config_reads) <= 2
-    # Who has the configuration from a reader hears of the next one like all others.
-    readers.configure(version=2)
-    readers.wait_version(2)
+    assert len(readers_fleet.calls_by_ip) <= 2
+    assert len(readers_fleet.config_reads) <= 2
+    # Instances that got the configuration from a reader still follow later versions themselves.
+    readers_fleet.configure(version=2)
+    readers_fleet.wait_version(2)
 
 
-def test_start_of_all_with_both_readers_gone_for_good(readers: ReadersFleet) -> None:
-    gone = {each.context.instance_id for each in readers.reading()}
-    for instance in list(readers.instances):
-        readers.drop(instance)
+def test_restart_of_all_without_both_readers(readers_fleet: ReadersFleet) -> None:
+    dead = {each.context.instance_id for each in readers_fleet.readers()}
+    for instance in list(readers_fleet.instances):
+        readers_fleet.drop(instance)
     for number in range(INSTANCES):
-        if f'instance-{number}' not in gone:
-            instance = readers.start_instance(instance_id=f'instance-{number}')
+        if f'instance-{number}' not in dead:
+            instance = readers_fleet.start_instance(instance_id=f'instance-{number}')
     wait_until_seen(
-        lambda: all(each.replicated.is_complete for each in readers.instances), 'all to serve'
+        lambda: all(each.replicated.is_complete for each in readers_fleet.instances),
+        'all instances to have their state',
     )
 
 
-def test_zone_with_one_instance_reads_for_itself(readers: ReadersFleet) -> None:
-    alone = readers.start_instance(zone=AvailabilityZone('zone-b'))
-    readers.wait_ready()
-    assert not alone.peers.list_read_delegation.is_delegated
-    readers.check_drain()
+def test_single_instance_of_a_zone_reads_for_itself(readers_fleet: ReadersFleet) -> None:
+    single = readers_fleet.start_instance(zone=AvailabilityZone('zone-b'))
+    readers_fleet.wait_ready()
+    assert not single.peers.list_read_delegation.is_delegated
+    readers_fleet.check_drain()
 
 
 def test_start_does_not_wait_for_a_reader_without_power(
-    readers: ReadersFleet, monkeypatch: pytest.MonkeyPatch
+    readers_fleet: ReadersFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # All lost power, and the machine of the first reader is the last to have it back: connections
-    # to it hang. Whoever waits for it has no list until it reads one itself.
-    dark = readers.instances[0].peers.list_read_delegation._readers()[0]
-    dark_ip = next(
-        each.address.ip for each in readers.instances if each.context.instance_id == dark
+    # After a power loss of all machines, that of the first reader is the last to restart, and
+    # connections to it hang. An instance that waited for it would have no list until it read one
+    # itself.
+    unpowered = readers_fleet.instances[0].peers.list_read_delegation._readers()[0]
+    unpowered_ip = next(
+        each.address.ip for each in readers_fleet.instances if each.context.instance_id == unpowered
     )
-    ask = ServerListSubscriber.request
-    powered = Event()
+    request = ServerListSubscriber.request
+    is_powered = Event()
 
-    def hanging(listener: ServerListSubscriber, reader: InstanceId, ip: str) -> bool:
-        if ip == dark_ip:
-            powered.wait()
+    def request_or_hang(subscriber: ServerListSubscriber, reader: InstanceId, ip: str) -> bool:
+        if ip == unpowered_ip:
+            is_powered.wait()
             return False
-        return ask(listener, reader, ip)
+        return request(subscriber, reader, ip)
 
     follower = next(
-        each for each in readers.instances if each.peers.list_read_delegation.is_delegated
+        each for each in readers_fleet.instances if each.peers.list_read_delegation.is_delegated
     )
-    readers.drop(follower)
-    monkeypatch.setattr(ServerListSubscriber, 'request', hanging)
-    for each in readers.instances:
-        if each.context.instance_id == dark:
-            silence(each)
-    readers.calls_by_ip.clear()
-    started = readers.start_instance(
+    readers_fleet.drop(follower)
+    monkeypatch.setattr(ServerListSubscriber, 'request', request_or_hang)
+    for each in readers_fleet.instances:
+        if each.context.instance_id == unpowered:
+            make_unresponsive(each)
+    readers_fleet.calls_by_ip.clear()
+    started = readers_fleet.start_instance(
         instance_id=follower.context.instance_id,
         ip=follower.address.ip,
         callers=follower.address,
         health=Address(follower.address.ip, HEALTH_PORT),
     )
-    wait_until_seen(lambda: started.replicated.is_complete, 'the start to be served')
-    assert follower.address.ip not in readers.calls_by_ip
-    powered.set()
+    wait_until_seen(lambda: started.replicated.is_complete, 'the new instance to have its state')
+    assert follower.address.ip not in readers_fleet.calls_by_ip
+    is_powered.set()
--- a/tests/test_gateway/test_peers/test_peers_peer_codec.py
+++ b/tests/test_gateway/test_peers/test_peers_peer_codec.py
@@ -1,4 +1,4 @@
-"""Messages between gateway instances arrive as they were sent."""
+"""Messages between gateway instances are decoded as they were encoded."""
 
 from __future__ import annotations
 
@@ -48,18 +48,18 @@
 
 
 @pytest.mark.parametrize('text', TEXTS, ids=lambda text: type(text).__name__)
-def test_message_arrives_as_it_was_sent(text: PeerText) -> None:
+def test_message_survives_encoding_and_decoding(text: PeerText) -> None:
     message = PeerMessage(InstanceId('edge-1'), ConfigVersion(2**40), text)
     assert decode_message(encode_message(message)) == message
 
 
 @pytest.mark.parametrize('size', [0, 7, 4_000, 9_000, 70_000, 300_000])
 @pytest.mark.parametrize('kind', [StoreCallData, StoreAnswerData])
-def test_large_values_that_do_not_compress_arrive(
+def test_large_incompressible_values_survive_encoding(
     kind: type[StoreCallData] | type[StoreAnswerData], size: int
 ) -> None:
-    # Values of jobs are compressed already. Packing them made the message longer than it was,
-    # and ended the process that sent it.
+    # Values of jobs are compressed already. The packed encoding of such a message is longer than
+    # the plain one, and the library's packed writer crashes the process on it.
     rng = random.Random(size)
     for share in (0.0, 0.12, 0.5):
         data = bytes(0 if rng.random() < share else rng.randrange(1, 256) for _ in range(size))
@@ -67,7 +67,7 @@
         assert decode_message(encode_message(message)) == message
 
 
-def test_evidence_beyond_its_fields_is_told_as_the_largest() -> None:
+def test_evidence_out_of_range_is_encoded_as_the_largest_value() -> None:
     row = ServerEvidence(server=1, failed=9_999, failure_age_ms=1e12, success_age_ms=-5.0)
     message = PeerMessage(InstanceId('edge-1'), ConfigVersion(1), EvidenceNews([row]))
     read = decode_message(encode_message(message)).text
@@ -78,6 +78,6 @@
 
 
 @given(st.binary(max_size=400))
-def test_other_bytes_are_no_message(data: bytes) -> None:
+def test_arbitrary_bytes_raise_nothing_but_value_error(data: bytes) -> None:
     with contextlib.suppress(ValueError):
         decode_message(data)
--- a/tests/test_peer/__init__.py
+++ b/tests/test_peer/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the traffic between instances."""
+"""Tests of the messages between instances."""
 
 from __future__ import annotations
--- a/tests/test_peer/test_peer_codec.py
+++ b/tests/test_peer/test_peer_codec.py
@@ -1,4 +1,4 @@
-"""Messages between instances: whole, authentic, and taken once."""
+"""Messages between instances are decoded unchanged, authenticated, and accepted once."""
 
 from __future__ import annotations
 
@@ -38,13 +38,13 @@
 
 
 @pytest.mark.parametrize('message', MESSAGES, ids=lambda message: type(message).__name__)
-def test_every_message_comes_back_as_it_was(message: object) -> None:
+def test_message_survives_encoding_and_decoding(message: object) -> None:
     codec = PeerCodec([NEW_KEY])
     envelope = Envelope(InstanceId('a'), 1, 2, ConfigVersion(3), message)  # type: ignore[arg-type]
     assert codec.decode(codec.encode(envelope)) == envelope
 
 
-def test_keys_rotate_with_an_overlap() -> None:
+def test_old_key_is_accepted_during_rotation() -> None:
     envelope = Envelope(InstanceId('a'), 1, 2, ConfigVersion(3), Ping(1))
     signed_old = PeerCodec([OLD_KEY]).encode(envelope)
     assert PeerCodec([NEW_KEY, OLD_KEY]).decode(signed_old) == envelope
@@ -53,25 +53,25 @@
 
 
 @given(st.binary(max_size=300))
-def test_any_bytes_are_refused_with_a_type(data: bytes) -> None:
+def test_arbitrary_bytes_raise_an_authentication_error(data: bytes) -> None:
     with pytest.raises(PeerAuthenticationError):
         PeerCodec([NEW_KEY]).decode(data)
 
 
 @given(st.integers(0, 200), st.integers(1, 255))
-def test_one_changed_byte_is_refused(place: int, flip: int) -> None:
+def test_message_with_a_changed_byte_is_rejected(index: int, flip: int) -> None:
     codec = PeerCodec([NEW_KEY])
     envelope = Envelope(InstanceId('a'), 1, 2, ConfigVersion(3), Ping(1, FACTS))
     data = bytearray(codec.encode(envelope))
-    data[place % len(data)] ^= flip
+    data[index % len(data)] ^= flip
     with pytest.raises(PeerAuthenticationError):
         codec.decode(bytes(data))
 
 
 @given(st.lists(st.integers(1, 400), min_size=1, max_size=200))
-def test_no_number_is_taken_twice(numbers: list[int]) -> None:
+def test_no_number_is_accepted_twice(numbers: list[int]) -> None:
     window = ReplayWindow()
-    taken = [n for n in numbers if window.accept(InstanceId('a'), 1, n)]
-    assert len(taken) == len(set(taken))
-    assert not window.accept(InstanceId('a'), 0, 1000), 'an older life'
-    assert window.accept(InstanceId('a'), 2, 1), 'a newer life'
+    accepted = [n for n in numbers if window.accept(InstanceId('a'), 1, n)]
+    assert len(accepted) == len(set(accepted))
+    assert not window.accept(InstanceId('a'), 0, 1000), 'an older incarnation'
+    assert window.accept(InstanceId('a'), 2, 1), 'a newer incarnation'
