--- a/citrondyke/peer/gateway.capnp
+++ b/citrondyke/peer/gateway.capnp
@@ -1,53 +1,51 @@
 @0xb7d2a94c1e5f3086;
 
-# Messages between gateway instances. Only add fields, never renumber them: during an upgrade
-# instances of two versions exchange messages.
+# What gateway instances say to each other. Only add fields, never renumber: instances of two
+# versions talk to each other during an upgrade.
 
 struct GatewayMessage {
   sender @0 :Text;
-  # Newest version of the configuration that the sender has; a receiver with an older one
-  # requests it.
+  # Newest configuration that the sender has; a receiver that has less asks for it.
   configVersion @1 :UInt64;
   union {
-    # Numbers of the sender's requests on servers.
+    # Requests that the sender has on servers.
     load @2 :List(ServerLoad);
-    # Notifies a job's owner that the job's head has changed.
+    # A job's head changed; its owner looks at it.
     jobChanged @3 :Text;
-    # Requests the complete store state of the receiver; over a stream.
+    # Asks for all that the receiver knows; over a stream.
     knowledgeWanted @4 :Void;
-    # Store state. MessagePack, since it is large and both ends use the same types.
+    # MessagePack, as it is large and passes between equal types.
     knowledge @5 :Data;
-    # A call of the store that the receiver makes for the sender; MessagePack, over a stream.
+    # A call of the store that the sender cannot make itself; MessagePack, over a stream.
     storeCall @6 :Data;
     storeAnswer @7 :Data;
-    # Numbers of all instances' requests on the servers of the sender's availability zone.
+    # What all instances have on the servers of the sender's availability zone.
     loadTotals @8 :List(ServerLoad);
-    # Replace load and loadTotals with 8 bytes per server: server, online, batch, little-endian.
-    # They arrive hundreds of times a second, and the elements of a list are decoded field by field.
+    # The same two as 8 bytes each: server, online, batch, little-endian. They come hundreds of
+    # times a second, and a list's elements are read one field at a time.
     loadBytes @9 :Data;
     loadTotalsBytes @10 :Data;
-    # Requests the store state that the sender lacks, according to this and to its configVersion.
+    # Asks for what the receiver knows beyond this and beyond the sender's configuration.
     knowledgeAsked @11 :KnowledgeAsked;
-    # Requests that were running on a server when it exited, or that ran to their end.
+    # Requests that were under way at a server that ended, or were answered well.
     suspects @12 :SuspectNews;
-    # Asks whether one request of an account may be sent to a server.
+    # One request of an account: may it be sent to a server?
     useAsked @13 :UseAsked;
     useAnswered @14 :UseAnswered;
-    # Request for the lease under which one instance counts the accounts of a slot.
+    # The lease by which one instance counts the accounts of a slot.
     leaseAsked @15 :LeaseAsked;
     leaseAnswered @16 :LeaseAnswered;
-    # Floors of accounts, from the steward of a slot to its keepers, and their acknowledgements.
+    # How far the steward of a slot may let accounts fall, for its keepers, and their answer.
     useCounts @17 :Data;
-    # No longer sent. The number must not be reused.
+    # Not sent. The number is not given to anything else.
     usePlaces @18 :Data;
-    # Outcomes of the sender's requests on servers.
+    # Failures and successes that the sender has seen at servers.
     serverEvidence @19 :Data;
-    # Batch items that wait for capacity at the sender.
+    # Batch items that wait at the sender.
     batchNeed @20 :Data;
-    # Update of the server list: published by a reader, or its answer to a listPosition over a
-    # stream.
+    # Knowledge that the sender hands on without being asked; over a stream.
     knowledgeOffered @21 :Data;
-    # Cursor of the sender in the server list; over a stream, a request for the changes after it.
+    # How far the sender has read the list of servers.
     listPosition @22 :Data;
   }
 }
@@ -55,27 +53,27 @@
 struct UseAsked {
   number @0 :UInt32;
   account @1 :Text;
-  # Identifies the requested work; the same when the caller retries.
+  # Names the work asked for; the same when the caller comes back.
   work @2 :UInt32;
-  # Time until the caller's deadline, and time for which the request may wait.
+  # Time until the caller's deadline, and how long the request may wait.
   leftMs @3 :Float32;
   mayWaitMs @4 :Float32;
-  # Work of the account, 4 bytes each, that the sender rejected without a query.
+  # Work of the account, 4 bytes each, that the sender has refused without asking.
   refused @5 :Data;
 }
 
 struct UseAnswered {
   number @0 :UInt32;
   outcome @1 :Outcome;
-  # Time after which the caller may retry, and time for which the receiver need not ask again.
+  # When the caller may come back, and for how long the sender need not ask again.
   retryInMs @2 :Float32;
   pauseMs @3 :Float32;
   isSteward @4 :Bool;
-  # Time after which a granted use may start.
+  # When a granted use may begin.
   startInMs @5 :Float32;
-  # Whether capacity is reserved at the retry time.
+  # Whether a place is kept at the time to come back.
   isKept @6 :Bool;
-  # Work, 4 bytes each, whose reservations fall due while the receiver need not ask.
+  # Work, 4 bytes each, for which places are kept that fall due while the sender need not ask.
   expected @7 :Data;
 
   enum Outcome {
@@ -89,7 +87,7 @@
   slot @0 :UInt16;
   number @1 :UInt32;
   isRenewal @2 :Bool;
-  # Whether the sender only announces a later request.
+  # Whether the sender only tells that it will ask.
   isEarly @3 :Bool;
 }
 
@@ -97,31 +95,31 @@
   slot @0 :UInt16;
   number @1 :UInt32;
   isGranted @2 :Bool;
-  # Time for which no other instance has had the sender's vote.
+  # For how long nobody else has had the sender's word.
   freeMs @3 :Float64;
-  # The sender's copy of the state of the last lease; empty if it may not be the last one.
+  # What the sender knows of the last lease; empty where it may not be the last.
   copy @4 :Data;
 }
 
 struct SuspectNews {
-  # Digest of the server's incarnation; 0 if none has exited.
+  # Digest of the server's life; 0 where none has ended.
   server @0 :UInt32;
-  # 15 bytes each: the digest of the request's content, the bucket of its target, and the kind of
-  # the update (0: its answer had begun, 1: it had not, 2: the request ran to its end).
+  # 15 bytes each: the digest of what is asked for, its target's bucket, what is told (0: its
+  # answer had begun, 1: it had not, 2: it was answered well).
   requests @1 :Data;
 }
 
 struct KnowledgeAsked {
-  # Number of instances whose address the sender has, including itself.
+  # Instances of which the sender has the address, itself included.
   instancesCount @0 :UInt32;
-  # Digest of the sender's server list; an equal list is left out of the answer.
+  # Of the list of servers that the sender has; the same list is left out of the answer.
   listDigest @1 :UInt64;
-  # Whether the answer may be compressed.
+  # The answer may be compressed.
   takesCompressed @2 :Bool;
 }
 
 struct ServerLoad {
-  # First 32 bits of the digest of the server's id.
+  # First 32 bits of a digest of the server's id.
   server @0 :UInt32;
   online @1 :UInt16;
   batch @2 :UInt16;
--- a/citrondyke/peer/messages.capnp
+++ b/citrondyke/peer/messages.capnp
@@ -1,11 +1,11 @@
 @0xc3a1d0f2b7e94586;
 
-# Messages between instances. Only add fields, never renumber them: during an upgrade instances of
-# two versions exchange messages.
+# What instances say to each other. Only add fields, never renumber: instances of two versions
+# talk to each other during an upgrade.
 
 struct Envelope {
   sender @0 :Text;
-  # Identifies one incarnation of the sender; together with the number it reveals a replay.
+  # One life of the sender; with the number it makes a replay known.
   epoch @1 :UInt64;
   number @2 :UInt64;
   configVersion @3 :UInt64;
