--- a/benchmarks/scenario.py
+++ b/benchmarks/scenario.py
@@ -26,7 +26,7 @@
 from citrondyke.ids import AvailabilityZone, ClassName, RequestId, ServerId, TargetName, TenantId
 from citrondyke.standin.engine_curve import EngineCurve
 from citrondyke.storage.fleet_lists import ListedServer
-from citrondyke.util.hashing import content_bucket
+from citrondyke.util.hashing import content_hash
 
 __all__ = ('Arrival', 'Outcome', 'Scenario', 'ScenarioRun', 'poisson_arrivals')
 
@@ -187,9 +187,9 @@
         parts = [np.diff(outcome.token_times_ms) for outcome in self.outcomes]
         return np.concatenate([part for part in parts if len(part)] or [np.array([0.0])])
 
-    def redone_tokens(self) -> int:
+    def recomputed_tokens(self) -> int:
         """Count the tokens that resumed batch streams had to compute again."""
-        return sum(engine.redone_tokens for engine in self.engines)
+        return sum(engine.recomputed_tokens for engine in self.engines)
 
     def kept_share(self) -> float:
         """Give the share of requests within their class's target."""
@@ -238,7 +238,7 @@
             is_streamed=True,
             is_model=True,
             is_repeatable=True,
-            prefix_bucket=content_bucket(arrival.prefix.encode()) if arrival.prefix else None,
+            prefix_bucket=content_hash(arrival.prefix.encode()) if arrival.prefix else None,
             first_token_target_ms=self.scenario.first_token_target_ms,
             deadline_ms=self.fleet.time.now_ms() + 30_000.0,
             cancel=Signal(),
--- a/citrondyke/cmd/demo.py
+++ b/citrondyke/cmd/demo.py
@@ -14,7 +14,7 @@
 
 from citrondyke.cmd.embedded import DEMO_OPERATOR_KEY, DEMO_TENANT_KEY
 from citrondyke.operator.histogram import SparseHistogram
-from citrondyke.operator.measures import MeasureReport
+from citrondyke.operator.request_metrics import MetricsReport
 from citrondyke.operator.terminal import histogram_table
 from citrondyke.standin.engine_text import expected_text
 
@@ -87,12 +87,12 @@
             headers=_headers(),
         )
         file_id = msgspec.json.decode(upload.data)['id']
-        wish = {
+        job_request = {
             'input_file_id': file_id,
             'endpoint': '/v1/chat/completions',
             'completion_window': '24h',
         }
-        batch = self._json('POST', '/v1/batches', wish)
+        batch = self._json('POST', '/v1/batches', job_request)
         batch = self._wait_for_job(batch['id'])
         counts = batch['request_counts']
         console.print(f'  job: {batch["status"]}, {counts}')
@@ -125,7 +125,7 @@
             '/operator/v1/histograms',
             headers={'Authorization': f'Bearer {DEMO_OPERATOR_KEY}'},
         )
-        report = msgspec.json.decode(answer.data, type=MeasureReport)
+        report = msgspec.json.decode(answer.data, type=MetricsReport)
         for name, quantities in report.by_class.items():
             for quantity, data in quantities.items():
                 histogram = SparseHistogram()
@@ -168,10 +168,10 @@
             method, path, body=encoded, headers={**_headers(), **(headers or {})}
         )
 
-    def _check(self, what: str, is_right: bool) -> None:
-        mark = '[green]right[/green]' if is_right else '[red]WRONG[/red]'
+    def _check(self, what: str, has_passed: bool) -> None:
+        mark = '[green]right[/green]' if has_passed else '[red]WRONG[/red]'
         console.print(f'{mark}  {what}')
-        self._failures += not is_right
+        self._failures += not has_passed
 
 
 def _headers() -> dict[str, str]:
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -17,8 +17,8 @@
 from citrondyke.gateway.instance import GatewayInstance
 from citrondyke.gateway.settings import Address, GatewaySettings, StoreSettings
 from citrondyke.ids import AvailabilityZone, InstanceId
-from citrondyke.platform.dialect import ATTEMPT
-from citrondyke.platform.outside import platform_outside
+from citrondyke.platform.adapters import create_platform_adapters
+from citrondyke.platform.dialect import ATTEMPT_HEADER
 from citrondyke.platform.rows import CONFIG_KEY, CONFIG_TABLE, SERVERS_TABLE
 from citrondyke.standin.platform_server import PlatformServer
 from citrondyke.standin.store_app import StoreApp
@@ -142,13 +142,13 @@
     def restart_ended(self) -> None:
         """Start each server that has ended again, as a new one, and wait until all know it."""
         for name, server in list(self.servers.items()):
-            if not server.is_ended:
+            if not server.has_crashed:
                 continue
             self.ended.append(self.servers.pop(name))
             self.store.remove(SERVERS_TABLE, name)
             kind = name.partition('-')[0]
             new = self.add_server(f'{kind}-{len(self.ended) + 100}', kind)
-            new.deadly_bodies = server.deadly_bodies
+            new.crash_bodies = server.crash_bodies
             new.answer_ms = server.answer_ms
         self.wait_ready()
 
@@ -190,7 +190,7 @@
             **more,
         }
         settings = GatewaySettings(**wanted)
-        outside = platform_outside(self.clock, settings, source_ip=ip)
+        outside = create_platform_adapters(self.clock, settings, source_ip=ip)
         instance = GatewayInstance(settings, outside)
         instance.start()
         self.instances.append(instance)
@@ -286,7 +286,7 @@
     named = [(name.replace('_', '-'), value) for name, value in headers.items()]
     head = [
         ('Host', HOST),
-        (ATTEMPT.decode(), request_id),
+        (ATTEMPT_HEADER.decode(), request_id),
         ('Content-Length', str(len(body))),
         *named,
     ]
