--- a/citrondyke/gateway/jobs/batch_subsystem.py
+++ b/citrondyke/gateway/jobs/batch_subsystem.py
@@ -58,7 +58,7 @@
     live: InstanceLiveness
     metrics: Metrics
     #: Returns the factor by which store calls are rarer than in a small fleet.
-    pace: Callable[[], float]
+    store_interval_factor: Callable[[], float]
     tasks: Tasks
 
 
@@ -116,7 +116,7 @@
             self.runner,
             TakeoverSchedule(context, incarnation, collaborators.live),
             ReadBudget(context, settings.store.reads_per_s, lambda: collaborators.live.count),
-            collaborators.pace,
+            collaborators.store_interval_factor,
             tasks,
         )
         self.backlog_limiter = BacklogLimiter(
@@ -183,7 +183,7 @@
         self.runner.start()
         self.committer.start()
         self.claimer.start()
-        self.backlog_limiter.start(collaborators.tasks, collaborators.pace)
+        self.backlog_limiter.start(collaborators.tasks, collaborators.store_interval_factor)
         self._sweeper.start(collaborators.tasks)
 
     def transfer_ownership(self, until_ms: float) -> None:
--- a/citrondyke/gateway/jobs/job_runner.py
+++ b/citrondyke/gateway/jobs/job_runner.py
@@ -65,7 +65,7 @@
     work: LazyRequestFingerprint
     greenlet: gevent.Greenlet | None = None
     has_begun: bool = False
-    is_cut: bool = False
+    is_preempted: bool = False
 
     def preempt(self) -> None:
         """Stop the run.
@@ -73,7 +73,7 @@
         A greenlet that is killed before it has started never executes: its item would stay marked
         as running, and its capacity as used, forever. Such a run stops when it starts.
         """
-        self.is_cut = True
+        self.is_preempted = True
         if self.has_begun and self.greenlet is not None:
             self.greenlet.kill(ItemPreemptedError, block=False)
 
@@ -268,9 +268,9 @@
                 },
             )
 
-    def waiting_count(self, prospect: CompletionLikelihood) -> int:
+    def waiting_count(self, likelihood: CompletionLikelihood) -> int:
         """Return the number of waiting items with a completion likelihood."""
-        return self._waiting[prospect] if self._owned.by_id else 0
+        return self._waiting[likelihood] if self._owned.by_id else 0
 
     def headroom_count(self) -> int:
         """Return the capacity that is kept free for online requests."""
@@ -328,7 +328,7 @@
         started_ms = self._context.now_ms()
         events_before = progress.events_count
         try:
-            if run.is_cut:
+            if run.is_preempted:
                 raise ItemPreemptedError
             if self._may_send(run):
                 end = self._sender.run(progress, job.head, state)
--- a/citrondyke/gateway/jobs/job_store.py
+++ b/citrondyke/gateway/jobs/job_store.py
@@ -1,4 +1,4 @@
-"""Jobs in the store: one part for each, its head the fence of everything else."""
+"""Stored jobs: one table part per job, with all writes fenced by the job's head."""
 
 from __future__ import annotations
 
@@ -49,18 +49,18 @@
 
 __all__ = ('JobStore',)
 
-#: Items beyond this go into an object: a transaction holds 1 MB, its values in base64.
+#: Larger items go into an object: a transaction holds 1 MB, with values encoded in base64.
 INLINE_BYTES = 500_000
-#: Of a row's largest value, left for what is around a text.
+#: Part of a row's largest value that is reserved for the fields around a text.
 ROW_MARGIN_BYTES = 1_024
 UNCERTAIN = NoJob(NoJobReason.UNCERTAIN)
 
 
 class JobStore(JobContents):
-    """Reads and writes jobs; every call tells what is certain."""
+    """Reads and writes jobs; every result distinguishes known from uncertain outcomes."""
 
     def __init__(self, table: PartitionedTable, objects: ObjectStore, row_bytes: int) -> None:
-        """Use the store's clients.
+        """Initialize with the store's clients.
 
         :param row_bytes: largest value of a row.
         """
@@ -73,7 +73,7 @@
         return self._table.mean_latency_ms
 
     def accept(self, head: JobHead, items: Sequence[JobItem]) -> StoredHead | CommitVerdict:
-        """Make a job durable, once; an earlier acceptance of the same job is given instead."""
+        """Store a job once; return the stored head if the same job was accepted before."""
         packed = pack(list(items))
         chunks = [
             packed[start : start + self._row_bytes]
@@ -100,7 +100,11 @@
         return verdict_of(answer)
 
     def current_head(self, job_id: JobId) -> StoredHead | NoJob:
-        """Read a job's head as it stands now, never as it stood."""
+        """Read a job's current head.
+
+        The condition of the transaction never holds; its conflict returns the current row, whereas
+        a plain read may be stale.
+        """
         wanted = PartTransaction(job_id, (RowCondition(HEADS_TABLE, HEAD_KEY, IMPOSSIBLE_VERSION),))
         answer = self._table.transact(wanted)
         if not isinstance(answer, PartConflict):
@@ -108,14 +112,14 @@
         return stored_head(answer.row(HEADS_TABLE, HEAD_KEY))
 
     def read_head(self, job_id: JobId) -> StoredHead | NoJob:
-        """Read a job's head as it stands, or as it stood some seconds ago."""
+        """Read a job's head by a plain read, which may be some seconds old."""
         page = self._table.read(HEADS_TABLE, job_id)
         if isinstance(page, PlatformFailure) or not page.rows:
             return UNCERTAIN
         return stored_head(page.rows[0])
 
     def change_head(self, stored: StoredHead, head: JobHead) -> StoredHead | CommitVerdict:
-        """Change a job's head if it is still as it was read."""
+        """Replace a job's head if its version is unchanged since it was read."""
         wanted = PartTransaction(
             head.job_id,
             (RowCondition(HEADS_TABLE, HEAD_KEY, stored.version),),
@@ -127,17 +131,17 @@
             return StoredHead(head, answer.version)
         if isinstance(answer, PartConflict):
             found = stored_head(answer.row(HEADS_TABLE, HEAD_KEY))
-            # A lost reply: the row already is what this write makes it.
+            # The reply of an earlier attempt was lost: the row already has the new value.
             if isinstance(found, StoredHead) and found.head == head:
                 return found
             return CommitVerdict.FENCED
         return verdict_of(answer)
 
     def commit(self, job: OwnedJob, results: Sequence[ItemResult]) -> CommitVerdict:
-        """Make results durable at the next positions, if the job is still this owner's.
+        """Write results at the next positions if this instance still owns the job.
 
-        The positions must be free: a commit that went through without its reply shows itself by
-        its own rows, and is not written a second time.
+        The positions must be free. If the reply of an earlier attempt was lost, the conflict
+        returns the rows that it wrote, and they are not written a second time.
         """
         head = job.head
         first = len(job.results)
@@ -166,7 +170,7 @@
         return self._resolve_conflict(job, results, answer, puts, done_head if is_last else head)
 
     def release(self, job: OwnedJob, progress: Sequence[ItemProgress]) -> CommitVerdict:
-        """Give a job back with the progress of its items, so that the next owner goes on."""
+        """Release the ownership of a job and save its items' progress for the next owner."""
         head = msgspec.structs.replace(
             job.head,
             owner=InstanceId(''),
@@ -188,11 +192,11 @@
         return CommitVerdict.FENCED if isinstance(answer, PartConflict) else verdict_of(answer)
 
     def save_progress(self, job: OwnedJob, progress: Sequence[ItemProgress]) -> CommitVerdict:
-        """Keep how far an item has come and how often it failed, for the next owner.
+        """Save the progress and the number of failures of items for the next owner.
 
-        Without it an item that fails at each run would be tried anew by every owner, on and on
-        while instances are stopped in turn, and whatever a killed owner's items had generated
-        would be generated again.
+        Otherwise an item that fails at each run would be retried by every owner, endlessly during
+        a rolling restart, and everything that the items of a killed owner had generated would be
+        generated again.
         """
         wanted = PartTransaction(
             job.head.job_id,
@@ -205,7 +209,7 @@
         return CommitVerdict.FENCED if isinstance(answer, PartConflict) else verdict_of(answer)
 
     def open_jobs(self) -> list[JobId] | PlatformFailure:
-        """List the open jobs; the list may be some seconds old."""
+        """Return the open jobs; the list may be some seconds old."""
         listed = self._table.list_all_parts(OPEN_TABLE)
         if isinstance(listed, PlatformFailure):
             return listed
@@ -219,7 +223,7 @@
         puts: Sequence[RowPut],
         head: JobHead,
     ) -> CommitVerdict:
-        """Tell a lost reply from a fence."""
+        """Distinguish an earlier attempt whose reply was lost from a fenced commit."""
         for put in puts:
             row = conflict.row(put.table, put.key)
             if row is None or row.value != put.value:
--- a/citrondyke/gateway/jobs/job_sweeper.py
+++ b/citrondyke/gateway/jobs/job_sweeper.py
@@ -1,4 +1,4 @@
-"""Deletes jobs that nobody may ask for any more."""
+"""Deletion of finished jobs after their retention time."""
 
 from __future__ import annotations
 
@@ -24,18 +24,20 @@
 
 log = logbook.Logger(__name__)
 
-#: One list and one read of each old head a minute, shared between the instances.
+#: Sweep interval: one listing per minute and instance, and the reads of old heads divided among
+#: the instances.
 SWEEP_EVERY_MS = 60_000.0
-#: Beyond the time for which a job must stay readable: clocks of instances differ by seconds, and
-#: nobody minds a job that is kept a little longer.
+#: Added to the retention time: clocks of instances differ by seconds, and keeping a job slightly
+#: longer does no harm.
 CLOCK_MARGIN_MS = 60_000.0
-#: Jobs deleted at one go, so that a sweep after a long outage does not take the store's rate.
+#: Jobs deleted in one sweep, so that the first one after a long outage doesn't use up the store's
+#: rate.
 JOBS_PER_SWEEP = 50
 PAUSE_S = 0.05
 
 
 def may_delete(head: JobHead, retention_ms: float, epoch_ms: float) -> bool:
-    """Tell whether a job may be deleted: it is over, and its readers' time too."""
+    """Return whether a job may be deleted: it is finished and its retention time is over."""
     if not (head.is_done or head.is_ended):
         return False
     return (
@@ -44,7 +46,7 @@
 
 
 class JobSweeper:
-    """Each job is looked at by one of the instances that are alive."""
+    """Deletes expired jobs; each job is assigned to one live instance by rendezvous hashing."""
 
     def __init__(
         self,
@@ -54,24 +56,24 @@
         live: InstanceLiveness,
         retention_ms: float,
     ) -> None:
-        """Use the parts handed in.
+        """Initialize the sweeper.
 
-        :param retention_ms: how long a job stays readable.
+        :param retention_ms: time for which a finished job stays readable.
         """
         self._context = context
         self._store = store
         self._removal = removal
         self._live = live
         self._retention_ms = retention_ms
-        #: Until when a job cannot be deleted, so that its head is not read each time.
+        #: Epoch time until which a job is retained, so that its head is not read in each sweep.
         self._retained_until_ms: dict[JobId, float] = {}
 
     def start(self, tasks: Tasks) -> None:
-        """Begin."""
+        """Start sweeping."""
         tasks.supervise(self._run)
 
     def sweep(self) -> int:
-        """Delete what may go; give the number of jobs."""
+        """Delete expired jobs; return their number."""
         listed = self._removal.all_jobs()
         if isinstance(listed, PlatformFailure):
             return 0
--- a/citrondyke/gateway/jobs/observed_shares.py
+++ b/citrondyke/gateway/jobs/observed_shares.py
@@ -1,4 +1,4 @@
-"""What this instance has seen of the others' shares, and which of them still count."""
+"""Peers' shares as observed by this instance, and which of them still count."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 
 class ObservedShares:
-    """Dates each version of each share by this instance's own clock."""
+    """Records when each version of each share was first observed, on the local clock."""
 
     def __init__(self, context: Context, incarnation: str, queries: FleetQueries) -> None:
-        """Start having seen none.
+        """Start without observations.
 
-        :param incarnation: names this incarnation of this instance.
+        :param incarnation: identifies the current incarnation of this instance.
         """
         self._context = context
         self._incarnation = incarnation
@@ -40,7 +40,7 @@
         self._observed: dict[str, _ObservedVersion] = {}
 
     def observe(self, read: SharesRead) -> None:
-        """Take in a read of all shares."""
+        """Record a read of all shares."""
         now_ms = self._context.now_ms()
         for incarnation, version in read.versions.items():
             observed = self._observed.get(incarnation)
@@ -50,17 +50,17 @@
             del self._observed[incarnation]
 
     def incarnations(self) -> Iterable[str]:
-        """List the incarnations that have a share."""
+        """Return the incarnations that have a share."""
         return list(self._observed)
 
     def sum_others(self, read: SharesRead, route: RouteName) -> PeerShares:
-        """Add up what others have by a read that was noted."""
+        """Return the sum of the peers' shares from a read that was observed before."""
         return sum_peer_shares(
             read.shares, self._incarnation, self._validity_of, self._queries.heads(), route
         )
 
     def dead(self, read: SharesRead) -> Iterable[tuple[str, int]]:
-        """List the incarnations, with their shares' versions, that count no more."""
+        """Return incarnations whose shares no longer count, with the versions of these shares."""
         return [
             (incarnation, self._observed[incarnation].version)
             for incarnation, share in read.shares.items()
@@ -74,8 +74,8 @@
             share.instance, incarnation, observed.version, observed.since_ms
         )
         if share.has_left:
-            # From then on it counts as gone, though its heartbeats go on until its jobs are given
-            # back; what it had sent before may have been seen late.
+            # It counts as dead from that version on, although its heartbeats continue until its
+            # jobs are released. Writes that it sent before may still take effect late.
             dead_ms = max(dead_ms or 0.0, self._context.now_ms() - observed.since_ms)
         if dead_ms is None:
             return ShareValidity.ALIVE
--- a/citrondyke/gateway/jobs/own_token_share.py
+++ b/citrondyke/gateway/jobs/own_token_share.py
@@ -1,4 +1,4 @@
-"""The share of a route's bound that this incarnation of this instance holds, and its row."""
+"""The share of a route's backlog limit that this instance holds, and its stored row."""
 
 from __future__ import annotations
 
@@ -21,40 +21,40 @@
 
 
 class OwnTokenShare:
-    """Believes no more than what is durable for certain.
+    """Tracks the part of this instance's share that is known to be durable.
 
-    A write whose reply is lost leaves it open which of two sizes the row holds. The smaller is
-    believed, as others may have filled the rest, and the next look writes again.
+    A write whose reply is lost leaves it uncertain which of two sizes the row holds. The smaller
+    one is assumed, since peers may have used the difference, and the next poll writes again.
     """
 
     def __init__(self, route: RouteName, incarnation: str, shares: TokenShares) -> None:
-        """Hold nothing yet.
+        """Start without a share.
 
-        :param incarnation: names this incarnation of this instance.
+        :param incarnation: identifies the current incarnation of this instance.
         """
         self._route = route
         self._incarnation = incarnation
         self._shares = shares
-        #: ``None`` where there is no row for certain, or none is known.
+        #: ``None`` if there is certainly no row, or none is known.
         self.share: TokenShare | None = None
         self._version = 0
         #: Whether the row may differ from the share.
         self.is_uncertain = False
 
     def is_certain_at_version(self, config_version: ConfigVersion) -> bool:
-        """Tell whether the row certainly is a share that was given under a configuration."""
+        """Return whether the row certainly holds a share granted under a configuration."""
         share = self.share
         return (
             share is not None and not self.is_uncertain and share.config_version == config_version
         )
 
     def allows(self, config_version: ConfigVersion, used: int) -> bool:
-        """Tell whether so much may be used without asking anybody."""
+        """Return whether an amount of tokens may be used without a store call."""
         share = self.share
         return share is not None and share.config_version == config_version and used <= share.held
 
     def apply_read(self, read: SharesRead) -> None:
-        """Take in a write whose reply was lost."""
+        """Apply a read, which may show a write whose reply was lost."""
         share, version = read.shares.get(self._incarnation), read.versions.get(self._incarnation, 0)
         if share is not None and version > self._version:
             self._set_confirmed(share, version)
@@ -62,19 +62,19 @@
     def grow(
         self, read: SharesRead, share: TokenShare
     ) -> PartCommitted | PartConflict | PlatformFailure:
-        """Write a larger share, if nobody's grew since the read."""
+        """Write a larger share if no share has grown since the read."""
         answer = self._shares.grow(self._route, read, share)
         if isinstance(answer, PartCommitted):
             self._set_confirmed(share, answer.version)
         elif isinstance(answer, PlatformFailure):
-            # Done without a reply, it would keep the room from the others for good.
+            # If the write was applied without a reply, peers would lack these tokens permanently.
             self.is_uncertain = True
         return answer
 
     def write(self, read: SharesRead, share: TokenShare) -> None:
-        """Bring the row to a share, by what was read of the others'."""
+        """Write a share that was computed from a read of the peers' shares."""
         before = self.share
-        # Until the answer is there, and for good where none comes.
+        # Cleared by a successful reply; a write without a reply stays uncertain.
         self.is_uncertain = True
         if before is None or share.held > before.held:
             answer = self._shares.grow(self._route, read, share)
@@ -96,8 +96,8 @@
                 },
             )
             return
-        # The next look tries again. At once would be in vain where reads are seconds old: each
-        # instance would read and write as fast as the store answers until they are not.
+        # The next poll retries. An immediate retry is useless while reads are seconds old: each
+        # instance would read and write as fast as the store answers until reads are current.
         reason = 'conflict' if isinstance(answer, PartConflict) else answer.reason.value
         log.info(
             'tokens.share_not_written',
@@ -105,9 +105,9 @@
         )
 
     def withdraw(self, replacement: TokenShare) -> PlatformFailure | None:
-        """Take the row away.
+        """Remove the row.
 
-        :param replacement: written first where it is in doubt which row there is.
+        :param replacement: share that is written first if the state of the row is uncertain.
         """
         if self.is_uncertain and not self._overwrite_uncertain(replacement):
             return UNAVAILABLE
@@ -121,7 +121,10 @@
         return UNAVAILABLE
 
     def mark_left(self, used: int, finished: int) -> None:
-        """Mark the row as one that only counts, or take it away where there is nothing to count."""
+        """Mark the row as belonging to a stopping instance, or remove it if it covers no tokens.
+
+        A marked row allows no acceptance and is only counted.
+        """
         share = self.share
         if share is None:
             return
@@ -143,9 +146,10 @@
         )
 
     def _overwrite_uncertain(self, share: TokenShare) -> bool:
-        """Write a share so that no earlier write of it can come any more.
+        """Write a share so that no earlier write of it can take effect any more.
 
-        Those that would make it grow, or bring it back, need the turn as it was before.
+        Earlier writes that would enlarge or restore the share require the previous version of the
+        growth row.
         """
         read = self._shares.read_fresh(self._route, [self._incarnation])
         if isinstance(read, PlatformFailure):
--- a/citrondyke/gateway/jobs/owned_jobs.py
+++ b/citrondyke/gateway/jobs/owned_jobs.py
@@ -1,4 +1,4 @@
-"""The jobs in the hands of this instance, shared by all who work on them."""
+"""Jobs owned by this instance, shared by the components that process them."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 class OwnedJobs:
-    """Takes jobs in and lets them go; readers wait here for their results."""
+    """Registry of owned jobs; readers wait here for results."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without jobs."""
         self.by_id: dict[JobId, OwnedJob] = {}
-        #: Set at a planned stop: jobs are given back, and no new ones are taken.
+        #: Set at a planned stop: jobs are released, and no new ones are accepted or claimed.
         self.is_stopping = False
         self._result_events: dict[JobId, Event] = {}
         self._on_lost: Callable[[OwnedJob], None] = _ignore
@@ -32,42 +32,45 @@
         self.notify_taken_over: Callable[[], None] = _notify_nothing
 
     def on_ownership_lost(self, on_lost: Callable[[OwnedJob], None]) -> None:
-        """Have somebody told of each job that is let go while its items may run."""
+        """Set the callback for jobs whose ownership is lost while their items may be running."""
         self._on_lost = on_lost
 
     def on_job_taken_over(self, on_taken_over: Callable[[], None]) -> None:
-        """Have somebody told of jobs that belonged to another instance before."""
+        """Set the callback for jobs taken over from another instance."""
         self.notify_taken_over = on_taken_over
 
     def add(self, job: OwnedJob) -> None:
-        """Take a job in."""
+        """Add a job."""
         self.by_id[job.head.job_id] = job
         self._has_jobs.set()
 
     def drop(self, job_id: JobId) -> OwnedJob | None:
-        """Let a job go that is done or given back."""
+        """Remove a job that is done or released."""
         job = self.by_id.pop(job_id, None)
         if not self.by_id:
             self._has_jobs.clear()
         return job
 
     def wait_for_jobs(self) -> None:
-        """Wait until there is a job; most instances have none most of the time."""
+        """Wait until this instance owns a job.
+
+        Most instances own none most of the time, and polling would waste processor time.
+        """
         self._has_jobs.wait()
 
     def owned(self, job_id: JobId) -> OwnedJob | None:
-        """Give a job that is this instance's; ``None`` when it is not."""
+        """Return a job that this instance owns, or ``None``."""
         job = self.by_id.get(job_id)
         return None if job is None or job.is_lost else job
 
     def held_bytes(self) -> int:
-        """Count the bytes of all open items."""
+        """Return the size of all open items in bytes."""
         return sum(
             len(progress.item.body) for job in self.by_id.values() for progress in job.open.values()
         )
 
     def lose(self, job_id: JobId, reason: str) -> None:
-        """Let go of a job that is ended or another's; its running items stop at once."""
+        """Drop a job that was ended or is owned by another instance, and stop its running items."""
         job = self.drop(job_id)
         if job is None:
             return
@@ -82,15 +85,15 @@
         event.wait(timeout_ms / 1e3)
 
     def wake_readers(self, job_id: JobId) -> None:
-        """Have those who wait for a job's results look again."""
+        """Wake readers that wait for a job's results."""
         event = self._result_events.pop(job_id, None)
         if event is not None:
             event.set()
 
 
 def _notify_nothing() -> None:
-    """Stand in until somebody wants to be told."""
+    """Do nothing; the default callback."""
 
 
 def _ignore(_: OwnedJob) -> None:
-    """Stand in until somebody wants to be told."""
+    """Do nothing; the default callback."""
--- a/citrondyke/gateway/jobs/route_backlog_limiter.py
+++ b/citrondyke/gateway/jobs/route_backlog_limiter.py
@@ -1,4 +1,4 @@
-"""The part of one instance in the bound on waiting batch tokens of a route."""
+"""The part of one instance in the fleet-wide backlog limit of a route."""
 
 from __future__ import annotations
 
@@ -37,24 +37,24 @@
 
 log = logbook.Logger(__name__)
 
-#: How often an instance with jobs looks at the shares near the bound: what it has finished is told
-#: well within the second after which a job that fits must be taken.
+#: Poll interval of the shares near the limit, for instances with jobs. A job that fits must be
+#: accepted within a second, and finished tokens are published well within that time.
 NEAR_LIMIT_POLL_MS = 300.0
-#: Pause after a share of somebody else grew first: a few times what the store needs for one write.
+#: Pause after a conflict with the growth of a peer's share: a few times the latency of a write.
 CONFLICT_MS = 15.0
 
 
 class BacklogReservation(Enum):
-    """That a job may be accepted."""
+    """Reservation that allows a job to be accepted."""
 
-    #: Its tokens are counted.
+    #: The job's tokens are reserved.
     DONE = 'done'
-    #: The route has no bound, or the job's tokens are counted already.
+    #: The route has no limit, or the job's tokens are counted already.
     NOT_NEEDED = 'not_needed'
 
 
 class RouteBacklogLimiter:
-    """Reserves room for jobs, and tells the others what is used."""
+    """Reserves backlog tokens for jobs, and publishes the tokens in use by the own share."""
 
     def __init__(
         self,
@@ -67,10 +67,12 @@
         overshoot: float,
         request_poll: Callable[[], None],
     ) -> None:
-        """Hold nothing yet.
+        """Start without a share.
 
-        :param overshoot: tolerated part of the bound beyond it.
-        :param request_poll: asks for a look soon.
+        :param incarnation: identifies the current incarnation of this instance.
+        :param name: name of the limit.
+        :param overshoot: permitted excess over the limit, as a fraction of the limit.
+        :param request_poll: requests an early poll.
         """
         self._context = context
         self._incarnation = incarnation
@@ -85,7 +87,7 @@
         self._count = BacklogCount(context, incarnation, name, owned, queries)
         self._observed = ObservedShares(context, incarnation, queries)
         self._rate = DrainRate()
-        #: Whether the bound is near, so that what is finished must be told soon.
+        #: Whether the backlog is near the limit, so that finished tokens must be published soon.
         self.is_near_limit = False
 
     def reserve(
@@ -96,31 +98,35 @@
         tokens: int,
         until_ms: float,
     ) -> BacklogReservation | BacklogFull | PlatformFailure:
-        """Count a job's tokens before it is accepted.
+        """Reserve a job's tokens before it is accepted.
 
-        :param config_version: of the configuration that the route is of.
-        :returns: a failure where the store did not tell; the job must not be accepted then.
+        :param config_version: version of the configuration that the route is from.
+        :param until_ms: time after which no further attempt is made.
+        :returns: a failure if the store call failed; the job must not be accepted then.
         """
         if self._count.has(job_id):
             return BacklogReservation.NOT_NEEDED
         if not self._lock.locked() and self._fits_own_share(config_version, tokens):
             self._add(job_id, tokens)
             if not self._fits_own_share(config_version, tokens):
-                # The next one is to find room without waiting for the store.
+                # So that the next job finds headroom in the share and needs no store call.
                 self._request_poll()
             return BacklogReservation.DONE
         with self._lock:
             return self._reserve_by_store(route, config_version, job_id, tokens, until_ms)
 
     def settle(self, job_id: JobId, *, in_doubt: bool) -> None:
-        """Take in how an acceptance ended; one in doubt counts until it cannot come any more."""
+        """Record the outcome of an acceptance.
+
+        :param in_doubt: the write may have been applied; the job counts until that is impossible.
+        """
         self._count.settle(job_id, in_doubt=in_doubt)
 
     def withdraw(self) -> PlatformFailure | None:
-        """Take the own share away before jobs are accepted without a bound.
+        """Remove this instance's share before jobs are accepted without a limit.
 
-        With it others would go by what it says if the bound came back. Without it they count this
-        instance's jobs by their heads.
+        A remaining share would be outdated if the limit was configured again, and peers would rely
+        on it. Without a share peers count this instance's jobs by their heads.
         """
         if self._own.share is None and not self._own.is_uncertain:
             return None
@@ -129,24 +135,24 @@
             return self._own.withdraw(self._share(used, used, NO_CONFIGURATION))
 
     def shutdown(self) -> None:
-        """Accept nothing more before a planned stop; the jobs are given back after it.
+        """Stop accepting jobs before a planned stop; their ownership is released afterwards.
 
         Peers count the share from then on like the share of a dead incarnation. An uncertain
         acceptance may still take effect late, and peers may not know of a job that was accepted a
         moment ago: if the share were removed, its tokens would be granted to others and the limit
         would be exceeded.
         """
-        # As it stands now; jobs may be given back while the lock is waited for.
+        # Counted before the lock is acquired, since jobs may be released during that wait.
         used, finished = self._count.used(), self._count.finished()
         self._is_shutting_down = True
         with self._lock:
             self._own.mark_left(used, finished)
 
     def poll(self, route: Route, config_version: ConfigVersion) -> None:
-        """Bring the own share to what is used, and the knowledge of the others up to date.
+        """Adjust this instance's share to the tokens in use, and refresh the peers' shares.
 
-        An instance without a job holds a small share too, so that a job that fits into it costs no
-        call of the store besides the acceptance.
+        An instance without jobs also holds a small share, so that a job that fits into it needs no
+        store call besides the acceptance.
         """
         if not self._count.used() and self._is_share_adequate(route, config_version):
             return
@@ -203,7 +209,7 @@
             if isinstance(answer, PlatformFailure):
                 self._request_poll()
                 return answer
-            # Somebody else's share grew first, or the read was seconds old.
+            # A peer's share grew first, or the read was seconds old.
             is_fresh = True
             pause_ms = self._context.jittered_ms(CONFLICT_MS, share=0.9)
             if self._context.now_ms() + pause_ms >= until_ms:
--- a/citrondyke/gateway/jobs/token_shares.py
+++ b/citrondyke/gateway/jobs/token_shares.py
@@ -1,4 +1,4 @@
-"""Shares of the bound on waiting batch tokens, as rows of the store."""
+"""Stored shares of the backlog limits."""
 
 from __future__ import annotations
 
@@ -30,14 +30,15 @@
 __all__ = ('SharesRead', 'TokenShares')
 
 SHARES_TABLE = 'batch_tokens'
-#: Changed by each write that lets a share grow; no incarnation has this name.
+#: Row that each growth of a share rewrites, so that concurrent growths conflict; no incarnation has
+#: this name.
 GROWTH_KEY = 'turn'
-#: Rows that one transaction names at the most.
+#: Largest number of rows in one transaction.
 ROWS_PER_TRANSACTION = 100
 
 
 class SharesRead(msgspec.Struct):
-    """All shares of a route as of one moment, by incarnation."""
+    """All shares of a route at one point in time, by incarnation."""
 
     shares: dict[str, TokenShare] = {}
     versions: dict[str, int] = {}
@@ -45,30 +46,30 @@
 
 
 class TokenShares:
-    """Reads and writes shares; one part of a table for each route."""
+    """Reads and writes shares; each route has its own part of the table."""
 
     def __init__(self, table: PartitionedTable, own_incarnation: str) -> None:
-        """Use the store's client.
+        """Initialize with the store's client.
 
-        :param own_incarnation: names this incarnation of this instance.
+        :param own_incarnation: identifies the current incarnation of this instance.
         """
         self._table = table
         self._own_incarnation = own_incarnation
         self._unreadable = UnreadableRows(SHARES_TABLE)
 
     def read(self, route: RouteName) -> SharesRead | PlatformFailure:
-        """Read the shares of a route."""
+        """Read the shares of a route; the result may be stale."""
         listing = self._table.read_all(SHARES_TABLE, route)
         if isinstance(listing, PlatformFailure):
             return listing
         return self._decoded(route, listing.rows)
 
     def read_fresh(self, route: RouteName, incarnations: list[str]) -> SharesRead | PlatformFailure:
-        """Read the shares of some incarnations as they stand now, though plain reads may be old."""
+        """Read the current shares of the given incarnations, even if plain reads are stale."""
         rows: list[PartRow] = []
         keys = [GROWTH_KEY, *incarnations]
-        # The turn is read first: a share that grows between two of these calls changes it, so that
-        # no write that rests on them goes through.
+        # The growth row is read first: a share that grows between two of these calls changes it, so
+        # a write based on these reads fails.
         for start in range(0, len(keys), ROWS_PER_TRANSACTION):
             conditions = tuple(
                 RowCondition(SHARES_TABLE, key, IMPOSSIBLE_VERSION)
@@ -84,7 +85,7 @@
     def grow(
         self, route: RouteName, read: SharesRead, share: TokenShare
     ) -> PartCommitted | PartConflict | PlatformFailure:
-        """Write a larger share, if nobody's grew since the read."""
+        """Write a larger share if no share has grown since the read."""
         return self._write(
             route,
             read.versions.get(self._own_incarnation, 0),
@@ -95,9 +96,10 @@
     def renew(
         self, route: RouteName, read: SharesRead, share: TokenShare
     ) -> PartCommitted | PartConflict | PlatformFailure:
-        """Write a share that is not larger but allows more, if nobody's grew since the read.
+        """Write a share that is not larger but allows more, if no share has grown since the read.
 
-        Several may do so at once: each counted the others' shares as they were, and none grows.
+        Several instances may renew concurrently: each has counted the peers' shares as they are,
+        and no share grows.
         """
         return self._write(
             route,
@@ -109,13 +111,13 @@
     def shrink(
         self, route: RouteName, own_version: int, share: TokenShare
     ) -> PartCommitted | PartConflict | PlatformFailure:
-        """Write a share that is not larger than the one before."""
+        """Write a share that is not larger than the previous one."""
         return self._write(route, own_version, (), (self._put(share),))
 
     def drop(
         self, route: RouteName, incarnation: str, version: int
     ) -> PartCommitted | PartConflict | PlatformFailure:
-        """Take a incarnation's share away."""
+        """Remove an incarnation's share."""
         return self._table.transact(
             PartTransaction(
                 route,
@@ -132,8 +134,8 @@
         conditions: tuple[RowCondition, ...],
         puts: tuple[RowPut, ...],
     ) -> PartCommitted | PartConflict | PlatformFailure:
-        # An own write may be done late, after the next one; without its version it would bring
-        # an old share back.
+        # A write of this instance may be applied late, after the next one. Without the condition on
+        # the version it would restore an old share.
         own = RowCondition(SHARES_TABLE, self._own_incarnation, own_version)
         return self._table.transact(PartTransaction(route, (own, *conditions), puts))
 
--- a/tests/test_gateway/test_jobs/__init__.py
+++ b/tests/test_gateway/test_jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the gateway's jobs."""
+"""Tests of the gateway's batch jobs."""
--- a/tests/test_gateway/test_jobs/test_jobs.py
+++ b/tests/test_gateway/test_jobs/test_jobs.py
@@ -1,4 +1,4 @@
-"""Batch jobs: accepted once, run by one owner at a time, readable everywhere."""
+"""Batch jobs are accepted once, run by one owner at a time and readable at every instance."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
         fleet.servers[name].event_gap_ms = gap_ms
 
 
-def test_all_items_are_done_and_read_the_same_everywhere(fleet: GatewayFleet) -> None:
+def test_results_are_complete_and_identical_at_every_instance(fleet: GatewayFleet) -> None:
     assert fleet.submit('job-1', 5).status == 202
     results = fleet.wait_done('job-1', at=0)
     assert fleet.wait_done('job-1', at=1) == results
@@ -42,9 +42,9 @@
     assert (page['total'], page['next'], page['results']) == (5, 5, results[3:])
 
 
-def test_job_sent_again_elsewhere_is_the_same_job(fleet: GatewayFleet) -> None:
-    # The caller's first answer is lost, and it sends the job again to another instance. Each item
-    # runs once.
+def test_job_resubmitted_at_another_instance_runs_once(fleet: GatewayFleet) -> None:
+    # The caller loses the first response and submits the job again to another instance. Each item
+    # must run once.
     assert fleet.submit('job-1', at=0).status == 202
     assert fleet.submit('job-1', at=1).status == 202
     fleet.wait_done('job-1', at=1)
@@ -52,9 +52,9 @@
     assert [runs_of(fleet, f'job-1-{n}') for n in range(3)] == [1, 1, 1]
 
 
-def test_acceptance_whose_reply_was_lost_is_an_acceptance(fleet: GatewayFleet) -> None:
-    # The store takes the job and its reply is lost. The instance asks again, finds its own row,
-    # and answers 202; the job runs once.
+def test_acceptance_with_lost_store_reply_is_confirmed_by_retry(fleet: GatewayFleet) -> None:
+    # The store applies the write of the job, but its reply is lost. The instance retries, finds its
+    # own row and responds with 202; the job runs once.
     fleet.store.faults.lost_reply_share = 1.0
 
     def mend() -> None:
@@ -67,16 +67,16 @@
     assert runs_of(fleet, 'job-1-0') == 1
 
 
-def test_job_that_may_be_durable_is_not_called_not_run(fleet: GatewayFleet) -> None:
+def test_job_with_uncertain_acceptance_gets_504(fleet: GatewayFleet) -> None:
     fleet.store.faults.lost_reply_share = 1.0
     assert fleet.submit('job-1').status == 504
     fleet.store.faults.lost_reply_share = 0.0
     fleet.wait_done('job-1', at=1)
 
 
-def test_caller_with_a_job_is_answered_though_a_call_of_the_store_hangs() -> None:
-    # The store takes calls and answers none, and a call would be waited for much longer than a
-    # caller with a job. It hears within its time that the job may or may not be durable.
+def test_job_submission_is_answered_while_a_store_call_hangs() -> None:
+    # The store accepts calls without answering, and the call timeout is much longer than a caller
+    # waits. Within its time limit the caller must get 504: the job may or may not be durable.
     fleet = GatewayFleet()
     try:
         fleet.configure()
@@ -89,8 +89,8 @@
         fleet.end()
 
 
-def test_job_is_refused_while_the_store_refuses(fleet: GatewayFleet) -> None:
-    # Nothing was written, so "not run" is true, and the caller hears when to come back.
+def test_job_is_rejected_while_the_store_rejects_calls(fleet: GatewayFleet) -> None:
+    # Nothing was written, so the job certainly does not run, and the response has a retry time.
     fleet.store.faults.refused_ips = {'*'}
     reply = fleet.submit('job-1')
     assert reply.status == 503
@@ -100,27 +100,27 @@
     assert runs_of(fleet, 'job-1-0') == 0
     wait_until_seen(
         lambda: fleet.call('/-/lots/job-1?after=0', b'', method='GET').status == 404,
-        'certainty that there is no such job',
+        '404 for a job that was not accepted',
     )
 
 
-def test_unknown_job_is_404_only_when_that_is_certain(fleet: GatewayFleet) -> None:
+def test_unknown_job_is_404_only_if_the_store_confirms_it(fleet: GatewayFleet) -> None:
     path = '/-/lots/nothing?after=0'
     assert fleet.call(path, b'', method='GET').status == 404
     fleet.store.faults.refused_ips = {'*'}
     assert fleet.call(path, b'', method='GET').status == 503
 
 
-def test_stale_reads_do_not_hide_an_accepted_job(fleet: GatewayFleet) -> None:
+def test_accepted_job_is_readable_despite_stale_reads(fleet: GatewayFleet) -> None:
     fleet.store.faults.stale_at = fleet.store.table.version
     assert fleet.submit('job-1').status == 202
     for at in (0, 1):
         assert fleet.results('job-1', at=at)['total'] == 3
 
 
-def test_killed_owners_job_is_finished_by_another(fleet: GatewayFleet) -> None:
-    # The owner is killed right after the 202, with items half done. Another instance notices its
-    # silence, claims the job and lists every item once.
+def test_job_of_a_killed_owner_is_finished_by_another_instance(fleet: GatewayFleet) -> None:
+    # The owner is killed right after the 202, while items are running. Another instance detects the
+    # missing heartbeats, claims the job and lists every item once.
     slow_down(fleet)
     assert fleet.submit('job-1', 6, at=0).status == 202
     fleet.instances[0].stop_abruptly()
@@ -129,9 +129,9 @@
     assert {each['text'] for each in results} == {TEXT}
 
 
-def test_woken_owner_adds_nothing_to_a_job_that_was_taken_over(fleet: GatewayFleet) -> None:
-    # The owner stands still, another takes the job over, then the first one's commit arrives.
-    # The fence turns it away, and no item is listed twice.
+def test_commit_of_a_previous_owner_is_fenced(fleet: GatewayFleet) -> None:
+    # The owner is paused, another instance takes over the job, then the commit of the first owner
+    # arrives. It must be fenced, and no item may be listed twice.
     slow_down(fleet)
     assert fleet.submit('job-1', 4, at=0).status == 202
     first = fleet.instances[0]
@@ -147,15 +147,15 @@
     assert sorted(each['id'] for each in results) == [f'job-1-{n}' for n in range(4)]
 
 
-def test_ended_job_stops_and_stays_ended(fleet: GatewayFleet) -> None:
-    # The caller ends the job at an instance that does not own it. The owner stops its items, the
-    # end may be repeated, and bodies are not given any more.
+def test_ended_job_stops_its_items_and_hides_their_bodies(fleet: GatewayFleet) -> None:
+    # The caller ends the job at an instance that does not own it. The owner must stop the items,
+    # ending the job again must succeed, and item bodies are no longer returned.
     slow_down(fleet, 300.0)
     assert fleet.submit('job-1', 12, at=0).status == 202
     wait_until_seen(lambda: runs_of(fleet, 'job-1-0'), 'the first item at a server')
     for at in (1, 0, 1):
         assert fleet.call('/-/lots/job-1', b'', at=at, method='DELETE').status == 200
-    wait_until_seen(lambda: not fleet.instances[0].batch.owned.by_id, 'the owner to let go')
+    wait_until_seen(lambda: not fleet.instances[0].batch.owned.by_id, 'the owner to drop the job')
     ran = sum(len(server.runs) for server in fleet.servers.values())
     gevent.sleep(0.6)
     assert sum(len(server.runs) for server in fleet.servers.values()) == ran
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize('at', [0, 1])
-def test_bodies_of_open_items_are_given_at_any_instance(fleet: GatewayFleet, at: int) -> None:
+def test_bodies_of_open_items_are_returned_by_every_instance(fleet: GatewayFleet, at: int) -> None:
     slow_down(fleet, 300.0)
     assert fleet.submit('job-1', at=0).status == 202
     reply = fleet.call('/-/items/job-1?id=job-1-2', b'', at=at, method='GET')
@@ -172,29 +172,29 @@
     assert fleet.call('/-/items/job-1?id=other', b'', at=at, method='GET').status == 404
 
 
-def test_item_that_is_cut_before_its_run_begins_runs_later(
+def test_item_preempted_before_its_run_starts_runs_later(
     fleet: GatewayFleet, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # A peer's online request takes the place of an item in the moment between its choice and its
-    # run. Taken for running from then on, the item would never be listed, and the caller would
-    # ask for it for good.
+    # An online request from a peer preempts an item after its server was chosen and before its run
+    # has started. If the item stayed marked as running, it would never be listed, and the caller
+    # would poll for it forever.
     runner = fleet.instances[0].batch.runner
     begin = runner._begin
 
-    def begin_and_cut(*arguments: Any) -> None:
+    def begin_and_preempt(*arguments: Any) -> None:
         monkeypatch.undo()
         begin(*arguments)
         for run in runner._runs.values():
             run.preempt()
 
-    monkeypatch.setattr(runner, '_begin', begin_and_cut)
+    monkeypatch.setattr(runner, '_begin', begin_and_preempt)
     assert fleet.submit('job-1', 3).status == 202
     assert len(fleet.wait_done('job-1')) == 3
     assert all(state.own.batch == 0 for state in fleet.instances[0].book.states())
 
 
-def test_item_that_can_never_be_done_is_listed_as_such(fleet: GatewayFleet) -> None:
-    # At one server, as items may all go to one of two by chance.
+def test_impossible_item_is_listed_as_errored(fleet: GatewayFleet) -> None:
+    # With one server only, because with two all items could run at the other one.
     fleet.list_server('lm-2', 'lm', state='draining')
     books = [instance.book for instance in fleet.instances]
     wait_until_seen(
@@ -207,16 +207,16 @@
     assert sorted(each['state'] for each in results) == ['completed', 'completed'] + ['errored'] * 2
 
 
-def test_cut_item_goes_on_behind_its_last_event(fleet: GatewayFleet) -> None:
+def test_interrupted_item_resumes_after_its_last_event(fleet: GatewayFleet) -> None:
     for name in ('lm-1', 'lm-2'):
         fleet.servers[name].answer_modes.append(AnswerMode.CUT_IN_EVENT)
     assert fleet.submit('job-1', 2).status == 202
     assert {each['text'] for each in fleet.wait_done('job-1')} == {TEXT}
 
 
-def test_planned_stop_hands_jobs_over_with_their_progress(fleet: GatewayFleet) -> None:
-    # The owner is asked to stop while its items are half done. Another instance goes on behind
-    # the last event of each at once, without waiting for a silence.
+def test_planned_stop_transfers_jobs_with_their_progress(fleet: GatewayFleet) -> None:
+    # The owner is requested to stop while its items are running. Another instance must resume each
+    # item after its last event at once, without waiting for a heartbeat timeout.
     slow_down(fleet)
     assert fleet.submit('job-1', 2, at=0).status == 202
     items = fleet.instances[0].batch.owned.by_id[JobId('job-1')].open.values()
@@ -234,7 +234,7 @@
     assert len(resumed) == 2
 
 
-def test_items_whose_route_is_gone_are_given_up(fleet: GatewayFleet) -> None:
+def test_items_of_a_removed_route_are_errored(fleet: GatewayFleet) -> None:
     for server in fleet.servers.values():
         server.answer_modes.extend([AnswerMode.REFUSE] * 50)
     assert fleet.submit('job-1', 2).status == 202
@@ -243,6 +243,6 @@
     assert {each['state'] for each in results} == {'errored'}
 
 
-def test_malformed_job_is_told_and_changes_nothing(fleet: GatewayFleet) -> None:
+def test_malformed_job_is_rejected_with_400(fleet: GatewayFleet) -> None:
     assert fleet.call('/batch-stream/x', b'{"requests":[{"id":1}]}').status == 400
     assert fleet.call('/batch-stream/x', b'{"requests":[').status == 400
--- a/tests/test_gateway/test_jobs/test_jobs_job_acceptor.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_acceptor.py
@@ -1,4 +1,4 @@
-"""Jobs that come while the store takes none."""
+"""Acceptance of jobs while the store is unavailable."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from tests.support.gateway import GatewayFleet
 
 
-def test_job_is_accepted_if_the_store_is_back_while_its_caller_waits(fleet: GatewayFleet) -> None:
-    # The store turns everybody away for longer than one try takes. The caller has 5 s, and hears
-    # of its job's acceptance instead of being sent to an instance that cannot do more.
+def test_job_is_accepted_if_the_store_recovers_within_the_deadline(fleet: GatewayFleet) -> None:
+    # The store rejects all calls for longer than one attempt takes. The caller has 5 s and must get
+    # 202 instead of being redirected to an instance that can do no better.
     fleet.store.faults.refused_ips = {'*'}
     gevent.spawn_later(2.5, fleet.store.faults.refused_ips.clear)
     assert fleet.submit('job-1', Deadline_Ms='5000').status == 202
     fleet.wait_done('job-1')
 
 
-def test_stopping_instance_holds_no_caller(fleet: GatewayFleet) -> None:
-    # An instance that stops while a caller waits for the store answers before it is killed.
+def test_stopping_instance_answers_held_callers(fleet: GatewayFleet) -> None:
+    # An instance that stops while a caller waits for the store must respond before it is killed.
     fleet.store.faults.refused_ips = {'*'}
     stopping = fleet.instances[0].batch.owned
     gevent.spawn_later(0.3, setattr, stopping, 'is_stopping', True)
@@ -29,9 +29,9 @@
     assert float(reply.headers['retry-after']) > 0
 
 
-def test_caller_that_states_no_deadline_is_not_held(fleet: GatewayFleet) -> None:
-    # The route would allow 5 s, and the caller leaves after two. Held for longer it asks another
-    # instance without having heard anything, and its last try ends without an answer.
+def test_caller_without_a_deadline_is_not_held(fleet: GatewayFleet) -> None:
+    # The route allows 5 s, but the caller disconnects after 2 s. If it were held for longer, it
+    # would try another instance without a response, and its last attempt would get none either.
     instance = fleet.instances[0]
     (route,) = (
         each for each in instance.replicated.config.table.routes if each.name == 'batch-stream'
--- a/tests/test_gateway/test_jobs/test_jobs_job_claimer.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_claimer.py
@@ -1,4 +1,4 @@
-"""Instances get to know open jobs whose owners may be gone."""
+"""Discovery of open jobs whose owners may be dead."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
 JOBS = 20
 
 
-def test_start_after_a_loss_of_all_power_takes_no_transactions() -> None:
-    # All instances lose power and start again at once, with 20 jobs open. Each gets to know all
-    # of them; as transactions, 89 instances would need 1,780, more than the store takes a second.
+def test_listing_after_a_power_loss_uses_no_transactions() -> None:
+    # All instances lose power and restart at the same time, with 20 open jobs. Each reads the heads
+    # of all of them; as transactions, 89 instances would need 1,780, more than the store allows per
+    # second.
     table = CountingTable()
     store = JobStore(table, MemoryObjects(), 65_536)
     for number in range(JOBS):
@@ -38,7 +39,7 @@
         table,
         store,
         OwnedJobs(),
-        # Nothing is claimed here, so that nothing is handed to a runner.
+        # Nothing is claimed here, so the runner is not used.
         cast('JobRunner', None),
         TakeoverSchedule(context, 'life', InstanceLiveness(context)),
         ReadBudget(context, 2_000.0, lambda: 13),
--- a/tests/test_gateway/test_jobs/test_jobs_job_committer.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_committer.py
@@ -1,4 +1,4 @@
-"""An owner keeps its work durable and notices that a job is no longer its own."""
+"""Commits of an owner, and its detection of jobs that it no longer owns."""
 
 from __future__ import annotations
 
@@ -40,9 +40,9 @@
         assert isinstance(self.store.change_head(self.accepted, ended), StoredHead)
 
 
-def test_looks_at_heads_wait_for_no_transaction_of_their_job() -> None:
-    # The store is 50 times slower, and transactions of one job wait for each other for 250 ms
-    # each. Each look at the job's head was one more of them, so that results were listed late.
+def test_head_polls_use_no_transactions() -> None:
+    # The store is 50 times slower, and transactions on one job are serialized at 250 ms each. If
+    # polling the job's head were a transaction, it would delay the listing of results.
     owner = _Owner()
     for _ in range(5):
         owner.committer.check_all()
@@ -50,18 +50,18 @@
     assert owner.owned.owned(JOB) is not None
 
 
-def test_cancellation_is_seen_by_the_next_look() -> None:
-    # Another instance takes the caller's cancellation, and its datagram to the owner gets lost.
-    # The items must stop all the same.
+def test_cancellation_is_detected_by_the_next_poll() -> None:
+    # Another instance handles the caller's cancellation, and its datagram to the owner is lost. The
+    # items must stop nevertheless.
     owner = _Owner()
     owner.end_elsewhere()
     owner.committer.check_all()
     assert owner.owned.owned(JOB) is None
 
 
-def test_read_from_before_the_own_claim_takes_no_job_away() -> None:
-    # A read is some seconds old and shows the head as it was before this instance claimed it.
-    # If it counted, the owner would drop the job that it has just taken over.
+def test_stale_read_from_before_the_claim_does_not_drop_the_job() -> None:
+    # A read is some seconds old and shows the head before this instance claimed it. If it were
+    # applied, the owner would drop the job that it has just taken over.
     owner = _Owner()
     stale = owner.table.read('jobs', JOB)
     assert isinstance(stale, Listing)
@@ -75,9 +75,9 @@
     assert owner.owned.owned(JOB) is not None
 
 
-def test_told_owner_looks_past_a_stale_read() -> None:
-    # The store's reads are seconds old when a job is cancelled. The instance that took the
-    # cancellation tells the owner, who must not be misled by such a read.
+def test_notified_owner_detects_cancellation_despite_stale_reads() -> None:
+    # Reads are seconds old when a job is cancelled. The instance that handled the cancellation
+    # notifies the owner, which must check the head by a consistent read.
     owner = _Owner()
     stale = owner.table.read('jobs', JOB)
     assert isinstance(stale, Listing)
@@ -88,18 +88,18 @@
     assert owner.owned.owned(JOB) is None
 
 
-def test_progress_is_kept_more_rarely_while_the_store_is_slow() -> None:
-    # Progress is of use only when the owner dies; while each transaction takes 450 ms it would
-    # stand in the way of the commits that callers wait for.
+def test_progress_is_saved_less_often_while_the_store_is_slow() -> None:
+    # Saved progress is needed only if the owner dies. While each transaction takes 450 ms, saving
+    # would delay the commits that callers wait for.
     owner = _Owner()
     assert owner.committer.save_pause_ms() == SAVE_EVERY_MS
     owner.table.call_ms = 450.0
     assert owner.committer.save_pause_ms() == 450.0 * SAVE_INTERVAL_FACTOR
 
 
-def test_instance_without_jobs_waits_for_one() -> None:
-    # Most instances of a large fleet own no job most of the time. Looking for work 48 times a
-    # second all the same is processor time for nothing; a job must wake them at once.
+def test_instance_without_jobs_blocks_until_one_is_added() -> None:
+    # Most instances of a large fleet own no job most of the time, and polling for work 48 times a
+    # second would waste processor time. A new job must wake them at once.
     owner = _Owner()
     job = owner.owned.drop(JOB)
     assert job is not None
--- a/tests/test_gateway/test_jobs/test_jobs_job_reader.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_reader.py
@@ -1,4 +1,4 @@
-"""Readers at instances that do not own the job."""
+"""Reads at instances that do not own the job."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class SlowTable(FlakyTable):
-    """Lets others run while a read is on its way."""
+    """A table that switches to other greenlets during each read."""
 
     def read(
         self, table: str, part: str, from_key: str = '', limit: int = 500
@@ -34,9 +34,9 @@
         return answer
 
 
-def test_two_readers_at_once_see_each_result_once() -> None:
-    # Two callers read a job at the same instance at the same moment, and both ask the store for
-    # what lies behind the same position. Each caller sees every item at one position only.
+def test_concurrent_readers_get_each_result_once() -> None:
+    # Several callers read a job at the same instance concurrently, and each read requests the
+    # results after the same position from the store. Each caller must get every item once.
     store = JobStore(SlowTable(), MemoryObjects(), 65_536)
     accepted = store.accept(new_head(0), ITEMS)
     assert isinstance(accepted, StoredHead)
@@ -52,9 +52,9 @@
     assert view.results == results
 
 
-def test_remembered_jobs_stay_within_their_bound() -> None:
-    # An instance answers callers of very many jobs. Memory of those that it forgets must be given
-    # back whole: what is counted must be what is held, or the bound on it means nothing.
+def test_cache_stays_within_its_size_limit() -> None:
+    # An instance serves readers of very many jobs. Evicting a job must release all the bytes that
+    # were counted for it: otherwise the count drifts and the limit is not effective.
     reader = JobReader(manual_context(), JobStore(FlakyTable(), MemoryObjects(), 65_536))
     for number in range(CACHE_BYTES // HEAD_BYTES + 1_000):
         reader.cache_head(msgspec.structs.replace(new_head(0), job_id=JobId(f'{number:016x}')))
@@ -62,9 +62,10 @@
     assert reader.cached_bytes <= CACHE_BYTES
 
 
-def test_results_of_a_forgotten_job_are_not_counted() -> None:
-    # A caller waits for a result of a job, and the job is forgotten meanwhile since many others
-    # are asked for. What comes then is held by nobody but the caller's own answer.
+def test_results_of_an_evicted_job_are_not_counted() -> None:
+    # While a caller waits for a result, its job is evicted because many other jobs are read. The
+    # results that arrive afterwards are referenced only by the caller's response and must not be
+    # counted.
     store = JobStore(FlakyTable(), MemoryObjects(), 65_536)
     accepted = store.accept(new_head(0), ITEMS)
     assert isinstance(accepted, StoredHead)
--- a/tests/test_gateway/test_jobs/test_jobs_job_sweeper.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_sweeper.py
@@ -1,4 +1,4 @@
-"""Jobs that nobody may ask for any more leave the store, and no others."""
+"""Jobs past their retention time are deleted from the store, and no others."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 KEPT_MS = 120_000.0
 
 
-class Shelf:
-    """A store with one job of five items."""
+class _StoredJob:
+    """One job of five items in a store, and a sweeper."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -47,45 +47,45 @@
         assert self.store.commit(self.job, results) is CommitVerdict.DONE
 
 
-def test_finished_job_goes_after_its_readers_time() -> None:
-    shelf = Shelf()
-    shelf.finish()
-    shelf.clock.ms += KEPT_MS
-    assert shelf.sweeper.sweep() == 0
-    assert isinstance(shelf.store.current_head(JOB), StoredHead)
-    shelf.clock.ms += CLOCK_MARGIN_MS + 1.0
-    assert shelf.sweeper.sweep() == 1
-    assert isinstance(shelf.store.current_head(JOB), NoJob)
-    assert shelf.removal.all_jobs() == []
+def test_finished_job_is_deleted_after_its_retention_time() -> None:
+    stored_job = _StoredJob()
+    stored_job.finish()
+    stored_job.clock.ms += KEPT_MS
+    assert stored_job.sweeper.sweep() == 0
+    assert isinstance(stored_job.store.current_head(JOB), StoredHead)
+    stored_job.clock.ms += CLOCK_MARGIN_MS + 1.0
+    assert stored_job.sweeper.sweep() == 1
+    assert isinstance(stored_job.store.current_head(JOB), NoJob)
+    assert stored_job.removal.all_jobs() == []
 
 
-def test_open_job_stays_however_old() -> None:
-    shelf = Shelf()
-    shelf.clock.ms += 100 * KEPT_MS
-    assert shelf.sweeper.sweep() == 0
-    assert isinstance(shelf.store.items(shelf.job.head), list)
+def test_open_job_is_never_deleted() -> None:
+    stored_job = _StoredJob()
+    stored_job.clock.ms += 100 * KEPT_MS
+    assert stored_job.sweeper.sweep() == 0
+    assert isinstance(stored_job.store.items(stored_job.job.head), list)
 
 
-def test_large_results_take_their_objects_with_them() -> None:
-    shelf = Shelf()
+def test_objects_of_large_results_are_deleted() -> None:
+    stored_job = _StoredJob()
     noise = ''.join(random.Random(1).choices(string.printable, k=120_000))
-    shelf.finish(noise)
-    assert shelf.objects.objects
-    shelf.clock.ms += KEPT_MS + CLOCK_MARGIN_MS + 1.0
-    assert shelf.sweeper.sweep() == 1
-    assert not shelf.objects.objects
-
-
-def test_delete_that_was_cut_short_goes_on() -> None:
-    # The store refuses a call in the middle of a delete. The head is the last to go, so that the
-    # next sweep finds the job and goes on.
-    shelf = Shelf()
-    shelf.finish()
-    shelf.clock.ms += KEPT_MS + CLOCK_MARGIN_MS + 1.0
-    stored = shelf.store.current_head(JOB)
+    stored_job.finish(noise)
+    assert stored_job.objects.objects
+    stored_job.clock.ms += KEPT_MS + CLOCK_MARGIN_MS + 1.0
+    assert stored_job.sweeper.sweep() == 1
+    assert not stored_job.objects.objects
+
+
+def test_interrupted_deletion_is_continued() -> None:
+    # The store rejects a call in the middle of a deletion. The head is deleted last, so the next
+    # sweep must find the job and continue.
+    stored_job = _StoredJob()
+    stored_job.finish()
+    stored_job.clock.ms += KEPT_MS + CLOCK_MARGIN_MS + 1.0
+    stored = stored_job.store.current_head(JOB)
     assert isinstance(stored, StoredHead)
-    shelf.table.trouble = Trouble.REFUSED
-    assert shelf.removal.delete(stored) is CommitVerdict.NOT_WRITTEN
-    assert shelf.removal.all_jobs() == [JOB]
-    assert shelf.sweeper.sweep() == 1
-    assert shelf.removal.all_jobs() == []
+    stored_job.table.trouble = Trouble.REFUSED
+    assert stored_job.removal.delete(stored) is CommitVerdict.NOT_WRITTEN
+    assert stored_job.removal.all_jobs() == [JOB]
+    assert stored_job.sweeper.sweep() == 1
+    assert stored_job.removal.all_jobs() == []
