--- a/citrondyke/gateway/jobs/backlog_count.py
+++ b/citrondyke/gateway/jobs/backlog_count.py
@@ -61,13 +61,13 @@
         """Stop counting a job that is not sent to the store."""
         self._pending.pop(job_id, None)
 
-    def settle(self, job_id: JobId, *, in_doubt: bool) -> None:
+    def settle(self, job_id: JobId, *, is_uncertain: bool) -> None:
         """Record the outcome of an acceptance.
 
-        :param in_doubt: the write may have been applied; the job counts until that is impossible.
+        :param is_uncertain: the write may be applied late; the job counts until this is ruled out.
         """
         pending = self._pending.get(job_id)
-        if pending is not None and in_doubt:
+        if pending is not None and is_uncertain:
             self.add(job_id, pending.tokens)
         else:
             self.remove(job_id)
--- a/citrondyke/gateway/jobs/backlog_limiter.py
+++ b/citrondyke/gateway/jobs/backlog_limiter.py
@@ -107,13 +107,13 @@
             return BacklogReservation.NOT_NEEDED if failure is None else failure
         return self._limiter_of(route.name).reserve(route, config.version, job_id, tokens, until_ms)
 
-    def settle(self, limit_name: RouteName, job_id: JobId, *, in_doubt: bool) -> None:
+    def settle(self, limit_name: RouteName, job_id: JobId, *, is_uncertain: bool) -> None:
         """Record the outcome of an acceptance.
 
-        :param in_doubt: the write may have been applied; the job counts until that is impossible.
+        :param is_uncertain: the write may be applied late; the job counts until this is ruled out.
         """
         if limit_name in self._by_limit:
-            self._by_limit[limit_name].settle(job_id, in_doubt=in_doubt)
+            self._by_limit[limit_name].settle(job_id, is_uncertain=is_uncertain)
 
     def record_taken_over(self) -> None:
         """Request a poll: this instance has taken over jobs, and its shares must include them."""
--- a/citrondyke/gateway/jobs/job_acceptor.py
+++ b/citrondyke/gateway/jobs/job_acceptor.py
@@ -58,7 +58,7 @@
 
 
 #: The job may still become durable, so the caller must not get "not run".
-IN_DOUBT = _Response(504, CommitVerdict.IN_DOUBT.value)
+OUTCOME_UNCERTAIN = _Response(504, CommitVerdict.UNCERTAIN.value)
 
 
 #: The id belongs to a job of another account; nothing else about that job may be disclosed.
@@ -130,10 +130,10 @@
         if self._owned.is_stopping or self._owned.held_bytes() > self._items_limit_bytes:
             return _Response(503, 'stopping or full', RETRY_IN_MS)
         head = self._new_head(JobId(metadata.request_id), request, route, account, items)
-        wait = self._begin_deadline(request, metadata, route)
+        deadline = self._begin_deadline(request, metadata, route)
         self._held_bytes += len(request.body)
         try:
-            return self._make_durable(head, items, request, wait, route)
+            return self._make_durable(head, items, request, deadline, route)
         finally:
             self._held_bytes -= len(request.body)
 
@@ -156,26 +156,26 @@
         head: JobHead,
         items: list[JobItem],
         request: CallerRequest,
-        wait: AcceptanceDeadline,
+        deadline: AcceptanceDeadline,
         route: Route,
     ) -> _Response:
-        reserved = self._reserve(head, route, wait)
+        reserved = self._reserve(head, route, deadline)
         if isinstance(reserved, BacklogFull):
             return self._reject(head, reserved, request)
         if isinstance(reserved, PlatformFailure):
             return _Response(503, f'backlog headroom unknown: {reserved.reason.value}', RETRY_IN_MS)
-        accepted = self._accept(head, items, wait)
+        accepted = self._accept(head, items, deadline)
         is_foreign = isinstance(accepted, StoredHead) and accepted.head.account != head.account
         if isinstance(accepted, StoredHead) and not is_foreign:
             self._record_accepted(accepted, items, request)
-        is_uncertain = accepted is CommitVerdict.IN_DOUBT
-        self._backlog.settle(head.backlog_name, head.job_id, in_doubt=is_uncertain)
+        is_uncertain = accepted is CommitVerdict.UNCERTAIN
+        self._backlog.settle(head.backlog_name, head.job_id, is_uncertain=is_uncertain)
         if is_foreign:
             return FOREIGN
         if isinstance(accepted, StoredHead):
             return _Response(202)
         if is_uncertain:
-            return IN_DOUBT
+            return OUTCOME_UNCERTAIN
         return _Response(503, accepted.value, RETRY_IN_MS)
 
     def _reject(
@@ -190,46 +190,53 @@
             return _Response(202)
         if stored.reason is NoJobReason.UNKNOWN:
             return _Response(429, 'backlog full', backlog_full.retry_in_ms)
-        return IN_DOUBT
+        return OUTCOME_UNCERTAIN
 
     def _reserve(
-        self, head: JobHead, route: Route, wait: AcceptanceDeadline
+        self, head: JobHead, route: Route, deadline: AcceptanceDeadline
     ) -> BacklogReservation | BacklogFull | PlatformFailure:
         while True:
             reserved = self._backlog.reserve(
-                route, head.job_id, head.tokens, wait.latest_answer_ms, head.account
+                route, head.job_id, head.tokens, deadline.latest_answer_ms, head.account
             )
             if not isinstance(reserved, PlatformFailure):
                 return reserved
-            if not self._pause_before_retry(head, wait):
+            if not self._pause_before_retry(head, deadline):
                 return reserved
 
     def _accept(
-        self, head: JobHead, items: list[JobItem], wait: AcceptanceDeadline
+        self, head: JobHead, items: list[JobItem], deadline: AcceptanceDeadline
     ) -> StoredHead | CommitVerdict:
         verdict = CommitVerdict.NOT_WRITTEN
         while True:
             # An attempt that times out here may still take effect, so its outcome is uncertain.
-            answer: StoredHead | CommitVerdict = CommitVerdict.IN_DOUBT
-            with gevent.Timeout(max(0.0, wait.answer_at_ms - self._context.now_ms()) / 1e3, False):
+            answer: StoredHead | CommitVerdict = CommitVerdict.UNCERTAIN
+            with gevent.Timeout(
+                max(0.0, deadline.answer_at_ms - self._context.now_ms()) / 1e3, False
+            ):
                 answer = self._store.accept(head, items)
             if isinstance(answer, StoredHead):
                 return answer
-            if answer is CommitVerdict.IN_DOUBT:
+            if answer is CommitVerdict.UNCERTAIN:
                 verdict = answer
-            if not self._pause_before_retry(head, wait):
+            if not self._pause_before_retry(head, deadline):
                 return verdict
 
-    def _pause_before_retry(self, head: JobHead, wait: AcceptanceDeadline) -> bool:
+    def _pause_before_retry(self, head: JobHead, deadline: AcceptanceDeadline) -> bool:
         """Record a failed attempt and pause; return whether there is time for another attempt.
 
         A stopping instance does not hold callers.
         """
-        if not wait.is_store_unreachable and wait.latest_answer_ms > wait.redirect_at_ms:
-            until_ms = wait.latest_answer_ms - self._context.now_ms()
+        if (
+            not deadline.is_store_unreachable
+            and deadline.latest_answer_ms > deadline.redirect_at_ms
+        ):
+            until_ms = deadline.latest_answer_ms - self._context.now_ms()
             log.info('job.held', extra={'job_id': head.job_id, 'longest_ms': round(until_ms)})
-        wait.record_failed()
-        is_time_left = self._context.now_ms() + RETRY_PAUSE_MS + MIN_ATTEMPT_MS <= wait.answer_at_ms
+        deadline.record_failed()
+        is_time_left = (
+            self._context.now_ms() + RETRY_PAUSE_MS + MIN_ATTEMPT_MS <= deadline.answer_at_ms
+        )
         if not is_time_left or self._owned.is_stopping:
             return False
         gevent.sleep(self._context.jittered_ms(RETRY_PAUSE_MS) / 1e3)
--- a/citrondyke/gateway/jobs/job_rows.py
+++ b/citrondyke/gateway/jobs/job_rows.py
@@ -94,7 +94,7 @@
     #: Nothing was written.
     NOT_WRITTEN = 'not_written'
     #: The write may have been applied or may still be; it is safe to retry the same write.
-    IN_DOUBT = 'in_doubt'
+    UNCERTAIN = 'in_doubt'
 
 
 class SavedProgress(msgspec.Struct, frozen=True):
@@ -159,7 +159,7 @@
 def verdict_of(failure: PlatformFailure) -> CommitVerdict:
     """Map a failed store call to the outcome of its write."""
     if failure.reason is PlatformFailureReason.AMBIGUOUS:
-        return CommitVerdict.IN_DOUBT
+        return CommitVerdict.UNCERTAIN
     return CommitVerdict.NOT_WRITTEN
 
 
--- a/citrondyke/gateway/jobs/job_runner.py
+++ b/citrondyke/gateway/jobs/job_runner.py
@@ -323,7 +323,7 @@
     def _run_item(self, number: int, run: _ItemRun) -> None:
         job, progress, state = run.job, run.progress, run.state
         run.has_begun = True
-        end = RunResult.INTERRUPTED
+        result = RunResult.INTERRUPTED
         detail = ''
         started_ms = self._context.now_ms()
         events_before = progress.events_count
@@ -331,13 +331,13 @@
             if run.is_preempted:
                 raise ItemPreemptedError
             if self._may_send(run):
-                end = self._sender.run(progress, job.head, state)
-                if end in (RunResult.COMPLETED, RunResult.IMPOSSIBLE):
+                result = self._sender.run(progress, job.head, state)
+                if result in (RunResult.COMPLETED, RunResult.IMPOSSIBLE):
                     self._guard.record_survived(run.work)
             else:
-                end = RunResult.BLOCKED
+                result = RunResult.BLOCKED
         except ItemPreemptedError:
-            end = RunResult.PREEMPTED
+            result = RunResult.PREEMPTED
         except BrokenReplyError as error:
             detail = error.message
             if error.failure_kind is ReplyFailureKind.NO_CONNECTION:
@@ -363,24 +363,24 @@
         self._lengths.record_event_interval(
             job.head.route, progress.events_count - events_before, took_ms
         )
-        if end is RunResult.COMPLETED:
+        if result is RunResult.COMPLETED:
             self._lengths.record_complete_run(job.head.route, progress.events_count)
-        self._metrics.counters[f'items_{end.value}'] += 1
+        self._metrics.counters[f'items_{result.value}'] += 1
         log.info(
             'item.run',
             extra={
                 'job_id': job.head.job_id,
                 'item_id': progress.item.id,
                 'server_id': state.listed.id,
-                'end': end.value,
+                'end': result.value,
                 'detail': detail,
                 'last_event_id': progress.last_event_id,
                 'took_ms': round(took_ms, 1),
-                'content': run.work.fingerprint.digest if end is RunResult.INTERRUPTED else None,
+                'content': run.work.fingerprint.digest if result is RunResult.INTERRUPTED else None,
             },
         )
-        self._end(job, progress, end)
-        if end is RunResult.FAILED and progress.item.id in job.open:
+        self._end(job, progress, result)
+        if result is RunResult.FAILED and progress.item.id in job.open:
             self._committer.save(job, [progress])
         self._start_items()
 
@@ -390,8 +390,8 @@
             return self._guard.claim_probe(run.work.fingerprint, run.progress.item.id, is_item=True)
         return status in (SuspectStatus.FREE, SuspectStatus.SUSPECTED)
 
-    def _end(self, job: OwnedJob, progress: ItemProgress, end: RunResult) -> None:
-        job.end_run(progress, end, self._context.now_ms(), self._context.epoch_ms())
+    def _end(self, job: OwnedJob, progress: ItemProgress, result: RunResult) -> None:
+        job.end_run(progress, result, self._context.now_ms(), self._context.epoch_ms())
 
 
 def _apply_nothing() -> None:
--- a/citrondyke/gateway/jobs/job_store.py
+++ b/citrondyke/gateway/jobs/job_store.py
@@ -96,7 +96,7 @@
             return StoredHead(head, answer.version)
         if isinstance(answer, PartConflict):
             found = stored_head(answer.row(HEADS_TABLE, HEAD_KEY))
-            return found if isinstance(found, StoredHead) else CommitVerdict.IN_DOUBT
+            return found if isinstance(found, StoredHead) else CommitVerdict.UNCERTAIN
         return verdict_of(answer)
 
     def current_head(self, job_id: JobId) -> StoredHead | NoJob:
--- a/citrondyke/gateway/jobs/route_backlog_limiter.py
+++ b/citrondyke/gateway/jobs/route_backlog_limiter.py
@@ -115,12 +115,12 @@
         with self._lock:
             return self._reserve_by_store(route, config_version, job_id, tokens, until_ms)
 
-    def settle(self, job_id: JobId, *, in_doubt: bool) -> None:
+    def settle(self, job_id: JobId, *, is_uncertain: bool) -> None:
         """Record the outcome of an acceptance.
 
-        :param in_doubt: the write may have been applied; the job counts until that is impossible.
+        :param is_uncertain: the write may be applied late; the job counts until this is ruled out.
         """
-        self._count.settle(job_id, in_doubt=in_doubt)
+        self._count.settle(job_id, is_uncertain=is_uncertain)
 
     def withdraw(self) -> PlatformFailure | None:
         """Remove this instance's share before jobs are accepted without a limit.
--- a/tests/test_batch/test_batch_backlog_limit.py
+++ b/tests/test_batch/test_batch_backlog_limit.py
@@ -142,9 +142,9 @@
         accepted = self.store.accept(head, items)
         if isinstance(accepted, StoredHead) and accepted.head.owner_life == self.life:
             self.owned.add(OwnedJob(accepted.head, accepted.version, items))
-        in_doubt = accepted is CommitVerdict.IN_DOUBT
-        self.waiting.settle(ROUTE, head.job_id, in_doubt=in_doubt)
-        return 202 if isinstance(accepted, StoredHead) else 504 if in_doubt else 503
+        is_uncertain = accepted is CommitVerdict.UNCERTAIN
+        self.waiting.settle(ROUTE, head.job_id, is_uncertain=is_uncertain)
+        return 202 if isinstance(accepted, StoredHead) else 504 if is_uncertain else 503
 
     def finish(self, count: int) -> None:
         """Let servers finish items, those of the oldest job first."""
@@ -511,7 +511,7 @@
     node = fleet.nodes[1]
     reserved = node.waiting.reserve(fleet.route, JobId('late'), JOB_TOKENS, 1e9)
     assert reserved is BacklogReservation.DONE
-    node.waiting.settle(ROUTE, JobId('late'), in_doubt=True)
+    node.waiting.settle(ROUTE, JobId('late'), is_uncertain=True)
     fleet.poll_all()
     fleet.clock.ms += 6_000.0
     fleet.leave(node)
--- a/tests/test_gateway/test_jobs/test_jobs_job_acceptor.py
+++ b/tests/test_gateway/test_jobs/test_jobs_job_acceptor.py
@@ -39,5 +39,5 @@
     request = CallerRequest(b'POST', b'/batch-stream/job', [], b'', instance.clock.now_ms())
     for within_ms, is_held in ((None, False), (5_000.0, True)):
         metadata = RequestMetadata(request_id=RequestId('job-1'), within_ms=within_ms)
-        wait = instance.batch.acceptor._begin_deadline(request, metadata, route)
-        assert (wait.latest_answer_ms > wait.redirect_at_ms) is is_held
+        deadline = instance.batch.acceptor._begin_deadline(request, metadata, route)
+        assert (deadline.latest_answer_ms > deadline.redirect_at_ms) is is_held
