--- a/citrondyke/entry/__init__.py
+++ b/citrondyke/entry/__init__.py
@@ -1,3 +1,3 @@
-"""The doors for callers and operators: HTTP in the published shapes."""
+"""HTTP endpoints for callers and operators."""
 
 from __future__ import annotations
--- a/citrondyke/entry/app.py
+++ b/citrondyke/entry/app.py
@@ -1,4 +1,4 @@
-"""All doors as one WSGI application."""
+"""The WSGI application with all endpoints."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def entry_app(context: EntryContext) -> bottle.Bottle:
-    """Make the application."""
+    """Create the application."""
     app = bottle.Bottle()
     app.install(error_plugin)
     app.default_error_handler = _default_error
@@ -32,35 +32,35 @@
     return app
 
 
-def _add_online(app: bottle.Bottle, door: OnlineEndpoint) -> None:
-    app.post('/v1/chat/completions', callback=door.chat)
-    app.post('/v1/completions', callback=door.complete)
-    app.get('/v1/models', callback=door.models)
-    app.route('/services/<service>/<path:path>', method=ALL_METHODS, callback=door.service)
+def _add_online(app: bottle.Bottle, endpoint: OnlineEndpoint) -> None:
+    app.post('/v1/chat/completions', callback=endpoint.chat)
+    app.post('/v1/completions', callback=endpoint.complete)
+    app.get('/v1/models', callback=endpoint.models)
+    app.route('/services/<service>/<path:path>', method=ALL_METHODS, callback=endpoint.service)
 
 
-def _add_jobs(app: bottle.Bottle, door: JobsEndpoint) -> None:
-    app.post('/v1/files', callback=door.upload)
-    app.get('/v1/files', callback=door.files)
-    app.get('/v1/files/<file_id>', callback=door.file)
-    app.get('/v1/files/<file_id>/content', callback=door.content)
-    app.post('/v1/batches', callback=door.create)
-    app.get('/v1/batches', callback=door.batches)
-    app.get('/v1/batches/<job_id>', callback=door.batch)
-    app.post('/v1/batches/<job_id>/cancel', callback=door.cancel)
+def _add_jobs(app: bottle.Bottle, endpoint: JobsEndpoint) -> None:
+    app.post('/v1/files', callback=endpoint.upload)
+    app.get('/v1/files', callback=endpoint.files)
+    app.get('/v1/files/<file_id>', callback=endpoint.file)
+    app.get('/v1/files/<file_id>/content', callback=endpoint.content)
+    app.post('/v1/batches', callback=endpoint.create)
+    app.get('/v1/batches', callback=endpoint.batches)
+    app.get('/v1/batches/<job_id>', callback=endpoint.batch)
+    app.post('/v1/batches/<job_id>/cancel', callback=endpoint.cancel)
 
 
-def _add_operator(app: bottle.Bottle, door: OperatorEndpoint) -> None:
-    app.get('/operator/v1/config', callback=door.config)
-    app.post('/operator/v1/config', callback=door.propose)
-    app.get('/operator/v1/config/history', callback=door.history)
-    app.get('/operator/v1/status', callback=door.status)
-    app.get('/operator/v1/histograms', callback=door.histograms)
-    app.get('/operator/v1/report', callback=door.report)
-    app.get('/operator/v1/records', callback=door.records)
-    app.get('/operator/v1/jobs', callback=door.jobs)
-    app.get('/operator/v1/jobs/<job_id>', callback=door.job)
-    app.post('/operator/v1/jobs/<job_id>/cancel', callback=door.cancel_job)
+def _add_operator(app: bottle.Bottle, endpoint: OperatorEndpoint) -> None:
+    app.get('/operator/v1/config', callback=endpoint.config)
+    app.post('/operator/v1/config', callback=endpoint.propose)
+    app.get('/operator/v1/config/history', callback=endpoint.history)
+    app.get('/operator/v1/status', callback=endpoint.status)
+    app.get('/operator/v1/histograms', callback=endpoint.histograms)
+    app.get('/operator/v1/report', callback=endpoint.report)
+    app.get('/operator/v1/records', callback=endpoint.records)
+    app.get('/operator/v1/jobs', callback=endpoint.jobs)
+    app.get('/operator/v1/jobs/<job_id>', callback=endpoint.job)
+    app.post('/operator/v1/jobs/<job_id>/cancel', callback=endpoint.cancel_job)
 
 
 def _add_health(app: bottle.Bottle, context: EntryContext) -> None:
@@ -68,7 +68,7 @@
         return json_response({'state': 'live'})
 
     def ready() -> bytes:
-        """Tell the balancer whether to send calls here."""
+        """Return whether a load balancer may send requests to this instance."""
         if context.instance.members.is_leaving:
             return json_response({'state': 'leaving'}, 503)
         if not context.instance.is_ready:
@@ -80,7 +80,7 @@
 
 
 def _default_error(error: Any) -> bytes:
-    """Answer what bottle itself refuses in the same shape as all else."""
+    """Return errors raised by bottle itself in the common error format."""
     if error.status_code in (404, 405):
-        return error_response(NotFoundError('there is nothing at this path and method'))
+        return error_response(NotFoundError('no endpoint for this path and method'))
     return error_response(CitrondykeError('internal error', run=RunState.UNKNOWN))
--- a/citrondyke/entry/bodies.py
+++ b/citrondyke/entry/bodies.py
@@ -1,4 +1,4 @@
-"""Reads bodies with a bound on size and time."""
+"""Reads request bodies with limits on size and time."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 def read_body(limit_bytes: int, within_ms: float) -> bytes:
     """Read a whole body.
 
-    :raises BodyTooLargeError: when it is longer than ``limit_bytes``.
-    :raises SlowSenderError: when it does not arrive within ``within_ms``.
+    :raises BodyTooLargeError: if it is longer than ``limit_bytes``.
+    :raises SlowSenderError: if it does not arrive within ``within_ms``.
     """
     if bottle.request.content_length > limit_bytes:
         raise BodyTooLargeError(f'the body may have {limit_bytes} bytes')
@@ -38,16 +38,17 @@
 
 
 def body_chunks(within_ms: float, limit_bytes: int | None = None) -> Iterator[bytes]:
-    """Read a body piece by piece.
+    """Read a body in chunks.
 
-    A sender that stops half-way would hold its connection for ever; the whole body has one
-    timeout, so that sending a byte now and then does not help.
+    Without a timeout, a sender that stops halfway would hold its connection indefinitely. One
+    timeout covers the whole body, so that a sender cannot extend it with single bytes.
 
-    :raises SlowSenderError: when it does not arrive within ``within_ms``.
+    :param limit_bytes: reading stops after the chunk that exceeds this size; ``None`` for no limit.
+    :raises SlowSenderError: if it does not arrive within ``within_ms``.
     """
     source: Any = bottle.request.environ['wsgi.input']
-    until = gevent.Timeout(within_ms / 1e3)
-    until.start()
+    body_timeout = gevent.Timeout(within_ms / 1e3)
+    body_timeout.start()
     count = 0
     try:
         while True:
@@ -58,21 +59,21 @@
             yield chunk
             if limit_bytes is not None and count > limit_bytes:
                 return
-    except gevent.Timeout as timeout:
-        if timeout is not until:
+    except gevent.Timeout as error:
+        if error is not body_timeout:
             raise
         raise SlowSenderError from None
     except OSError as error:
-        raise SlowSenderError('the sender went away') from error
+        raise SlowSenderError('the caller disconnected before the body was complete') from error
     finally:
-        until.close()
+        body_timeout.close()
 
 
 def decode_body(body: bytes, kind: type[T]) -> T:
     """Decode a JSON body.
 
-    :raises MalformedJsonError: when it is not JSON.
-    :raises InvalidFieldError: naming the field that is wrong.
+    :raises MalformedJsonError: if it is not valid JSON.
+    :raises InvalidFieldError: if a field is invalid; the message names the field.
     """
     try:
         return msgspec.json.decode(body, type=kind)
--- a/citrondyke/entry/deadline.py
+++ b/citrondyke/entry/deadline.py
@@ -1,4 +1,4 @@
-"""A caller's deadline, as an absolute time."""
+"""Reads the deadline of a request from its headers."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 
 
 def request_deadline_ms(clock: Clock, default_within_ms: float) -> float:
-    """Give the monotonic time after which the answer is of no use.
+    """Return the deadline of the current request in monotonic time.
 
-    A wall-clock deadline is turned into a monotonic one here, once.
+    A wall-clock deadline is converted here once; later code uses monotonic time only.
 
-    :param default_within_ms: used when the request states none, and never exceeded.
-    :raises InvalidFieldError: when the header is no number.
+    :param default_within_ms: default and upper limit of the time until the deadline.
+    :raises InvalidFieldError: if a header is not a valid number.
     """
     within_ms = default_within_ms
-    stated = bottle.request.headers.get(EPOCH_HEADER)
-    if stated is not None:
-        within_ms = _parse_ms(EPOCH_HEADER, stated) - clock.epoch_ms()
-    stated = bottle.request.headers.get(WITHIN_HEADER)
-    if stated is not None:
-        within_ms = _parse_ms(WITHIN_HEADER, stated)
+    header = bottle.request.headers.get(EPOCH_HEADER)
+    if header is not None:
+        within_ms = _parse_ms(EPOCH_HEADER, header) - clock.epoch_ms()
+    header = bottle.request.headers.get(WITHIN_HEADER)
+    if header is not None:
+        within_ms = _parse_ms(WITHIN_HEADER, header)
     return clock.now_ms() + min(within_ms, default_within_ms)
 
 
@@ -35,7 +35,7 @@
     try:
         value = float(text)
     except ValueError as error:
-        raise InvalidFieldError(f'{name} is no number of milliseconds') from error
+        raise InvalidFieldError(f'{name} must be a number of milliseconds') from error
     if not 0 <= value < 1e15:  # noqa: PLR2004
         raise InvalidFieldError(f'{name} is out of range')
     return value
--- a/citrondyke/entry/entry_context.py
+++ b/citrondyke/entry/entry_context.py
@@ -1,4 +1,4 @@
-"""What all doors of one instance share."""
+"""State shared by all endpoints, and authentication of callers."""
 
 from __future__ import annotations
 
@@ -31,46 +31,49 @@
 
 
 class EntryContext:
-    """The instance behind the doors, and who may pass them."""
+    """Gives the endpoints access to the instance and authenticates requests."""
 
     def __init__(
         self,
         settings: DaemonSettings,
         instance: Instance,
         driver: GeventDriver,
-        measures: RequestMetrics,
+        metrics: RequestMetrics,
         clock: Clock,
     ) -> None:
-        """Use the parts handed in."""
+        """Initialize the context."""
         self.settings = settings
         self.instance = instance
         self.driver = driver
-        self.measures = measures
+        self.metrics = metrics
         self.clock = clock
-        #: Calls that are being answered now.
+        #: Online requests in progress.
         self.open_calls = 0
+        #: Limits concurrent uploads of job files.
         self.uploads = BoundedSemaphore(settings.limits.uploads)
 
     def authenticate_tenant(self, authorization: str | None) -> TenantEntry:
-        """Find whose key a request carries.
+        """Return the tenant that an API key belongs to.
 
-        :raises InstanceStartingError: before the configuration was read.
-        :raises UnauthorizedError: when the key is nobody's.
+        :param authorization: value of the ``Authorization`` header.
+        :raises InstanceStartingError: if the configuration is not loaded yet.
+        :raises UnauthorizedError: if the key is missing or unknown.
         """
         self.check_ready()
-        found = self.instance.config_replica.current.tenant_of_key(_bearer(authorization))
+        found = self.instance.config_replica.current.tenant_of_key(_bearer_key(authorization))
         if found is None:
             raise UnauthorizedError
         return found
 
     def authenticate_operator(self, authorization: str | None) -> str:
-        """Find which operator's key a request carries, and give the operator's id.
+        """Return the id of the operator that an API key belongs to.
 
-        :raises InstanceStartingError: before the configuration was read.
-        :raises UnauthorizedError: when the key is nobody's.
+        :param authorization: value of the ``Authorization`` header.
+        :raises InstanceStartingError: if the configuration is not loaded yet.
+        :raises UnauthorizedError: if the key is missing or unknown.
         """
         self.check_ready()
-        key = _bearer(authorization)
+        key = _bearer_key(authorization)
         found: OperatorEntry | None = self.instance.config_replica.current.operator_of_key(key)
         if found is not None:
             return found.id
@@ -79,26 +82,29 @@
         raise UnauthorizedError
 
     def check_ready(self) -> None:
-        """Turn requests away until the configuration was read.
+        """Check that the instance has loaded its configuration.
 
-        :raises InstanceStartingError: until then.
+        :raises InstanceStartingError: if it has not.
         """
         if not self.instance.is_ready:
             raise InstanceStartingError(retry_in_ms=STARTING_RETRY_MS)
 
     def find_class(self, name: str | None, default: ClassName, kind: ClassKind) -> ClassEntry:
-        """Find the class that a request names, or its tenant's own.
+        """Return the entry of a class.
 
-        :raises UnknownClassError: when there is none of that kind.
+        :param name: the class named by the request; ``None`` for the default.
+        :param default: the tenant's default class.
+        :param kind: the kind that the class must have.
+        :raises UnknownClassError: if there is no such class of this kind.
         """
-        wanted = ClassName(name) if name else default
-        found = self.instance.config_replica.current.class_entry(wanted)
+        class_name = ClassName(name) if name else default
+        found = self.instance.config_replica.current.class_entry(class_name)
         if found is None or found.kind is not kind:
-            raise UnknownClassError(f'{wanted!r} is no class of {kind.value} work')
+            raise UnknownClassError(f'{class_name!r} is not a class of {kind.value} work')
         return found
 
 
-def _bearer(authorization: str | None) -> str:
+def _bearer_key(authorization: str | None) -> str:
     if not authorization or not authorization.startswith(BEARER):
         raise UnauthorizedError
     return authorization[len(BEARER) :].strip()
--- a/citrondyke/entry/job_schemas.py
+++ b/citrondyke/entry/job_schemas.py
@@ -1,4 +1,4 @@
-"""Files and jobs in the published shapes."""
+"""Published representations of files and jobs."""
 
 from __future__ import annotations
 
@@ -46,17 +46,20 @@
 
 
 def output_file_id(job_id: JobId) -> str:
-    """Name the file of a job's answers."""
+    """Return the id of a job's file of successful results."""
     return OUTPUT_PREFIX + job_id
 
 
 def error_file_id(job_id: JobId) -> str:
-    """Name the file of a job's failed items."""
+    """Return the id of a job's file of failed items."""
     return ERROR_PREFIX + job_id
 
 
 def parse_result_file_id(file_id: str) -> tuple[str, bool] | None:
-    """Find which job's file a name stands for, and whether it is the one of failures."""
+    """Return the job id of a result file and whether it is the error file.
+
+    Returns ``None`` if the id is not the id of a result file.
+    """
     if file_id.startswith(OUTPUT_PREFIX):
         return file_id[len(OUTPUT_PREFIX) :], False
     if file_id.startswith(ERROR_PREFIX):
@@ -65,7 +68,7 @@
 
 
 def file_fields(file_id: str, row: FileRow) -> dict[str, Any]:
-    """Write a file down."""
+    """Return the published fields of an uploaded file."""
     return {
         'id': file_id,
         'object': 'file',
@@ -78,7 +81,7 @@
 
 
 def batch_fields(job: AcceptedJob, counts: JobCounts) -> dict[str, Any]:
-    """Write a job down, with its class's deadline beside the published fields."""
+    """Return the published fields of a job, and its class and deadline under ``citrondyke``."""
     row = job.row
     is_final = row.state.is_final
     finished_at = _seconds(row.finished_epoch_ms)
--- a/citrondyke/entry/jobs_endpoint.py
+++ b/citrondyke/entry/jobs_endpoint.py
@@ -1,4 +1,4 @@
-"""Files and batch jobs."""
+"""Endpoints for files and batch jobs."""
 
 from __future__ import annotations
 
@@ -55,22 +55,22 @@
 LIST_LIMIT = 100
 
 
-def error_for_job_rejection(refusal: JobRejection) -> CitrondykeError:
-    """Give the failure of a job or file that was refused or not found."""
-    match refusal.reason:
+def error_for_job_rejection(rejection: JobRejection) -> CitrondykeError:
+    """Return the error for a job or file that was rejected or not found."""
+    match rejection.reason:
         case JobRejectionReason.NO_FILE:
-            return NotFoundError('there is no such file')
+            return NotFoundError('the file does not exist')
         case JobRejectionReason.NO_JOB:
-            return NotFoundError('there is no such job')
+            return NotFoundError('the job does not exist')
         case JobRejectionReason.WRONG_ENDPOINT:
-            return InvalidFieldError('endpoint is not the url of the lines of the file')
+            return InvalidFieldError('endpoint must equal the url of the lines of the file')
         case JobRejectionReason.UNKNOWN_TARGET:
             return UnknownClassError()
         case JobRejectionReason.KEY_CONFLICT:
             return IdempotencyConflictError()
         case JobRejectionReason.UNCERTAIN:
             return PlatformUnavailableError(
-                'it is not known whether the job was accepted; the same again gives the same job',
+                'it is unknown whether the job was accepted; an identical retry gives the same job',
                 run=RunState.UNKNOWN,
                 retry_in_ms=PLATFORM_RETRY_MS,
             )
@@ -79,17 +79,19 @@
 
 
 class JobsEndpoint:
-    """Answers calls about files and jobs."""
+    """Handles requests for files and jobs."""
 
     def __init__(self, context: EntryContext) -> None:
-        """Use the instance behind ``front``."""
+        """Initialize the endpoint."""
         self._context = context
 
     def upload(self) -> bytes:
         """Answer ``POST /v1/files``."""
         tenant = self._authenticate()
         if not self._context.uploads.acquire(blocking=False):
-            raise OverloadedError('too many job files arrive', retry_in_ms=UPLOAD_RETRY_MS)
+            raise OverloadedError(
+                'too many concurrent uploads of job files', retry_in_ms=UPLOAD_RETRY_MS
+            )
         try:
             upload = Upload(self._context)
             summary = upload.receive()
@@ -120,9 +122,9 @@
     def file(self, file_id: str) -> bytes:
         """Answer ``GET /v1/files/<id>``."""
         tenant = self._authenticate()
-        result_of = parse_result_file_id(file_id)
-        if result_of is not None:
-            job = self._job(tenant, result_of[0])
+        result_file = parse_result_file_id(file_id)
+        if result_file is not None:
+            job = self._job(tenant, result_file[0])
             return json_response(
                 {
                     'id': file_id,
@@ -140,38 +142,38 @@
         """Answer ``GET /v1/files/<id>/content``."""
         tenant = self._authenticate()
         bottle.response.content_type = 'application/jsonl'
-        result_of = parse_result_file_id(file_id)
-        if result_of is None:
-            return _after_first(input_lines(self._context, self._file(tenant, file_id)))
-        job = self._job(tenant, result_of[0])
+        result_file = parse_result_file_id(file_id)
+        if result_file is None:
+            return _prefetch_first(input_lines(self._context, self._file(tenant, file_id)))
+        job = self._job(tenant, result_file[0])
         parts = self._context.driver.run(self._context.instance.sweeper.parts(job.job_id))
         if parts is None:
             raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
-        lines = result_lines(self._context, job, parts, is_error=result_of[1])
-        return _after_first(lines)
+        lines = result_lines(self._context, job, parts, is_error=result_file[1])
+        return _prefetch_first(lines)
 
     def create(self) -> bytes:
         """Answer ``POST /v1/batches``."""
         tenant = self._authenticate()
         limits = self._context.settings.limits
         body = read_body(limits.body_bytes, limits.body_within_ms)
-        wish = decode_body(body, BatchRequest)
-        if wish.completion_window not in WINDOWS:
-            raise InvalidFieldError(f'completion_window is one of {", ".join(WINDOWS)}')
+        request = decode_body(body, BatchRequest)
+        if request.completion_window not in WINDOWS:
+            raise InvalidFieldError(f'completion_window must be one of {", ".join(WINDOWS)}')
         headers = bottle.request.headers
-        wanted = self._context.find_class(
+        class_entry = self._context.find_class(
             headers.get(CLASS_HEADER), tenant.batch_class, ClassKind.BATCH
         )
         accepted = self._context.driver.run(
             self._context.instance.acceptance.accept(
                 JobRequest(
                     tenant_id=tenant.id,
-                    file_id=wish.input_file_id,
-                    endpoint=wish.endpoint,
-                    class_name=wanted.name,
-                    completion_window=wish.completion_window,
+                    file_id=request.input_file_id,
+                    endpoint=request.endpoint,
+                    class_name=class_entry.name,
+                    completion_window=request.completion_window,
                     idempotency_key=headers.get(KEY_HEADER, ''),
-                    metadata=wish.metadata or {},
+                    metadata=request.metadata or {},
                 )
             )
         )
@@ -235,8 +237,8 @@
         return json_response(batch_fields(result, self._counts(result)))
 
 
-def _after_first(parts: Iterator[bytes]) -> Iterator[bytes]:
-    """Fetch the first part before the answer begins, so that its failure has a status."""
+def _prefetch_first(parts: Iterator[bytes]) -> Iterator[bytes]:
+    """Read the first part before the response starts, so that an error can set the status."""
     first = next(parts, b'')
 
     def rest() -> Iterator[bytes]:
--- a/citrondyke/entry/online_endpoint.py
+++ b/citrondyke/entry/online_endpoint.py
@@ -1,4 +1,4 @@
-"""Online calls: model completions and plain services."""
+"""Endpoints for online requests to models and plain services."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
 REPLAY_HEADER = 'Idempotent-Replayed'
 EVENT_STREAM = 'text/event-stream'
 KEY_LIMIT_CHARS = 255
-#: Prompts that begin with the same bytes are sent to the same servers, from this length on.
+#: Prompts of at least this length that share their first bytes go to the same servers.
 PREFIX_BYTES = 512
-PASSED_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
+FORWARDED_HEADERS = ('Content-Type', 'Accept', 'Accept-Language')
 
 
 class _GenerationFields(msgspec.Struct):
-    """The fields of a request that the instance reads; all go to the engine as they are."""
+    """The request fields that the instance reads; the engine receives the body unchanged."""
 
     model: str
     messages: msgspec.Raw = msgspec.Raw()
@@ -58,10 +58,10 @@
 
 
 class OnlineEndpoint:
-    """Answers online calls."""
+    """Handles online requests."""
 
     def __init__(self, context: EntryContext) -> None:
-        """Use the instance behind ``front``."""
+        """Initialize the endpoint."""
         self._context = context
 
     def chat(self) -> Any:
@@ -93,7 +93,7 @@
         entry = self._context.instance.config_replica.current.service_entry(service)
         target = TargetName(SERVICE_PREFIX + service)
         if entry is None or self._context.instance.fleet.target(target) is None:
-            raise UnknownServiceError(f'there is no service {service!r}')
+            raise UnknownServiceError(f'service {service!r} does not exist')
         query = bottle.request.query_string
         full_path = f'/{path}?{query}' if query else f'/{path}'
         request = self._build_request(
@@ -109,7 +109,7 @@
         if not bytes(prompt):
             raise InvalidFieldError(f'{prompt_field} is missing')
         if fields.n != 1:
-            raise InvalidFieldError('n may only be 1: an answer must be resumable')
+            raise InvalidFieldError('n must be 1: only a single choice can be resumed')
         target = TargetName(fields.model)
         is_served = self._context.instance.fleet.target(target) is not None
         if not is_served or target.startswith(SERVICE_PREFIX):
@@ -140,27 +140,27 @@
     ) -> OnlineRequest:
         headers = bottle.request.headers
         context = self._context
-        wanted = context.find_class(
+        class_entry = context.find_class(
             headers.get(CLASS_HEADER), tenant.online_class, ClassKind.ONLINE
         )
         key = headers.get(KEY_HEADER)
-        passed = [(name, headers[name]) for name in PASSED_HEADERS if name in headers]
+        forwarded = [(name, headers[name]) for name in FORWARDED_HEADERS if name in headers]
         if key:
-            passed.append((KEY_HEADER, key))
+            forwarded.append((KEY_HEADER, key))
         return OnlineRequest(
             request_id=RequestId(uuid.uuid4().hex),
             tenant_id=tenant.id,
-            class_name=wanted.name,
+            class_name=class_entry.name,
             target=target,
             method=bottle.request.method,
             path=path,
-            headers=tuple(passed),
+            headers=tuple(forwarded),
             body=body,
             is_streamed=is_streamed,
             is_model=not target.startswith(SERVICE_PREFIX),
             is_repeatable=self._is_repeatable(target),
             prefix_bucket=bucket,
-            first_token_target_ms=wanted.first_token_target_ms,
+            first_token_target_ms=class_entry.first_token_target_ms,
             deadline_ms=request_deadline_ms(
                 context.clock, context.settings.limits.online_within_ms
             ),
@@ -168,10 +168,13 @@
         )
 
     def _is_repeatable(self, target: TargetName) -> bool:
-        """Take the service's word; a caller can only make it stricter."""
+        """Return whether the request may be repeated.
+
+        The service's configuration decides; a caller can only forbid repeats.
+        """
         stated = bottle.request.headers.get(REPEATABLE_HEADER, 'yes').lower()
         if stated not in ('yes', 'no'):
-            raise InvalidFieldError(f'{REPEATABLE_HEADER} is yes or no')
+            raise InvalidFieldError(f'{REPEATABLE_HEADER} must be yes or no')
         return stated == 'yes' and self._context.instance.is_repeatable(target)
 
     def _serve(self, request: OnlineRequest) -> Any:
@@ -181,17 +184,17 @@
             return self._serve_at_most_once(request, recorder)
         if request.is_streamed:
             return self._serve_stream(request, recorder)
-        end = None
+        result = None
         try:
-            end = self._context.driver.run(self._context.instance.online.serve(request))
+            result = self._context.driver.run(self._context.instance.online.serve(request))
         finally:
-            recorder.close(end)
-        return self._answer(end)
+            recorder.close(result)
+        return self._answer(result)
 
     def _serve_stream(self, request: OnlineRequest, recorder: RequestRecorder) -> Any:
-        frames = self._context.driver.stream(self._context.instance.online.serve(request))
+        events = self._context.driver.stream(self._context.instance.online.serve(request))
         try:
-            first = next(frames)
+            first = next(events)
         except StopIteration as stop:
             recorder.close(stop.value)
             return self._answer(stop.value)
@@ -200,10 +203,10 @@
             raise
         bottle.response.content_type = EVENT_STREAM
         bottle.response.set_header('Cache-Control', 'no-cache')
-        return _stream_events(first, frames, recorder)
+        return _stream_events(first, events, recorder)
 
     def _serve_at_most_once(self, request: OnlineRequest, recorder: RequestRecorder) -> bytes:
-        """Serve a request that runs at most once; its answer is told whole, once it is stored."""
+        """Serve a request that must not be repeated, and return its response once it is stored."""
         key = bottle.request.headers.get(KEY_HEADER) or request.request_id
         if len(key) > KEY_LIMIT_CHARS:
             recorder.close(None)
@@ -211,40 +214,44 @@
         bottle.response.set_header(KEY_HEADER, key)
         outcome = 'ok'
         try:
-            end = self._context.driver.run(self._context.instance.once.serve(request, key))
-            if end.kind is not OnceResultKind.ANSWERED or end.reply is None:
-                error = error_for_once_result(end)
+            result = self._context.driver.run(self._context.instance.once.serve(request, key))
+            if result.kind is not OnceResultKind.ANSWERED or result.reply is None:
+                error = error_for_once_result(result)
                 outcome = error.code
                 return error_response(error)
         finally:
             recorder.close_with_outcome(outcome)
-        if end.is_replay:
+        if result.is_replay:
             bottle.response.set_header(REPLAY_HEADER, 'true')
-        return _stored_response(end.reply, is_streamed=request.is_streamed)
+        return _stored_response(result.reply, is_streamed=request.is_streamed)
 
-    def _answer(self, end: OnlineResult) -> bytes:
-        if end.kind is not OnlineResultKind.ANSWERED or end.reply is None:
-            return error_response(error_for_result(end, has_begun=False))
-        bottle.response.status = end.reply.status
-        bottle.response.content_type = end.reply.content_type or 'application/json'
-        return end.reply.body
+    def _answer(self, result: OnlineResult) -> bytes:
+        if result.kind is not OnlineResultKind.ANSWERED or result.reply is None:
+            return error_response(error_for_result(result, has_begun=False))
+        bottle.response.status = result.reply.status
+        bottle.response.content_type = result.reply.content_type or 'application/json'
+        return result.reply.body
 
 
 def _stream_events(
-    first: bytes, frames: Generator[bytes, None, OnlineResult], recorder: RequestRecorder
+    first: bytes, events: Generator[bytes, None, OnlineResult], recorder: RequestRecorder
 ) -> Generator[bytes, None, None]:
-    """Give out an answer; one that is cut ends with its failure, never as if it were whole."""
-    end: OnlineResult | None = None
+    """Yield the events of a response.
+
+    An interrupted response ends with an error event and without the closing event, so that the
+    caller does not take it for complete.
+    """
+    result: OnlineResult | None = None
     try:
         yield first
-        end = yield from frames
-        if end.kind is OnlineResultKind.ANSWERED:
+        result = yield from events
+        if result.kind is OnlineResultKind.ANSWERED:
             yield DONE_EVENT
             return
-        yield _error_event(error_for_result(end, has_begun=True))
+        yield _error_event(error_for_result(result, has_begun=True))
     finally:
-        frames.close()
-        recorder.close(end)
+        events.close()
+        recorder.close(result)
 
 
 def _error_event(error: CitrondykeError) -> bytes:
--- a/citrondyke/entry/online_errors.py
+++ b/citrondyke/entry/online_errors.py
@@ -1,4 +1,4 @@
-"""Turns the end of an online request that was not answered into its failure."""
+"""Maps results of online requests that failed to errors."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def error_for_rejection(rejection: Rejection) -> CitrondykeError:
-    """Give the failure of a request that never ran."""
+    """Return the error for a rejected request, which has not run."""
     if rejection.reason is RejectionReason.DEADLINE:
         return DeadlinePassedError()
     if rejection.reason in (RejectionReason.NO_SERVER, RejectionReason.RETRY_BUDGET):
@@ -40,22 +40,22 @@
     return OverloadedError(retry_in_ms=rejection.retry_in_ms)
 
 
-def error_for_result(end: OnlineResult, *, has_begun: bool) -> CitrondykeError:
-    """Give the failure of a request without a whole answer.
+def error_for_result(result: OnlineResult, *, has_begun: bool) -> CitrondykeError:
+    """Return the error for a request without a complete response.
 
-    :param has_begun: whether the caller has part of the answer.
+    :param has_begun: whether the caller has received a part of the response.
     """
-    if end.kind is OnlineResultKind.REFUSED and end.rejection is not None:
-        return error_for_rejection(end.rejection)
-    run = RunState.UNKNOWN if end.may_have_run else RunState.NOT_RUN
-    if end.kind is OnlineResultKind.LATE:
+    if result.kind is OnlineResultKind.REFUSED and result.rejection is not None:
+        return error_for_rejection(result.rejection)
+    run = RunState.UNKNOWN if result.may_have_run else RunState.NOT_RUN
+    if result.kind is OnlineResultKind.LATE:
         return DeadlinePassedError(run=run)
     if has_begun:
         return StreamBrokenError()
     return ServerFailedError(run=run)
 
 
-_ONCE: dict[OnceResultKind, Callable[[], CitrondykeError]] = {
+_ONCE_ERRORS: dict[OnceResultKind, Callable[[], CitrondykeError]] = {
     OnceResultKind.CONFLICT: IdempotencyConflictError,
     OnceResultKind.UNKNOWN: OutcomeUnknownError,
     OnceResultKind.NOT_DURABLE: lambda: OutcomeNotDurableError(retry_in_ms=PLATFORM_RETRY_MS),
@@ -64,10 +64,10 @@
 }
 
 
-def error_for_once_result(end: OnceResult) -> CitrondykeError:
-    """Give the failure of a request that runs at most once."""
-    if end.kind is OnceResultKind.NOT_RUN:
-        if end.rejection is not None:
-            return error_for_rejection(end.rejection)
+def error_for_once_result(result: OnceResult) -> CitrondykeError:
+    """Return the error for a request that must not be repeated."""
+    if result.kind is OnceResultKind.NOT_RUN:
+        if result.rejection is not None:
+            return error_for_rejection(result.rejection)
         return ServerUnreachableError(retry_in_ms=PROGRESS_RETRY_MS)
-    return _ONCE[end.kind]()
+    return _ONCE_ERRORS[result.kind]()
--- a/citrondyke/entry/operator_endpoint.py
+++ b/citrondyke/entry/operator_endpoint.py
@@ -1,4 +1,4 @@
-"""What operators ask and change."""
+"""Endpoints for operators."""
 
 from __future__ import annotations
 
@@ -46,16 +46,16 @@
 
 HISTORY_LIMIT = 200
 JOBS_LIMIT = 200
-#: Records in one answer.
+#: Maximum number of records in one response.
 RECORDS_LIMIT = 100_000
 PLATFORM_RETRY_MS = 2000.0
 
 
 class OperatorEndpoint:
-    """Answers operators."""
+    """Handles requests of operators."""
 
     def __init__(self, context: EntryContext) -> None:
-        """Use the instance behind ``front``."""
+        """Initialize the endpoint."""
         self._context = context
 
     def config(self) -> bytes:
@@ -65,11 +65,11 @@
 
     def propose(self) -> bytes:
         """Answer ``POST /operator/v1/config``."""
-        who = self._authenticate()
+        operator_id = self._authenticate()
         limits = self._context.settings.limits
         body = read_body(limits.body_bytes, limits.body_within_ms)
         proposal = decode_body(body, ConfigProposal)
-        result = self._context.driver.run(self._context.instance.propose(proposal, who))
+        result = self._context.driver.run(self._context.instance.propose(proposal, operator_id))
         match result:
             case ConfigChange():
                 return json_response(result)
@@ -78,8 +78,8 @@
             case ConfigRejection():
                 raise InvalidFieldError(f'{result.field}: allowed: {result.allowed}')
             case CommitFailure():
-                is_open = result.reason is CommitFailureReason.MAYBE_WRITTEN
-                run = RunState.UNKNOWN if is_open else RunState.NOT_RUN
+                may_be_written = result.reason is CommitFailureReason.MAYBE_WRITTEN
+                run = RunState.UNKNOWN if may_be_written else RunState.NOT_RUN
                 raise PlatformUnavailableError(run=run, retry_in_ms=PLATFORM_RETRY_MS)
 
     def history(self) -> bytes:
@@ -87,7 +87,7 @@
         self._authenticate()
         after = bottle.request.query.get('after', '0')
         if not after.isdigit():
-            raise InvalidFieldError('after is a version')
+            raise InvalidFieldError('after must be a version number')
         changes = self._context.driver.run(
             self._context.instance.config_replica.history(ConfigVersion(int(after)), HISTORY_LIMIT)
         )
@@ -127,7 +127,7 @@
         """Answer ``GET /operator/v1/histograms``."""
         self._authenticate()
         with_tenants = bottle.request.query.get('tenants') == 'yes'
-        return json_response(self._context.measures.report(with_tenants=with_tenants))
+        return json_response(self._context.metrics.report(with_tenants=with_tenants))
 
     def report(self) -> bytes:
         """Answer ``GET /operator/v1/report?class=C&from=MS&to=MS``."""
@@ -147,7 +147,7 @@
         return json_response(records)
 
     def jobs(self) -> bytes:
-        """Answer ``GET /operator/v1/jobs``: the open ones, by deadline."""
+        """Answer ``GET /operator/v1/jobs`` with the open jobs of each target by deadline."""
         self._authenticate()
         found: list[JobSummary] = []
         for target in self._context.instance.fleet.targets():
@@ -156,21 +156,21 @@
                 raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
             for row in rows:
                 _, _, deadline, job_id = row.key.rsplit('/', 3)
-                opened = msgspec.json.decode(row.value, type=OpenRow)
+                open_row = msgspec.json.decode(row.value, type=OpenRow)
                 found.append(
                     JobSummary(
                         job_id=JobId(job_id),
-                        tenant_id=opened.tenant_id,
+                        tenant_id=open_row.tenant_id,
                         target=target,
                         deadline_epoch_ms=float(deadline),
-                        segments_count=opened.segments_count,
-                        is_stopping=opened.is_stopping,
+                        segments_count=open_row.segments_count,
+                        is_stopping=open_row.is_stopping,
                     )
                 )
         return json_response(found)
 
     def job(self, job_id: str) -> bytes:
-        """Answer ``GET /operator/v1/jobs/<id>``: progress and forecast."""
+        """Answer ``GET /operator/v1/jobs/<id>`` with progress and forecast."""
         self._authenticate()
         instance = self._context.instance
         job = self._context.driver.run(instance.acceptance.find_job(None, JobId(job_id)))
@@ -202,7 +202,10 @@
         return json_response({'job_id': result.job_id, 'state': result.row.state.value})
 
     def _forecast(self, created_epoch_ms: float, counts: JobCounts, total: int) -> float | None:
-        """Forecast a job's end from its own pace so far; ``None`` before there is one."""
+        """Return when a job will finish at its average rate so far.
+
+        Returns ``None`` if no item has finished yet.
+        """
         done = counts.succeeded_count + counts.failed_count
         now_ms = self._context.clock.epoch_ms()
         elapsed_ms = now_ms - created_epoch_ms
@@ -241,7 +244,7 @@
     try:
         return float(query.get('from', '0')), float(query.get('to', '1e15'))
     except ValueError as error:
-        raise InvalidFieldError('from and to are milliseconds since 1970') from error
+        raise InvalidFieldError('from and to must be milliseconds since 1970') from error
 
 
 def _conflict_message(conflict: ConfigConflict) -> str:
@@ -250,5 +253,7 @@
         + ', '.join(edit.name for edit in change.edits)
         for change in conflict.changes
     ]
-    told = '; '.join(changes) or 'see the history'
-    return f'the configuration is at version {conflict.current_version}; changed since: {told}'
+    changes_text = '; '.join(changes) or 'see the history of the configuration'
+    return (
+        f'the configuration is at version {conflict.current_version}; changed since: {changes_text}'
+    )
--- a/citrondyke/entry/operator_schemas.py
+++ b/citrondyke/entry/operator_schemas.py
@@ -1,4 +1,4 @@
-"""What operators are answered."""
+"""Response bodies of the operator endpoints."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class MemberView(msgspec.Struct, frozen=True, kw_only=True):
-    """A peer as one instance sees it."""
+    """The state of a peer as seen by one instance."""
 
     id: str
     zone: str
-    #: What the platform's list says.
+    #: State in the platform's list of instances.
     listed: str
-    #: What is believed.
+    #: State in this instance's membership.
     state: str
 
 
 class ServerReport(msgspec.Struct, frozen=True, kw_only=True):
-    """A backend server as one instance sees it."""
+    """The state of a backend server as seen by one instance."""
 
     id: str
     target: str
@@ -33,13 +33,13 @@
     is_ejected: bool
     online_count: int
     online_limit: int
-    #: Known to its steward only.
+    #: Known to the server's steward only; ``None`` on other instances.
     batch_count: int | None = None
     fill_limit: int | None = None
 
 
 class StatusReport(msgspec.Struct, frozen=True, kw_only=True):
-    """One instance and what it sees."""
+    """The status of an instance, with its view of peers and servers."""
 
     instance_id: str
     zone: str
@@ -54,7 +54,7 @@
 
 
 class JobSummary(msgspec.Struct, frozen=True, kw_only=True):
-    """An open job in the list."""
+    """An open job in the list of jobs."""
 
     job_id: JobId
     tenant_id: TenantId
@@ -65,10 +65,10 @@
 
 
 class JobView(msgspec.Struct, frozen=True, kw_only=True):
-    """One job with its forecast."""
+    """A job with its forecast."""
 
     batch: dict[str, Any]
-    #: ``None`` before the job has a pace, and when it is over.
+    #: ``None`` until an item of the job has finished, and after the job has finished.
     forecast_epoch_ms: float | None
     deadline_epoch_ms: float
     is_at_risk: bool
--- a/citrondyke/entry/request_recorder.py
+++ b/citrondyke/entry/request_recorder.py
@@ -1,4 +1,4 @@
-"""Measures one online request and writes its outcome down."""
+"""Records the outcome and timings of an online request."""
 
 from __future__ import annotations
 
@@ -21,36 +21,38 @@
 
 
 class RequestRecorder:
-    """Measures one request from its acceptance to its end."""
+    """Measures a request and records its outcome in metrics, audit records and the log."""
 
     def __init__(self, context: EntryContext, request: OnlineRequest) -> None:
-        """Begin to measure."""
+        """Start the measurement."""
         self._context = context
         self._request = request
         self._started_ms = context.clock.now_ms()
         self._is_open = True
         context.open_calls += 1
 
-    def close(self, end: OnlineResult | None) -> None:
-        """Record how it ended; ``None`` when the caller went away or we failed."""
-        if end is None:
+    def close(self, result: OnlineResult | None) -> None:
+        """Record the result; ``None`` if the caller disconnected or an internal error occurred."""
+        if result is None:
             self.close_with_outcome('caller_gone')
             return
-        if end.kind is OnlineResultKind.ANSWERED and end.reply is not None:
-            outcome = 'ok' if end.reply.status < 400 else f'status_{end.reply.status}'  # noqa: PLR2004
-            self.close_with_outcome(outcome, end)
+        if result.kind is OnlineResultKind.ANSWERED and result.reply is not None:
+            outcome = 'ok' if result.reply.status < 400 else f'status_{result.reply.status}'  # noqa: PLR2004
+            self.close_with_outcome(outcome, result)
             return
-        self.close_with_outcome(error_for_result(end, has_begun=end.frames_count > 0).code, end)
+        self.close_with_outcome(
+            error_for_result(result, has_begun=result.frames_count > 0).code, result
+        )
 
-    def close_with_outcome(self, outcome: str, end: OnlineResult | None = None) -> None:
-        """Record an outcome; the first one stands."""
+    def close_with_outcome(self, outcome: str, result: OnlineResult | None = None) -> None:
+        """Record an outcome; later calls are ignored."""
         if not self._is_open:
             return
         self._is_open = False
         context, request = self._context, self._request
         context.open_calls -= 1
         total_ms = context.clock.now_ms() - self._started_ms
-        first_ms = end.first_frame_ms if end is not None else None
+        first_ms = result.first_frame_ms if result is not None else None
         entry = context.instance.config_replica.current.class_entry(request.class_name)
         sample = RequestSample(
             tenant_id=request.tenant_id,
@@ -58,10 +60,10 @@
             outcome=outcome,
             total_ms=total_ms,
             first_token_ms=first_ms if request.is_streamed else None,
-            tokens_count=end.frames_count if end is not None else 0,
-            is_kept=_is_kept(entry, request, outcome, end, total_ms),
+            tokens_count=result.frames_count if result is not None else 0,
+            is_kept=_is_kept(entry, request, outcome, result, total_ms),
         )
-        context.measures.add(sample)
+        context.metrics.add(sample)
         self._add_audit_record(sample)
         if context.settings.logs.requests:
             log.info(
@@ -73,12 +75,12 @@
                     'target': request.target,
                     'outcome': outcome,
                     'total_ms': round(total_ms, 2),
-                    'attempts': end.attempts if end is not None else 0,
+                    'attempts': result.attempts if result is not None else 0,
                 },
             )
 
     def _add_audit_record(self, sample: RequestSample) -> None:
-        """Write the outcome down for whoever asks for evidence."""
+        """Add an audit record of the outcome."""
         context, request = self._context, self._request
         now_ms = context.clock.now_ms()
         context.instance.journal.add(
@@ -104,17 +106,20 @@
     entry: ClassEntry | None,
     request: OnlineRequest,
     outcome: str,
-    end: OnlineResult | None,
+    result: OnlineResult | None,
     total_ms: float,
 ) -> bool | None:
-    """Judge a request by its class's target; a failure is a target missed."""
+    """Return whether a request met the latency targets of its class.
+
+    A failed request has missed them. The result is ``None`` if the targets do not apply.
+    """
     if entry is None or not request.is_model:
         return None
-    if outcome != 'ok' or end is None:
+    if outcome != 'ok' or result is None:
         return False if outcome != 'caller_gone' else None
-    if not request.is_streamed or end.first_frame_ms is None:
+    if not request.is_streamed or result.first_frame_ms is None:
         return None
-    if end.first_frame_ms > entry.first_token_target_ms:
+    if result.first_frame_ms > entry.first_token_target_ms:
         return False
-    gaps = max(1, end.frames_count - 1)
-    return (total_ms - end.first_frame_ms) / gaps <= entry.token_gap_target_ms
+    gaps = max(1, result.frames_count - 1)
+    return (total_ms - result.first_frame_ms) / gaps <= entry.token_gap_target_ms
--- a/citrondyke/entry/responses.py
+++ b/citrondyke/entry/responses.py
@@ -1,4 +1,4 @@
-"""The body of every failure, the same at every door."""
+"""JSON responses, with one error format for all endpoints."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 
 
 class ErrorDetail(msgspec.Struct, frozen=True):
-    """A failure in the published shape, with what is known of the run."""
+    """The published error fields and whether the request may have run."""
 
     type: str
     code: str
     message: str
     #: ``not_run``, ``unknown`` or ``ran``.
     run: str
-    #: When to come back, from now; ``None`` where a resend cannot help.
+    #: Time after the response when the caller may retry; ``None`` if a retry cannot succeed.
     retry_in_ms: float | None = None
     param: str | None = None
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """Body of every answer that is a failure."""
+    """Body of every error response."""
 
     error: ErrorDetail
 
 
 def error_body(error: CitrondykeError) -> ErrorBody:
-    """Write a failure down."""
+    """Return the response body for an error."""
     return ErrorBody(
         ErrorDetail(
             type=error.kind,
@@ -52,14 +52,14 @@
 
 
 def json_response(value: Any, status: int = 200) -> bytes:
-    """Answer with JSON."""
+    """Encode a JSON body and set the status and content type of the response."""
     bottle.response.status = status
     bottle.response.content_type = JSON
     return msgspec.json.encode(value)
 
 
 def error_plugin(callback: Callable[..., Any]) -> Callable[..., Any]:
-    """Turn every failure at a door into its answer."""
+    """Convert errors raised by an endpoint into error responses."""
 
     def guarded(*args: Any, **kwargs: Any) -> Any:
         try:
@@ -76,7 +76,7 @@
 
 
 def error_response(error: CitrondykeError) -> bytes:
-    """Answer with a failure."""
+    """Return the response for an error, with ``Retry-After`` if a retry can succeed."""
     if error.retry_in_ms is not None:
         bottle.response.set_header('Retry-After', str(math.ceil(error.retry_in_ms / 1e3)))
     return json_response(error_body(error), error.http_status)
--- a/citrondyke/entry/results.py
+++ b/citrondyke/entry/results.py
@@ -1,4 +1,4 @@
-"""Writes out the outcomes of a job."""
+"""Reads the input file and the result files of a job."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 def result_lines(
     context: EntryContext, job: AcceptedJob, parts: list[tuple[RowKey, PartRow]], *, is_error: bool
 ) -> Iterator[bytes]:
-    """Give the lines of a job's result file, part by part.
+    """Yield the lines of a job's result file, part by part.
 
-    :param is_error: whether the file of failures is wanted, or that of answers.
-    :raises PlatformUnavailableError: when an object cannot be read.
+    :param is_error: whether to yield the failed items instead of the successful ones.
+    :raises PlatformUnavailableError: if an object cannot be read.
     """
     for key, part in parts:
         if part.kind in UNFINISHED_CODES:
@@ -53,9 +53,9 @@
 
 
 def input_lines(context: EntryContext, row: FileRow) -> Iterator[bytes]:
-    """Give a job file as it was sent, segment by segment.
+    """Yield a job file as uploaded, segment by segment.
 
-    :raises PlatformUnavailableError: when an object cannot be read.
+    :raises PlatformUnavailableError: if an object cannot be read.
     """
     for segment in range(row.segments_count):
         yield _read_object(context, input_object_key(row.upload_id, segment)) + b'\n'
@@ -64,14 +64,14 @@
 def _unfinished_item_lines(
     context: EntryContext, job: AcceptedJob, segment: int, part: PartRow
 ) -> bytes:
-    """Write the lines of items that were closed unrun; they have no object of their own."""
+    """Return the lines of items that were cancelled or expired; no stored object has them."""
     lines = _read_object(context, input_object_key(job.row.upload_id, segment)).split(b'\n')
     written: list[bytes] = []
     for position in ItemSet.parse(part.items):
         custom_id = msgspec.json.decode(lines[position], type=_CustomId).custom_id
         request_id = f'{job.job_id}-{segment}-{position}'
-        # An item that was cut while it ran has no visible outcome either, so it is not said
-        # here that none of them ran.
+        # An item that was aborted while running has no outcome either, so the run state is
+        # "unknown" and not "not run".
         written.append(result_line(request_id, custom_id, UNFINISHED_CODES[part.kind], 'unknown'))
     return b'\n'.join(written) + b'\n'
 
--- a/citrondyke/entry/server.py
+++ b/citrondyke/entry/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server in front of the doors."""
+"""The HTTP server of the endpoints."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 __all__ = ('EntryServer', 'entry_server', 'prepare_connection')
 
-CONNECTIONS_RETRY_MS = 1000.0
-#: A connection on which nothing arrives for so long is closed, also before its first request.
-IDLE_S = 75.0
+RETRY_MS = 1000.0
+#: A connection without incoming data for this long is closed, also before its first request.
+IDLE_TIMEOUT_S = 75.0
 
 
 class _RequestHandler(WSGIHandler):
-    """Leaves the request log to the doors, which know more."""
+    """Counts requests and writes no log; the endpoints log requests with more detail."""
 
     def handle_one_response(self) -> None:
-        """Count a request from its head to the last byte of its answer."""
+        """Count a request as open until the last byte of its response is sent."""
         self.server.open_requests += 1
         try:
             super().handle_one_response()
@@ -33,13 +33,13 @@
             self.server.open_requests -= 1
 
     def log_request(self) -> None:
-        """Log nothing here."""
+        """Do nothing; the endpoints log requests."""
 
     def log_error(self, msg: str, *args: Any) -> None:
-        """Log nothing here: a caller that cuts its connection is no error of ours."""
+        """Do nothing: a caller that closes its connection is not an error of the server."""
 
     def handle_error(self, t: Any, v: Any, tb: Any) -> None:
-        """Close the connection of a caller that is gone or too slow."""
+        """Close the connection of a caller that disconnected or timed out."""
         if isinstance(v, OSError):
             self.close_connection = True
             return
@@ -47,28 +47,28 @@
 
 
 class EntryServer(WSGIServer):
-    """Answers up to a number of connections, and turns more away at once."""
+    """Serves a limited number of connections and rejects further ones at once."""
 
     connections_limit = 0
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
-        """Start with no connection open."""
+        """Initialize the server without connections."""
         super().__init__(*args, **kwargs)
         self.open_connections = 0
-        #: Requests under way; a planned stop waits for them.
+        #: Requests in progress; a graceful shutdown waits for them.
         self.open_requests = 0
         self.refused_connections = 0
 
     def handle(self, sock: socket.socket, address: Any) -> None:
-        """Serve one connection, or refuse it.
+        """Serve a connection, or reject it above the limit.
 
-        Without a bound, connections that do nothing use up memory until the instance dies with
-        all its calls; without an answer, callers beyond the bound wait in the kernel's queue
-        and cannot tell that from a slow answer.
+        Without a limit, idle connections would exhaust the memory of the instance and all its
+        requests would fail. Without a response, callers above the limit would wait in the
+        kernel's queue and could not distinguish this from a slow response.
         """
         if self.open_connections >= self.connections_limit:
             self.refused_connections += 1
-            _refuse(sock)
+            _reject(sock)
             return
         self.open_connections += 1
         try:
@@ -81,7 +81,7 @@
 def entry_server(
     ip: str, port: int, app: bottle.Bottle, connections_limit: int, tls: dict[str, Any]
 ) -> EntryServer:
-    """Make the server.
+    """Create the server.
 
     :param tls: arguments for TLS, empty for plain HTTP.
     """
@@ -93,20 +93,18 @@
 
 
 def prepare_connection(sock: socket.socket) -> None:
-    """Set a caller's connection up.
+    """Set the socket options of a caller's connection.
 
-    Without ``TCP_NODELAY`` the kernel holds each token back until the caller has confirmed the
-    one before, which callers put off for some 40 ms: a stream of tokens every 4 ms arrives in
-    jerks of ten.
+    Without ``TCP_NODELAY``, the kernel holds each token until the caller has acknowledged the
+    previous one. Callers delay acknowledgements by about 40 ms, so that a stream with a token
+    every 4 ms would arrive in bursts of ten.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    sock.settimeout(IDLE_S)
+    sock.settimeout(IDLE_TIMEOUT_S)
 
 
-def _refuse(sock: socket.socket) -> None:
-    body = msgspec.json.encode(
-        error_body(TooManyConnectionsError(retry_in_ms=CONNECTIONS_RETRY_MS))
-    )
+def _reject(sock: socket.socket) -> None:
+    body = msgspec.json.encode(error_body(TooManyConnectionsError(retry_in_ms=RETRY_MS)))
     head = (
         'HTTP/1.1 503 Service Unavailable\r\nContent-Type: application/json\r\n'
         f'Content-Length: {len(body)}\r\nRetry-After: 1\r\nConnection: close\r\n\r\n'
--- a/citrondyke/entry/upload.py
+++ b/citrondyke/entry/upload.py
@@ -1,4 +1,4 @@
-"""Takes in a job file while it arrives."""
+"""Receives and stores an uploaded job file."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class Upload:
-    """One multipart body: the form fields, and the file cut into segments.
+    """A multipart upload: its form fields, and its file split into segments.
 
-    The segments go to the object store as they fill, so that a file of any size takes the
-    memory of one segment. Nothing refers to them before the whole file was found good.
+    Each segment is stored as soon as it is full, so that a file of any size needs memory for one
+    segment only. No row refers to the segments until the whole file is valid.
     """
 
     def __init__(self, context: EntryContext) -> None:
-        """Start at the first byte."""
+        """Initialize the upload before its first byte."""
         self.upload_id = uuid.uuid4().hex
         self.filename = ''
         self.purpose = ''
@@ -45,10 +45,11 @@
         self._has_file = False
 
     def receive(self) -> JobFileSummary:
-        """Read the body to its end.
+        """Receive the whole body and store the file.
 
-        :raises BadJobLineError: naming the first line that cannot be accepted.
-        :raises InvalidFieldError: when the form is not as published.
+        :raises BadJobLineError: if a line is invalid; the message has the number of the first one.
+        :raises InvalidFieldError: if the form is invalid.
+        :raises PlatformUnavailableError: if a segment cannot be stored.
         """
         kind, options = parse_options_header(bottle.request.content_type or '')
         if kind != 'multipart/form-data' or 'boundary' not in options:
@@ -58,7 +59,7 @@
                 for chunk in body_chunks(self._context.settings.limits.upload_within_ms):
                     self._parse(parser, chunk)
         except MultipartError as error:
-            raise InvalidFieldError(f'the form cannot be read: {error}') from error
+            raise InvalidFieldError(f'the multipart form is invalid: {error}') from error
         if self.purpose != 'batch':
             raise InvalidFieldError("purpose must be 'batch'")
         if not self._has_file:
--- a/citrondyke/errors/invalid_header.py
+++ b/citrondyke/errors/invalid_header.py
@@ -8,7 +8,7 @@
 
 
 class InvalidHeaderError(CitrondykeError, ValueError):
-    """A header cannot be sent: its name is not a token or its value contains a line break."""
+    """A header name is not a token, or a header value contains a control character."""
 
     code = 'invalid_header'
     kind = 'invalid_request_error'
--- a/tests/test_entry/__init__.py
+++ b/tests/test_entry/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the doors for callers."""
+"""Tests of the HTTP endpoints for callers."""
 
 from __future__ import annotations
--- a/tests/test_entry/test_entry_answers.py
+++ b/tests/test_entry/test_entry_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request, or a typed failure."""
+"""Each caller gets the complete response to its own request, or a typed error."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 
 def stream_text(answer: Answer) -> str:
-    """Join the tokens of a streamed answer."""
+    """Join the tokens of a streamed response."""
     frames = [frame[6:] for frame in answer.body.split(b'\n\n') if frame.startswith(b'data: {')]
     choices = [msgspec.json.decode(frame)['choices'][0] for frame in frames]
     return ''.join(choice['delta'].get('content', '') for choice in choices)
 
 
 @pytest.mark.fleet(instances=1, engines=2)
-def test_cut_streams_resume_without_a_seam(fleet: Fleet) -> None:
-    # Every stream is cut at an engine after some tokens, again and again. The instance resumes
-    # it behind the last whole token, there or on the other engine; the caller notices nothing.
+def test_interrupted_streams_resume_seamlessly(fleet: Fleet) -> None:
+    # Engines abort each stream after a few tokens. The instance must resume it after the last
+    # complete token, on either engine, so that the caller gets the same text as without aborts.
     caller = fleet.caller()
     for cut_after in (0, 1, 5):
         for engine in ('engine-0', 'engine-1'):
@@ -39,9 +39,9 @@
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_stream_that_cannot_go_on_ends_in_a_failure(fleet: Fleet) -> None:
-    # The only engine cuts the stream and is gone for good. The answer so far is followed by a
-    # typed failure and no closing mark, so that no client takes it for whole.
+def test_stream_that_cannot_resume_ends_with_an_error(fleet: Fleet) -> None:
+    # The only engine aborts the stream every time. The partial response must end with a typed
+    # error and without the closing event, or a client would take it for complete.
     fleet.server_faults('engine-0', cut_streams_left=9, cut_after_tokens=3)
     answer = fleet.caller().chat('doomed', 12, stream=True)
     assert answer.status == 200
@@ -53,11 +53,11 @@
 
 @pytest.mark.fleet(instances=1, engines=2)
 def test_reused_connections_never_mix_answers(fleet: Fleet) -> None:
-    # Callers give up in the middle of answers while others use the same connections to the
-    # engines. Late rests of abandoned answers never reach another caller.
+    # Callers abandon streams while others use the same connections to the engines. If such a
+    # connection were reused, the rest of the abandoned response would reach another caller.
     port = fleet.port('instance-0')
 
-    def ask(n: int) -> bool:
+    def send(n: int) -> bool:
         caller = Caller(port, 'demo-tenant-key')
         if n % 3 == 0:
             caller.try_call(
@@ -79,12 +79,12 @@
         return text == expected_text(f'user: ask {n}', 6)
 
     with ThreadPoolExecutor(24) as pool:
-        assert all(pool.map(ask, range(240)))
+        assert all(pool.map(send, range(240)))
 
 
 @pytest.mark.fleet(instances=1, engines=2)
-def test_dead_engine_costs_no_caller_an_answer(fleet: Fleet) -> None:
-    # One engine is killed with streams running. Repeatable requests go on elsewhere.
+def test_engine_crash_fails_no_repeatable_request(fleet: Fleet) -> None:
+    # One engine is killed while streams run on it. Repeatable requests resume on the other one.
     caller = fleet.caller()
     fleet.server_faults('engine-0', slow_ms=20)
     fleet.server_faults('engine-1', slow_ms=20)
@@ -99,9 +99,9 @@
 
 
 @pytest.mark.fleet(instances=1, engines=0, services=())
-def test_slow_answer_is_waited_for(fleet: Fleet) -> None:
-    # A service takes longer than a connect may; its answer is still the caller's. The limit of
-    # the connect was once left on the connection and cut it, with "unknown" for the caller.
+def test_connect_timeout_does_not_limit_the_response(fleet: Fleet) -> None:
+    # A service responds more slowly than the connect timeout. If that timeout stayed set on the
+    # connection, it would abort the response and the caller would get the run state "unknown".
     fleet.start_service('lookup-server', 'lookup', run_ms=1500)
     caller = fleet.caller()
     wait_until(lambda: caller.call('POST', '/services/lookup/x', {}).status == 200, 'an answer')
--- a/tests/test_entry/test_entry_client.py
+++ b/tests/test_entry/test_entry_client.py
@@ -1,4 +1,4 @@
-"""The published OpenAI client works unchanged."""
+"""The official OpenAI client works without changes."""
 
 from __future__ import annotations
 
--- a/tests/test_entry/test_entry_errors.py
+++ b/tests/test_entry/test_entry_errors.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear, typed answer and costs nobody else anything."""
+"""Invalid input gets a typed error and does not affect other callers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_bad_requests_are_named(fleet: Fleet) -> None:
+def test_bad_requests_get_specific_errors(fleet: Fleet) -> None:
     caller = fleet.caller()
     good = {'model': 'demo-model', 'messages': [{'role': 'user', 'content': 'x'}]}
     cases: list[tuple[object, dict[str, str], int, str]] = [
@@ -53,19 +53,19 @@
         b'{"custom_id": "a", "url": "/v1/completions", "body": {}}\n': 'model',
         chat_line('item-0', 'twice'): 'used before',
     }
-    for line, why in bad_lines.items():
+    for line, reason in bad_lines.items():
         answer = caller.upload(chat_lines(120) + line + chat_lines(3, name='rest'))
         assert (answer.status, answer.error['code']) == (400, 'bad_job_line')
         assert answer.error['message'].startswith('line 121: ')
-        assert why in answer.error['message']
+        assert reason in answer.error['message']
     assert caller.upload(b'\n\n').error['code'] == 'bad_job_line'
     assert caller.get('/v1/files').json['data'] == []
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_slow_sender_is_told_and_others_are_served(fleet: Fleet) -> None:
-    # The caller promises a body and sends half of it. Its connection is answered once the time
-    # for a body is over; meanwhile and afterwards others are served.
+def test_slow_sender_gets_timeout_and_others_are_served(fleet: Fleet) -> None:
+    # A caller announces a body and sends only a part of it. It must get an error after the body
+    # timeout, and other callers must be served meanwhile.
     port = fleet.port('instance-0')
     with socket.create_connection(('127.0.0.1', port)) as slow:
         slow.sendall(
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_too_many_connections_are_refused_at_once(fleet: Fleet) -> None:
+def test_too_many_connections_are_rejected_at_once(fleet: Fleet) -> None:
     port = fleet.port('instance-0')
     idle = [socket.create_connection(('127.0.0.1', port)) for _ in range(400)]
     try:
@@ -94,8 +94,8 @@
         for each in idle:
             each.close()
 
-    def look() -> bool:
+    def is_ready() -> bool:
         answer = fleet.caller().try_call('GET', '/health/ready')
         return answer is not None and answer.status == 200
 
-    wait_until(look, 'places to be free again')
+    wait_until(is_ready, 'connections to be free again')
--- a/tests/test_entry/test_entry_fuzz.py
+++ b/tests/test_entry/test_entry_fuzz.py
@@ -1,4 +1,4 @@
-"""Any bytes at any door get a typed answer, and the instance goes on."""
+"""Arbitrary bytes sent to any endpoint get a typed error, and the instance keeps serving."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     ['model', 'messages', 'prompt', 'stream', 'n', 'input_file_id', 'endpoint', 'edits']
 )
 BODIES = st.binary(max_size=60) | st.dictionaries(FIELDS, JSON_VALUES, max_size=4)
-DOORS = st.sampled_from(
+ENDPOINTS = st.sampled_from(
     [
         ('POST', '/v1/chat/completions'),
         ('POST', '/v1/completions'),
@@ -34,14 +34,14 @@
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_any_bytes_get_a_typed_answer(fleet: Fleet) -> None:
+def test_arbitrary_bytes_get_a_typed_error(fleet: Fleet) -> None:
     port = fleet.port('instance-0')
     callers = [Caller(port, key) for key in (DEMO_TENANT_KEY, DEMO_OPERATOR_KEY, 'nobody')]
 
     @settings(max_examples=250, deadline=None, derandomize=True)
-    @given(DOORS, BODIES, st.sampled_from([0, 1, 2]))
-    def send(door: tuple[str, str], body: object, who: int) -> None:
-        answer = callers[who].call(*door, body)
+    @given(ENDPOINTS, BODIES, st.sampled_from([0, 1, 2]))
+    def send(endpoint: tuple[str, str], body: object, caller_index: int) -> None:
+        answer = callers[caller_index].call(*endpoint, body)
         assert 400 <= answer.status < 500
         assert answer.error['code'] not in ('', 'internal_error')
         assert answer.error['run'] == 'not_run'
--- a/tests/test_entry/test_entry_not_run.py
+++ b/tests/test_entry/test_entry_not_run.py
@@ -1,4 +1,4 @@
-"""What is said to be "not run" was not run, and never runs later."""
+"""A request reported as "not run" has not run and never runs later."""
 
 from __future__ import annotations
 
@@ -18,34 +18,35 @@
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_refused_and_unreachable_are_not_run(fleet: Fleet) -> None:
-    # The engine refuses, then nobody listens at its address: both are "not run" with a time to
-    # come back. An engine that cuts before the first byte may have run it: "unknown".
+def test_rejected_and_unreachable_requests_are_not_run(fleet: Fleet) -> None:
+    # A rejection by the engine and a refused connection must be reported as "not run" with a
+    # retry time. An engine that closes the connection before the first byte may have run the
+    # request, so this must be reported as "unknown".
     caller = fleet.caller()
     fleet.server_faults('engine-0', refuse_left=99)
-    refused = caller.chat('refused')
-    assert (refused.status, refused.error['run']) == (503, 'not_run')
-    assert refused.error['retry_in_ms'] > 0
+    rejected = caller.chat('refused')
+    assert (rejected.status, rejected.error['run']) == (503, 'not_run')
+    assert rejected.error['retry_in_ms'] > 0
     assert engine_runs(fleet) == 0
     fleet.server_faults('engine-0', cut_before_answer_left=99)
     body = {'model': 'demo-model', 'messages': [{'role': 'user', 'content': 'x'}]}
-    cut: Answer | None = None
-    while cut is None or cut.error['run'] == 'not_run':
-        cut = caller.call('POST', CHAT, body)
-    assert cut.error['run'] == 'unknown'
+    aborted: Answer | None = None
+    while aborted is None or aborted.error['run'] == 'not_run':
+        aborted = caller.call('POST', CHAT, body)
+    assert aborted.error['run'] == 'unknown'
     fleet.program('engine-0').kill()
-    gone = caller.chat('gone')
-    assert (gone.status, gone.error['run']) == (503, 'not_run')
+    unreachable = caller.chat('gone')
+    assert (unreachable.status, unreachable.error['run']) == (503, 'not_run')
 
 
 @pytest.mark.fleet(instances=1, engines=1)
 def test_deadline_in_the_queue_is_not_run(fleet: Fleet) -> None:
-    # More requests than the engine bears wait for a place; those whose deadline passes while
-    # they wait are told "not run", and the engine never saw any of these.
+    # More requests than the engine can run at once wait in the queue. Those whose deadline
+    # passes there must be reported as "not run", and the engine must not have seen any of them.
     fleet.server_faults('engine-0', slow_ms=30)
     caller = fleet.caller()
 
-    def ask(n: int) -> Answer:
+    def send(n: int) -> Answer:
         return caller.call(
             'POST',
             CHAT,
@@ -58,7 +59,7 @@
         )
 
     with ThreadPoolExecutor(200) as pool:
-        answers = list(pool.map(ask, range(200)))
+        answers = list(pool.map(send, range(200)))
     answered = [n for n, answer in enumerate(answers) if answer.status == 200]
     for n in answered:
         text = answers[n].json['choices'][0]['message']['content']
@@ -71,17 +72,17 @@
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_stale_connection_is_not_taken_for_not_run(fleet: Fleet) -> None:
-    # The instance holds kept connections to a service that restarts meanwhile. What is sent on
-    # a connection that was closed at the other end may have arrived; so the order either goes
-    # through on a new connection or is "unknown", and it never runs twice.
+def test_stale_connection_is_not_reported_as_not_run(fleet: Fleet) -> None:
+    # The instance holds idle connections to a service that restarts. A request sent on a
+    # connection that the service has closed may have arrived. It must either succeed on a new
+    # connection or be reported as "unknown", and it must never run twice.
     caller = fleet.caller()
-    place = '/services/orders/place'
-    assert caller.call('POST', place, {'n': 0}, {'Idempotency-Key': 'k0'}).status == 200
+    path = '/services/orders/place'
+    assert caller.call('POST', path, {'n': 0}, {'Idempotency-Key': 'k0'}).status == 200
     fleet.program('orders-server').kill()
     fleet.start_service('orders-server', 'orders')
     for n in range(1, 6):
-        answer = caller.call('POST', place, {'n': n}, {'Idempotency-Key': f'k{n}'})
+        answer = caller.call('POST', path, {'n': n}, {'Idempotency-Key': f'k{n}'})
         ran = fleet.runs('orders-server').get(f'k{n}', 0)
         assert ran <= 1
         if answer.status != 200 and answer.error['run'] == 'not_run':
--- a/tests/test_entry/test_entry_server.py
+++ b/tests/test_entry/test_entry_server.py
@@ -1,4 +1,4 @@
-"""How the server sets its connections up."""
+"""Socket options of callers' connections."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from citrondyke.entry.server import prepare_connection
 
 
-def test_tokens_are_not_held_back() -> None:
-    # Callers saw streams in jerks of 40 ms: small writes waited in the kernel for the caller's
-    # delayed acknowledgement. With the option set each token leaves at once.
+def test_tokens_are_sent_without_delay() -> None:
+    # Without TCP_NODELAY, small writes wait in the kernel for the caller's delayed
+    # acknowledgement, and streams arrive in bursts every 40 ms.
     with socket.socket() as sock:
         prepare_connection(sock)
         assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
