--- a/citrondyke/backend/__init__.py
+++ b/citrondyke/backend/__init__.py
@@ -1,3 +1,3 @@
-"""Requests to backend servers: model engines and plain services."""
+"""Client for backend servers: model engines and plain services."""
 
 from __future__ import annotations
--- a/citrondyke/backend/client.py
+++ b/citrondyke/backend/client.py
@@ -1,4 +1,4 @@
-"""Carries out one request to one backend server and sorts how it ended."""
+"""Sends requests to backend servers and classifies their results."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class BackendClient:
-    """Sends requests over kept connections; never sends one twice by itself."""
+    """Sends requests over keep-alive connections; never retries a request."""
 
     def __init__(
         self,
@@ -47,10 +47,10 @@
         address_of: Callable[[ServerId], tuple[str, int] | None],
         answer_limit_bytes: int,
     ) -> None:
-        """Use the connections handed in.
+        """Initialize the client.
 
-        :param address_of: gives a server's address, ``None`` when it is not listed.
-        :param answer_limit_bytes: longest answer that is kept in memory.
+        :param address_of: returns a server's address; ``None`` if the server is not listed.
+        :param answer_limit_bytes: size from which a response that is not streamed is a failure.
         """
         self._connections = connections
         self._clock = clock
@@ -58,43 +58,44 @@
         self._answer_limit_bytes = answer_limit_bytes
 
     def call(self, call: ServerCall) -> ServerReply:
-        """Carry out a request and keep its whole answer."""
-        frames: list[bytes] = []
+        """Send a request and return its whole response."""
+        events: list[bytes] = []
         attempt = self.stream(call)
         while True:
             try:
-                frames.append(event_data(next(attempt)))
+                events.append(event_data(next(attempt)))
             except StopIteration as stop:
                 reply: ServerReply = stop.value
-                return msgspec.structs.replace(reply, frames=tuple(frames))
+                return msgspec.structs.replace(reply, frames=tuple(events))
 
     def stream(self, call: ServerCall) -> Generator[bytes, None, ServerReply]:
-        """Carry out a request and give out the frames of a streamed answer as they come.
+        """Send a request and yield the events of a streamed response as they arrive.
 
-        A plain answer comes with the reply. Closing the generator cuts the request.
+        The returned reply has the body of a response that is not streamed. Closing the generator
+        aborts the request.
         """
         address = self._address_of(call.server_id)
         if address is None:
             return ServerReply(kind=ReplyKind.UNREACHABLE)
         attempt = _Attempt(self._clock, call, self._connections.acquire(call.server_id, *address))
         call.cancel.subscribe(attempt.abort)
-        is_whole = False
+        is_complete = False
         try:
             reply = attempt.send()
             if reply is None:
                 reply = yield from attempt.read(self._answer_limit_bytes)
-            is_whole = reply.kind in (ReplyKind.COMPLETE, ReplyKind.REFUSED)
+            is_complete = reply.kind in (ReplyKind.COMPLETE, ReplyKind.REFUSED)
             return reply
         finally:
             call.cancel.unsubscribe(attempt.abort)
             attempt.close()
-            if is_whole and attempt.is_reusable:
+            if is_complete and attempt.is_reusable:
                 self._connections.release(call.server_id, attempt.connection)
             else:
                 attempt.connection.close()
 
     def poll_load(self, server_id: ServerId, until_ms: float) -> ServerLoad | None:
-        """Ask a server for its load."""
+        """Query the load of a server; return ``None`` on failure."""
         address = self._address_of(server_id)
         if address is None:
             return None
@@ -112,7 +113,7 @@
 
 
 class _Attempt:
-    """One request on one connection."""
+    """A request that is sent once on a connection."""
 
     def __init__(self, clock: Clock, call: ServerCall, connection: HTTPConnection) -> None:
         self.connection = connection
@@ -120,18 +121,18 @@
         self._clock = clock
         self._call = call
         self._started_ms = clock.now_ms()
-        self._first_event_ms: float | None = None
+        self._first_data_ms: float | None = None
         self._events_count = 0
         self._timer: Any = None
 
     def close(self) -> None:
-        """Stop minding the deadline."""
+        """Stop the deadline timer."""
         if self._timer is not None:
             self._timer.stop()
             self._timer.close()
 
     def abort(self) -> None:
-        """Wake whoever reads, with the end of the connection."""
+        """Shut the connection down, so that a blocked read ends."""
         sock = self.connection.sock
         if sock is None:
             return
@@ -141,7 +142,7 @@
             return
 
     def send(self) -> ServerReply | None:
-        """Open the connection and send; give a reply only where that fails."""
+        """Connect and send the request; return a reply only on failure."""
         if self._call.cancel.is_fired:
             return ServerReply(kind=ReplyKind.CANCELLED)
         if self.connection.sock is None:
@@ -149,10 +150,10 @@
             try:
                 self.connection.connect()
             except (HTTPError, OSError):
-                # No byte of the request left this process.
+                # No byte of the request has been sent.
                 return ServerReply(kind=ReplyKind.UNREACHABLE)
-        # One timer minds the deadline of the whole attempt. A limit on the socket would start a
-        # timer for every read, and reading the head of an answer would set it anew.
+        # One timer covers the deadline of the whole attempt. A socket timeout would start a timer
+        # for each read and would be reset when the response head is read.
         self._timer = get_hub().loop.timer(self._remaining_s())
         self._timer.start(self.abort)
         self.connection.timeout = None
@@ -167,13 +168,13 @@
                 decode_content=False,
             )
         except (HTTPError, OSError):
-            # A kept connection can be closed at the other end while bytes are on the way: the
-            # server may have all of them, so this is not "not run".
+            # A server may close an idle connection while the request is in transit. It may have
+            # received the whole request, so the request cannot be reported as not run.
             return self._failure_reply()
         return None
 
     def read(self, limit_bytes: int) -> Generator[bytes, None, ServerReply]:
-        """Read the answer."""
+        """Read the response, and yield its events if it is streamed."""
         try:
             response = self.connection.getresponse()
             status = response.status
@@ -193,19 +194,20 @@
         on_frame = self._call.on_frame
         is_done = False
         for data in response.stream(READ_BYTES):
-            for frame in splitter.feed(data):
-                if frame == DONE_EVENT:
+            for event in splitter.feed(data):
+                if event == DONE_EVENT:
                     is_done = True
                     continue
                 now_ms = self._clock.now_ms()
-                if self._first_event_ms is None:
-                    self._first_event_ms = now_ms - self._started_ms
+                if self._first_data_ms is None:
+                    self._first_data_ms = now_ms - self._started_ms
                 if on_frame is not None:
                     on_frame(now_ms)
                 self._events_count += 1
-                yield frame
+                yield event
         if not is_done:
-            # A clean end without the closing mark is a cut all the same.
+            # A stream that ends without the final event is truncated, even if the connection was
+            # closed properly.
             return self._failure_reply()
         self.is_reusable = _is_keep_alive(response)
         return self._reply(ReplyKind.COMPLETE, response.status, content_type)
@@ -216,7 +218,7 @@
         body = response.read(limit_bytes)
         if len(body) >= limit_bytes:
             return self._failure_reply()
-        self._first_event_ms = self._clock.now_ms() - self._started_ms
+        self._first_data_ms = self._clock.now_ms() - self._started_ms
         self.is_reusable = _is_keep_alive(response)
         return self._reply(ReplyKind.COMPLETE, response.status, content_type, body)
 
@@ -243,7 +245,7 @@
             content_type=content_type,
             body=body,
             frames_count=self._events_count,
-            first_frame_ms=self._first_event_ms,
+            first_frame_ms=self._first_data_ms,
         )
 
     def _headers(self) -> dict[str, str]:
--- a/citrondyke/backend/connections.py
+++ b/citrondyke/backend/connections.py
@@ -1,4 +1,4 @@
-"""Keep-alive connections to backend servers."""
+"""Pool of keep-alive connections to backend servers."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 
 class IdleConnections:
-    """Idle connections by server; the one used last is used first."""
+    """Idle connections by server; the most recently used one is reused first."""
 
     def __init__(self, idle_limit: int) -> None:
-        """Start without connections.
+        """Initialize an empty pool.
 
-        :param idle_limit: idle connections kept for each server.
+        :param idle_limit: maximum number of idle connections per server.
         """
         self._idle_limit = idle_limit
         self._idle: dict[tuple[ServerId, str, int], list[HTTPConnection]] = {}
 
     def acquire(self, server_id: ServerId, ip: str, port: int) -> HTTPConnection:
-        """Give a connection that nothing is under way on; it may be a new, unopened one.
+        """Return an idle connection, or a new one that is not open yet.
 
-        An idle connection with something to read was closed by the server, or holds bytes of an
-        answer that was given up on. Handing it out would give the next caller a foreign answer.
+        An idle connection with data to read was closed by the server or has the rest of an
+        abandoned response. If it were reused, the next caller would get that response.
         """
         idle = self._idle.get((server_id, ip, port))
         while idle:
@@ -39,7 +39,7 @@
         return HTTPConnection(ip, port)
 
     def release(self, server_id: ServerId, connection: HTTPConnection) -> None:
-        """Keep a connection whose last answer was read to its end."""
+        """Put a connection back into the pool after its last response was read completely."""
         key = (server_id, connection.host, connection.port or 0)
         idle = self._idle.setdefault(key, [])
         if len(idle) >= self._idle_limit:
--- a/citrondyke/backend/request_body.py
+++ b/citrondyke/backend/request_body.py
@@ -1,4 +1,4 @@
-"""Adapts a request's body to what is asked of the engine."""
+"""Adapts a request body for the engine."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def engine_body(call: ServerCall) -> bytes:
-    """Ask for a stream, and for a resumed one to go on behind the frames that are there."""
+    """Return the request body, with streaming and the resume position set for streamed requests."""
     if not call.is_streamed:
         return call.body
     fields = msgspec.json.decode(call.body, type=dict[str, msgspec.Raw])
