--- a/citrondyke/gateway/peers/limit_codec.py
+++ b/citrondyke/gateway/peers/limit_codec.py
@@ -48,12 +48,12 @@
     :raises TypeError: if the schema has no field for the message.
     """
     if isinstance(message, UseAsked):
-        asked = built.init('useAsked')
-        asked.number, asked.account = message.number, message.account
-        asked.work = message.need.work
-        asked.leftMs, asked.mayWaitMs = message.need.left_ms, message.need.may_wait_ms
+        request = built.init('useAsked')
+        request.number, request.account = message.number, message.account
+        request.work = message.need.work
+        request.leftMs, request.mayWaitMs = message.need.left_ms, message.need.may_wait_ms
         if message.refused:
-            asked.refused = _pack_works(message.refused)
+            request.refused = _pack_works(message.refused)
     elif isinstance(message, UseAnswered):
         _build_answered(built.init('useAnswered'), message)
     elif isinstance(message, LeaseAsked):
@@ -96,10 +96,10 @@
 
 
 def _read_use_asked(read: Any) -> UseAsked:
-    asked = read.useAsked
-    need = UseNeed(asked.work, asked.leftMs, asked.mayWaitMs)
-    refused = _unpack_works(asked.refused)
-    return UseAsked(asked.number, TenantId(asked.account), need, refused)
+    request = read.useAsked
+    need = UseNeed(request.work, request.leftMs, request.mayWaitMs)
+    refused = _unpack_works(request.refused)
+    return UseAsked(request.number, TenantId(request.account), need, refused)
 
 
 def _read_use_answered(read: Any) -> UseAnswered:
--- a/citrondyke/gateway/peers/membership.py
+++ b/citrondyke/gateway/peers/membership.py
@@ -39,7 +39,7 @@
 HEARTBEAT_EVERY_MS = 900.0
 #: Time without a heartbeat after which nothing is sent to a peer any more: longer than a machine
 #: freezes for.
-DEAD_AFTER_MS = 8_000.0
+PEER_EXPIRY_MS = 8_000.0
 #: Time without a heartbeat after which the row of an instance is removed.
 ROW_EXPIRY_MS = 60_000.0
 
@@ -133,9 +133,9 @@
         A machine that is removed for good leaves its row behind. If it were kept, store calls that
         are relayed by a peer would try it each time and wait for a connection that never opens.
         """
-        for instance_id in self._liveness.unresponsive(DEAD_AFTER_MS):
+        for instance_id in self._liveness.unresponsive(PEER_EXPIRY_MS):
             if self.peers.pop(instance_id, None) is not None:
-                log.info('peer.gone', extra={'peer': instance_id, 'silent_ms': DEAD_AFTER_MS})
+                log.info('peer.gone', extra={'peer': instance_id, 'silent_ms': PEER_EXPIRY_MS})
         live_instances = self._liveness.live_instances()
         if live_instances[0] != self._context.instance_id:
             return
--- a/citrondyke/gateway/peers/peer_codec.py
+++ b/citrondyke/gateway/peers/peer_codec.py
@@ -47,8 +47,8 @@
     'encode_message',
 )
 
-_PACKAGE = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-_SCHEMA = capnp.load(os.path.join(_PACKAGE, 'peer', 'gateway.capnp'))
+_PACKAGE_DIR = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+_SCHEMA = capnp.load(os.path.join(_PACKAGE_DIR, 'peer', 'gateway.capnp'))
 #: Counts are 16 bits wide on the wire; a server runs tens of requests at once.
 COUNT_LIMIT = 65_535
 #: A server's digest and its counts of online and batch requests.
@@ -184,9 +184,9 @@
 
 
 def _write_wanted(built: Any, text: KnowledgeWanted) -> None:
-    wanted = built.init('knowledgeAsked')
-    wanted.instancesCount, wanted.listDigest = text.instances_count, text.list_digest
-    wanted.takesCompressed = text.takes_compressed
+    request = built.init('knowledgeAsked')
+    request.instancesCount, request.listDigest = text.instances_count, text.list_digest
+    request.takesCompressed = text.takes_compressed
 
 
 def _field(name: str, encode: Callable[[Any], Any]) -> Callable[[Any, Any], None]:
--- a/citrondyke/gateway/peers/store_state_exchange.py
+++ b/citrondyke/gateway/peers/store_state_exchange.py
@@ -133,11 +133,11 @@
             self._is_requesting = True
             self._tasks.spawn(self._request_if_stale, version, ip)
 
-    def answer(self, wanted: KnowledgeWanted, requester_version: ConfigVersion) -> KnowledgeData:
+    def answer(self, request: KnowledgeWanted, requester_version: ConfigVersion) -> KnowledgeData:
         """Return the store state that the requesting instance lacks."""
         rows, version = self._replicated.server_rows()
         config = self._replicated.config
-        has_same = self._replicated.list_digest == wanted.list_digest != 0
+        has_same = self._replicated.list_digest == request.list_digest != 0
         is_newer = config.table.version > requester_version
         peers = {
             **self._membership.peers,
@@ -149,13 +149,13 @@
             [] if has_same else rows,
             version,
             self._store.answer_age_ms,
-            peers if len(peers) > wanted.instances_count else {},
+            peers if len(peers) > request.instances_count else {},
             self._suspects.stored_rows(),
             config.table if is_newer else None,
             has_same,
         )
         data = msgspec.msgpack.encode(state)
-        if wanted.takes_compressed and len(data) >= COMPRESS_FROM_BYTES:
+        if request.takes_compressed and len(data) >= COMPRESS_FROM_BYTES:
             data = compress_bytes(data)
         return KnowledgeData(data)
 
@@ -190,11 +190,11 @@
         self._request(ip)
 
     def _request(self, ip: str) -> None:
-        wanted = KnowledgeWanted(
+        request = KnowledgeWanted(
             len(self._membership.peers) + 1, self._replicated.list_digest, takes_compressed=True
         )
         try:
-            message = self._exchange(ip, wanted)
+            message = self._exchange(ip, request)
             if isinstance(message.text, KnowledgeData):
                 state = decode_msgpack(decompress_if_needed(message.text.data), StoreState)
                 self._merge(ip, message.config_version, state)
--- a/tests/test_gateway/test_peers/test_peers_membership.py
+++ b/tests/test_gateway/test_peers/test_peers_membership.py
@@ -6,8 +6,8 @@
 
 from citrondyke.decisions.batch.takeover import InstanceLiveness
 from citrondyke.gateway.peers.membership import (
-    DEAD_AFTER_MS,
     INSTANCES_TABLE,
+    PEER_EXPIRY_MS,
     ROW_EXPIRY_MS,
     Heartbeat,
     Membership,
@@ -59,7 +59,7 @@
     instance.peer_heartbeats()
     instance.read_table()
     assert PEER in instance.membership.peers
-    instance.advance(DEAD_AFTER_MS + 2_000.0, peer_heartbeats=False)
+    instance.advance(PEER_EXPIRY_MS + 2_000.0, peer_heartbeats=False)
     assert PEER not in instance.membership.peers
     instance.advance(ROW_EXPIRY_MS, peer_heartbeats=False)
     page = instance.table.read(INSTANCES_TABLE, '')
@@ -69,9 +69,9 @@
 
 def test_peer_with_heartbeats_is_kept_and_a_returning_one_is_added_again() -> None:
     instance = ObservingInstance()
-    instance.advance(DEAD_AFTER_MS * 2, peer_heartbeats=True)
+    instance.advance(PEER_EXPIRY_MS * 2, peer_heartbeats=True)
     assert PEER in instance.membership.peers
-    instance.advance(DEAD_AFTER_MS * 2, peer_heartbeats=False)
+    instance.advance(PEER_EXPIRY_MS * 2, peer_heartbeats=False)
     assert PEER not in instance.membership.peers
     instance.advance(2_000.0, peer_heartbeats=True)
     assert PEER in instance.membership.peers
--- a/tests/test_gateway/test_peers/test_peers_relay.py
+++ b/tests/test_gateway/test_peers/test_peers_relay.py
@@ -79,7 +79,7 @@
     assert sorted(ran) == ['job-1-0', 'job-1-1']
 
 
-class _Direct(PartTable):
+class _DirectTable(PartTable):
     """A store with a configurable failure and delay."""
 
     def __init__(self, failure: PlatformFailure | None, wait_s: float = 0.0) -> None:
@@ -115,13 +115,13 @@
         relayed_calls.append(call)
         return no_peer(call)
 
-    table = relayed(_Direct(None), relay)
+    table = relayed(_DirectTable(None), relay)
     assert isinstance(table.read('t', 'p'), Listing)
     assert not relayed_calls
 
 
 def test_slow_direct_call_is_hedged_by_a_peer() -> None:
-    table = relayed(_Direct(None, wait_s=20.0), lambda call: perform(PartTable(), call))
+    table = relayed(_DirectTable(None, wait_s=20.0), lambda call: perform(PartTable(), call))
     assert isinstance(table.read('t', 'p'), Listing)
 
 
@@ -131,7 +131,7 @@
 ) -> None:
     # The direct call may have been applied. A rejected relayed call must not turn the result into
     # "not written", which a caller would receive as "not run".
-    table = relayed(_Direct(failure), no_peer)
+    table = relayed(_DirectTable(failure), no_peer)
     answer = table.transact(PartTransaction('p', puts=(RowPut('t', 'k', b'v'),)))
     assert isinstance(answer, PlatformFailure)
     assert answer.reason is failure.reason
@@ -140,7 +140,7 @@
 def test_transaction_sent_both_ways_returns_its_own_rows_as_conflict() -> None:
     # The direct reply is lost after the write, and the relayed attempt conflicts with the written
     # rows. From these rows the caller recognizes its own write.
-    store = _Direct(AMBIGUOUS)
+    store = _DirectTable(AMBIGUOUS)
     transact = PartTable.transact
 
     def relay(call: StoreCall) -> StoreAnswer:
