--- a/citrondyke/gateway/peers/membership.py
+++ b/citrondyke/gateway/peers/membership.py
@@ -35,7 +35,7 @@
 log = logbook.Logger(__name__)
 
 INSTANCES_TABLE = 'instances'
-#: A third of the time without a heartbeat after which an instance counts as dead.
+#: A third of the time without a heartbeat after which the jobs of an instance are taken over.
 HEARTBEAT_EVERY_MS = 900.0
 #: Time without a heartbeat after which nothing is sent to a peer any more: longer than a machine
 #: freezes for.
