--- a/citrondyke/settings/__init__.py
+++ b/citrondyke/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings of the daemon: TOML, checked on load."""
+"""Settings of the daemon: a TOML file that is validated on load."""
 
 from __future__ import annotations
 
--- a/citrondyke/settings/load.py
+++ b/citrondyke/settings/load.py
@@ -1,4 +1,4 @@
-"""Reads a settings file and says precisely what is wrong with it."""
+"""Reads a settings file and reports which key of it is invalid and why."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
 
 
 def load_settings(file: Path) -> DaemonSettings:
-    """Read a settings file.
+    """Read and validate a settings file.
 
-    :raises SettingsInvalidError: naming file, key, value and what is allowed.
+    :raises SettingsInvalidError: naming the file, the key, its value and the allowed values.
     """
     try:
         text = file.read_text()
@@ -31,9 +31,10 @@
 
 
 def check_settings(text: str, file: str) -> DaemonSettings:
-    """Check the text of a settings file.
+    """Validate the text of a settings file.
 
-    :raises SettingsInvalidError: naming file, key, value and what is allowed.
+    :param file: name of the file, for error messages.
+    :raises SettingsInvalidError: naming the file, the key, its value and the allowed values.
     """
     try:
         raw = tomllib.loads(text)
@@ -51,12 +52,12 @@
 
 
 def _explain(file: str, raw: dict[str, Any], message: str) -> SettingsInvalidError:
-    found = _PATH.search(message)
-    path = found['path'].lstrip('.') if found else ''
-    allowed = message[: found.start()] if found else message
-    field = _FIELD.search(allowed)
-    if field is not None:
-        path = f'{path}.{field["field"]}'.lstrip('.')
+    path_match = _PATH.search(message)
+    path = path_match['path'].lstrip('.') if path_match else ''
+    allowed = message[: path_match.start()] if path_match else message
+    field_match = _FIELD.search(allowed)
+    if field_match is not None:
+        path = f'{path}.{field_match["field"]}'.lstrip('.')
     return SettingsInvalidError(file, path, _value_at(raw, path), allowed)
 
 
--- a/citrondyke/settings/model.py
+++ b/citrondyke/settings/model.py
@@ -1,4 +1,4 @@
-"""The settings of a daemon, one class for each table of the file."""
+"""Settings of the daemon, one class for each table of the file."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 
 class InstanceSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Who and where this instance is."""
+    """Identity and addresses of this instance."""
 
-    #: Unique among all instances; stays the same over restarts.
+    #: Unique among all instances; does not change at a restart.
     id: Name
-    #: Its availability zone.
+    #: Availability zone of the instance.
     zone: Name
-    #: Address that callers and peers use.
+    #: IP address for callers and peers.
     ip: str = '127.0.0.1'
     #: Port for callers and operators.
     http_port: Port = 8080
@@ -46,101 +46,104 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Where the platform's services are."""
+    """Addresses of the platform's services."""
 
-    #: The table service.
+    #: URL of the table service.
     table_url: Url
-    #: The object store.
+    #: URL of the object store.
     objects_url: Url
-    #: The lists of instances and backend servers.
+    #: URL of the lists of instances and backend servers.
     lists_url: Url
     #: Timeout of one call.
     timeout_ms: PositiveMs = 1500.0
 
 
 class PeerSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What instances share to know each other's messages."""
+    """Authentication of messages between instances."""
 
-    #: The first signs, all are accepted; two while a key is rotated.
+    #: The first key signs messages; all are accepted, so that there can be two keys during a
+    #: rotation.
     keys: Annotated[tuple[KeyText, ...], msgspec.Meta(min_length=1, max_length=4)]
 
 
 class OperatorSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How the first operator gets in."""
+    """Access of the first operator."""
 
-    #: SHA-256 of a key that always may change the configuration; empty for none.
+    #: SHA-256 of a key that may always change the configuration; empty for none.
     bootstrap_key_sha256: HashText | str = ''
 
 
 class LimitSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Bounds on what callers may ask of one instance."""
+    """Limits on the requests of callers to one instance."""
 
-    #: Open connections of callers.
+    #: Maximum number of open connections of callers.
     connections: Positive = 2000
-    #: Body of an online request.
+    #: Maximum size of the body of an online request.
     body_bytes: Positive = 4 * 1024 * 1024
-    #: Longest answer kept in memory.
+    #: Maximum size of an answer kept in memory.
     answer_bytes: Positive = 16 * 1024 * 1024
-    #: Time in which a body must arrive.
+    #: Time within which a body must arrive.
     body_within_ms: PositiveMs = 10_000.0
-    #: Time in which a job file must arrive.
+    #: Time within which a job file must arrive.
     upload_within_ms: PositiveMs = 600_000.0
-    #: Job files that arrive at the same time.
+    #: Maximum number of concurrent uploads of job files.
     uploads: Positive = 4
-    #: Longest line of a job file.
+    #: Maximum length of a line of a job file.
     job_line_bytes: Positive = 1024 * 1024
-    #: Items in one job file.
+    #: Maximum number of items in a job file.
     job_items: Positive = 320_000
-    #: Deadline of an online request that states none.
+    #: Time limit of an online request without a deadline of its own.
     online_within_ms: PositiveMs = 120_000.0
-    #: Idle connections kept to each backend server.
+    #: Maximum number of idle connections kept open to each backend server.
     idle_connections: Positive = 64
-    #: Tenants with a histogram of their own; the one used longest ago is dropped.
+    #: Maximum number of tenants with histograms of their own; the least recently used one is
+    #: dropped.
     tenant_histograms: Positive = 2000
 
 
 class StopSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """How a planned stop goes."""
+    """Time limits of a planned stop."""
 
-    #: Time in which the balancer notices that this instance is leaving; calls are served still.
+    #: Time for the load balancer to notice that this instance is leaving; requests are still
+    #: served meanwhile.
     balancer_delay_ms: Annotated[float, msgspec.Meta(ge=0)] = 5000.0
-    #: Time that running calls and items may take after that.
+    #: Time for running requests and items to finish after that.
     finish_within_ms: PositiveMs = 60_000.0
 
 
 class LogSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What is logged; JSON lines on standard error."""
+    """Logging, as JSON lines on standard error."""
 
-    #: ``DEBUG``, ``INFO``, ``WARNING`` or ``ERROR``.
+    #: Lowest level that is logged: ``DEBUG``, ``INFO``, ``WARNING`` or ``ERROR``.
     level: Literal['DEBUG', 'INFO', 'WARNING', 'ERROR'] = 'INFO'
-    #: Whether each request gets a line.
+    #: Whether a line is logged for each request.
     requests: bool = True
 
 
 class StatsdSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Where metrics go; an empty address for nowhere."""
+    """Reports of metrics to a statsd server."""
 
-    #: Address of the statsd server; empty for none.
+    #: IP address of the statsd server; empty to report no metrics.
     ip: str = ''
-    #: Its UDP port.
+    #: UDP port of the statsd server.
     port: Port = 8125
-    #: What every name begins with.
+    #: Prefix of all metric names.
     prefix: str = 'citrondyke'
-    #: Pause between two reports.
+    #: Interval between two reports.
     every_ms: PositiveMs = 1000.0
 
 
 class TlsSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Certificate towards callers and operators; empty for plain HTTP behind the balancer."""
+    """Certificate for callers and operators; empty for plain HTTP behind the load balancer."""
 
     #: PEM file of the certificate and its chain.
     certificate_file: str = ''
-    #: PEM file of its key.
+    #: PEM file of the private key.
     key_file: str = ''
 
 
 class DaemonSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A whole settings file."""
+    """All tables of a settings file."""
 
     instance: InstanceSettings
     platform: PlatformSettings
--- a/tests/test_settings/test_settings_load.py
+++ b/tests/test_settings/test_settings_load.py
@@ -1,4 +1,4 @@
-"""A wrong setting is named with its file, key, value and what is allowed."""
+"""The error for an invalid setting names its file, its key, its value and the allowed values."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from citrondyke.errors import SettingsInvalidError
 from citrondyke.settings import check_settings
 
-GOOD = """
+VALID = """
 [instance]
 id = 'a'
 zone = 'z'
@@ -26,8 +26,8 @@
 """
 
 
-def test_good_settings_load() -> None:
-    assert check_settings(GOOD, 'f').instance.id == 'a'
+def test_valid_settings_are_accepted() -> None:
+    assert check_settings(VALID, 'f').instance.id == 'a'
 
 
 @pytest.mark.parametrize(
@@ -40,30 +40,32 @@
         (("keys = ['0123456789abcdef']", 'keys = ["short"]'), 'peers.keys[0]', 'short'),
     ],
 )
-def test_wrong_value_is_named(change: tuple[str, str], key: str, value: object) -> None:
+def test_error_for_invalid_value_names_key_and_value(
+    change: tuple[str, str], key: str, value: object
+) -> None:
     with pytest.raises(SettingsInvalidError) as caught:
-        check_settings(GOOD.replace(*change), 'the-file')
+        check_settings(VALID.replace(*change), 'the-file')
     error = caught.value
     assert (error.file, error.key, error.value) == ('the-file', key, value)
     assert error.allowed
 
 
 @given(st.text())
-def test_any_text_is_settings_or_a_typed_error(text: str) -> None:
+def test_any_text_is_accepted_or_raises_the_documented_error(text: str) -> None:
     try:
         check_settings(text, 'f')
     except SettingsInvalidError as error:
         assert error.message
 
 
-def test_check_settings_option_tells_by_exit_code(tmp_path: Path) -> None:
+def test_check_settings_option_reports_by_exit_code(tmp_path: Path) -> None:
     file = tmp_path / 'a.toml'
     command = [sys.executable, '-m', 'citrondyke.cmd.citrondyked', '--settings', str(file)]
-    file.write_text(GOOD)
+    file.write_text(VALID)
     assert subprocess.run([*command, '--check-settings'], check=False).returncode == 0
-    file.write_text(GOOD.replace("zone = 'z'", 'zone = 7'))
-    found = subprocess.run(
+    file.write_text(VALID.replace("zone = 'z'", 'zone = 7'))
+    completed = subprocess.run(
         [*command, '--check-settings'], check=False, capture_output=True, text=True
     )
-    assert found.returncode == 2
-    assert 'instance.zone: 7' in found.stderr
+    assert completed.returncode == 2
+    assert 'instance.zone: 7' in completed.stderr
