--- a/citrondyke/cmd/__init__.py
+++ b/citrondyke/cmd/__init__.py
@@ -1,3 +1,3 @@
-"""The programs."""
+"""Command line programs."""
 
 from __future__ import annotations
--- a/citrondyke/cmd/citrondykectl.py
+++ b/citrondyke/cmd/citrondykectl.py
@@ -1,4 +1,4 @@
-"""The operators' tool."""
+"""``citrondykectl``, the command line tool for operators."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
     name='citrondykectl',
     help="""Operate citrondyke.
 
-    Give the instance by --server and the key by --key, or in CITRONDYKE_SERVER and
-    CITRONDYKE_KEY. Exit codes: 0 done, 1 failed, 2 wrong call, 3 conflict, 4 not found,
+    Set the instance with --server or CITRONDYKE_SERVER, and the key with --key or
+    CITRONDYKE_KEY. Exit codes: 0 success, 1 failure, 2 invalid usage, 3 conflict, 4 not found,
     5 not allowed, 6 not reachable or not ready.
     """,
 )
@@ -57,7 +57,7 @@
 
 @app.command
 def status(options: Shared = Options()) -> None:  # noqa: B008
-    """Show instances, zones, the version in force, servers and their stewards."""
+    """Show instances, zones, the configuration version, servers and their stewards."""
     answer = OperatorClient(options).get('/operator/v1/status', StatusReport)
     show(options, answer, tables.status_table)
 
@@ -69,7 +69,7 @@
     tenant: str | None = None,
     options: Shared = Options(),  # noqa: B008
 ) -> None:
-    """Draw the histograms of this instance's requests, by class or tenant."""
+    """Show histograms of the requests of this instance, by class or tenant."""
     with_tenants = '?tenants=yes' if tenant else ''
     path = f'/operator/v1/histograms{with_tenants}'
     report = OperatorClient(options).get(path, MetricsReport)
@@ -77,7 +77,7 @@
     wanted = tenant or class_name
     if wanted is not None:
         if wanted not in groups:
-            raise CtlError(ExitCode.NOT_FOUND, f'no requests of {wanted} were seen here')
+            raise CtlError(ExitCode.NOT_FOUND, f'this instance has seen no requests of {wanted}')
         groups = {wanted: groups[wanted]}
     show(options, groups, tables.histogram_tables)
 
@@ -91,15 +91,15 @@
     verify: bool = False,
     options: Shared = Options(),  # noqa: B008
 ) -> None:
-    """Show what was kept and what was not, from the sealed records.
+    """Show how many targets were met and missed, according to the sealed records.
 
-    With --verify it ends with code 1 when a record is missing or was altered.
+    With --verify, exit with code 1 if a record is missing or was altered.
     """
     query = urlencode({'class': class_name or '', **_time_range(from_, to)})
     found = OperatorClient(options).get(f'/operator/v1/report?{query}', AuditReport)
     show(options, found, tables.report_tables)
     if verify and found.faults:
-        raise CtlError(ExitCode.FAILED, f'{len(found.faults)} faults in the records')
+        raise CtlError(ExitCode.FAILED, f'the audit records have {len(found.faults)} faults')
 
 
 @app.command
@@ -111,24 +111,27 @@
     like: Path,
     options: Shared = Options(),  # noqa: B008
 ) -> None:
-    """Write what instances recorded in a span of time as a trace to replay.
+    """Convert the records of a time range to a trace for replay.
 
-    The records tell what callers asked for; servers, classes and the number of instances are
-    taken from the first line of the trace LIKE.
+    The requests come from the records. Servers, classes and the number of instances are taken
+    from the first line of the trace LIKE.
     """
     path = f'/operator/v1/records?{urlencode(_time_range(from_, to))}'
     records = OperatorClient(options).get(path, list[OutcomeRecord])
     events = events_from_records(records)
     lines = [read_trace(like).header, *events]
     file.write_bytes(b''.join(msgspec.json.encode(line) + b'\n' for line in lines))
-    console.print(f'{len(events)} events in {file}')
+    console.print(f'{len(events)} events written to {file}')
 
 
 @app.command
 def replay(trace: Path, *, json: bool = False) -> None:
-    """Run a trace in virtual time; compare with TRACE's stated outcome, if there is one.
+    """Replay a trace in virtual time and compare with its expected outcome, if there is one.
 
-    Example: ``citrondykectl replay traces/march_morning.jsonl``. Ends with 1 where it differs.
+    The expected outcome is read from the file with the suffix ``.outcome.json`` beside the trace.
+    Exits with code 1 if the outcome differs.
+
+    Example: ``citrondykectl replay traces/march_morning.jsonl``.
     """
     options = Options(json=json)
     try:
@@ -136,38 +139,39 @@
     except (OSError, ValueError) as error:
         raise CtlError(ExitCode.WRONG_CALL, f'{trace}: {error}') from error
     show(options, outcome, tables.outcome_table)
-    stated_file = trace.with_suffix('.outcome.json')
-    if not stated_file.exists():
+    expected_file = trace.with_suffix('.outcome.json')
+    if not expected_file.exists():
         return
-    stated = msgspec.json.decode(stated_file.read_bytes(), type=TraceOutcome)
-    if stated != outcome:
-        raise CtlError(ExitCode.FAILED, f'the outcome is not the stated one: {stated}')
+    expected = msgspec.json.decode(expected_file.read_bytes(), type=TraceOutcome)
+    if expected != outcome:
+        raise CtlError(ExitCode.FAILED, f'the outcome differs from the expected one: {expected}')
 
 
 @app.command
 def accounts(*addresses: str, json: bool = False) -> None:
-    """Show client accounts with their limits, uses in the window and refusals.
+    """Show client accounts with their limits, uses in the window and rejections.
+
+    Only the steward of an account knows its window, so give the addresses of all instances.
 
-    Example: ``citrondykectl accounts 10.1.0.35:9464 10.1.0.36:9464``. An account's window is
-    known to the one instance that counts it: give all of them.
+    Example: ``citrondykectl accounts 10.1.0.35:9464 10.1.0.36:9464``.
 
-    :param addresses: the instances' metrics addresses.
+    :param addresses: metrics addresses of the instances.
     """
     show(Options(json=json), merge_states(read_states(addresses)), accounts_table)
 
 
 @app.command
 def suspects(*addresses: str, json: bool = False) -> None:
-    """Show requests that are suspected of ending their servers or stopped, and why.
+    """Show requests that are suspected of crashing servers or blocked for it, and why.
 
-    :param addresses: the instances' metrics addresses.
+    :param addresses: metrics addresses of the instances.
     """
     show(Options(json=json), merge_suspects(read_states(addresses)), suspects_table)
 
 
 @app.command(name='explain')
 def explain(wanted: str, *files: Path, json: bool = False) -> None:
-    """Join the lines of several instances' logs about a request, job or item, and its cause.
+    """Show the log lines of several instances about a request, job or item, and the cause.
 
     Example: ``citrondykectl explain 9c41d07be2a35f68 edge-*.log``.
     """
@@ -183,23 +187,23 @@
     plot: Path | None = None,
     json: bool = False,
 ) -> None:
-    """Put each lost or late request and item down to a cause, by the logs of all instances.
+    """Attribute each lost or late request and item to a cause, from the logs of all instances.
 
     Example: ``citrondykectl losses edge-*.log --target r-a22d3kh=300 --before last.json``.
 
-    :param files: log lines of all instances.
-    :param target: ROUTE=MS: until the first answer, or from a job's acceptance until its items
-        are durable; * stands for all other routes of requests.
-    :param window_s: length of the windows that losses are counted in.
-    :param before: a report of another run, as --json writes it, to compare with.
-    :param plot: an image file for the causes over time.
-    :param json: print a record for programs.
+    :param files: log files of all instances.
+    :param target: ROUTE=MS: the time to the first answer, or from the acceptance of a job until
+        its items are durable; * stands for all other routes of requests.
+    :param window_s: length of the time windows in which losses are counted.
+    :param before: a report of another run, written with --json, to compare with.
+    :param plot: image file for a plot of the causes over time.
+    :param json: print the report as JSON.
     """
     report = losses_from_logs(files, target, window_s)
-    earlier = read_losses(before) if before else None
+    report_before = read_losses(before) if before else None
     if plot is not None:
         draw_losses(report, plot)
-    show(Options(json=json), report, lambda found: losses_tables(found, earlier))
+    show(Options(json=json), report, lambda found: losses_tables(found, report_before))
 
 
 def _time_range(from_: datetime | None, to: datetime | None) -> dict[str, str]:
@@ -208,7 +212,7 @@
 
 
 def main() -> None:
-    """Run the program; the exit code tells the kind of failure."""
+    """Run the program; the exit code depends on the kind of failure."""
     try:
         app()
     except CtlError as failure:
--- a/citrondyke/cmd/citrondyked.py
+++ b/citrondyke/cmd/citrondyked.py
@@ -1,4 +1,4 @@
-"""The daemon."""
+"""``citrondyked``, the daemon."""
 
 from __future__ import annotations
 
@@ -26,10 +26,14 @@
 def serve(
     *,
     settings: Annotated[Path | None, Parameter(help='TOML file; see the settings page')] = None,
-    check_settings: Annotated[bool, Parameter(help='check the file and end', negative='')] = False,
+    check_settings: Annotated[
+        bool, Parameter(help='check the settings file and exit', negative='')
+    ] = False,
     embedded: Annotated[
         bool,
-        Parameter(help='run with stand-ins of the platform and two engines inside', negative=''),
+        Parameter(
+            help='run with stand-ins for the platform and two engines in-process', negative=''
+        ),
     ] = False,
     port: Annotated[int, Parameter(help='port of the embedded instance')] = 8080,
 ) -> int:
@@ -39,7 +43,7 @@
 
         return serve_embedded(port)
     if settings is None:
-        print('citrondyked: --settings FILE or --embedded is needed', file=sys.stderr)
+        print('citrondyked: --settings FILE or --embedded is required', file=sys.stderr)
         return EXIT_SETTINGS
     if check_settings and is_platform_file(settings):
         return _check_platform_file(settings)
@@ -49,7 +53,7 @@
         print(f'citrondyked: {error.message}', file=sys.stderr)
         return EXIT_SETTINGS
     if check_settings:
-        print(f'{settings}: in order')
+        print(f'{settings}: valid')
         return 0
     return run_daemon(loaded)
 
@@ -60,7 +64,7 @@
     except SettingsInvalidError as error:
         print(f'citrondyked: {error.message}', file=sys.stderr)
         return EXIT_SETTINGS
-    print(f'{file}: in order, as the platform writes it')
+    print(f'{file}: valid platform settings file')
     return 0
 
 
--- a/citrondyke/cmd/ctl/__init__.py
+++ b/citrondyke/cmd/ctl/__init__.py
@@ -1,3 +1,3 @@
-"""Parts of the operators' tool."""
+"""Commands of ``citrondykectl`` and what they share."""
 
 from __future__ import annotations
--- a/citrondyke/cmd/ctl/accounts.py
+++ b/citrondyke/cmd/ctl/accounts.py
@@ -1,4 +1,4 @@
-"""``citrondykectl accounts`` and ``suspects``: what the instances of a gateway fleet say."""
+"""``citrondykectl accounts`` and ``suspects``: states reported by gateway instances."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
 
 
 def read_states(addresses: Sequence[str]) -> list[InstanceState]:
-    """Ask instances at their metrics addresses, ``IP:PORT``.
+    """Read the states of instances.
 
-    :raises CtlError: when one does not answer as it should.
+    :param addresses: metrics addresses, ``IP:PORT``.
+    :raises CtlError: if an instance does not answer or its answer is invalid.
     """
     if not addresses:
-        raise CtlError(ExitCode.WRONG_CALL, 'give the metrics address of one instance at least')
+        raise CtlError(ExitCode.WRONG_CALL, 'give the metrics address of at least one instance')
     http = urllib3.PoolManager(retries=False, timeout=urllib3.Timeout(TIMEOUT_S))
     states = []
     for address in addresses:
@@ -36,7 +37,7 @@
 
 
 def merge_suspects(states: Sequence[InstanceState]) -> list[SuspectState]:
-    """Give each suspected request once, as the instance has it that knows most."""
+    """Merge the suspects; for each request, keep the state with the most servers exited."""
     found: dict[str, SuspectState] = {}
     for state in states:
         for suspect in state.suspects:
@@ -47,15 +48,15 @@
 
 
 def accounts_table(reports: Sequence[AccountReport]) -> Iterator[Table]:
-    """Show accounts with limit, use in the window and refusals."""
+    """Show accounts with their limits, uses and rejections in the window."""
     columns = (
         'account',
         'rate/s',
         'burst',
         'used in window',
-        'refused in window',
-        'places kept, taken, lapsed',
-        'since starts',
+        'rejected in window',
+        'reservations kept, taken, lapsed',
+        'since start',
     )
     table = Table(*columns, title='client accounts', title_justify='left')
     for report in reports:
@@ -79,8 +80,8 @@
 
 
 def suspects_table(suspects: Sequence[SuspectState]) -> Iterator[Table]:
-    """Show suspected and stopped requests, and why."""
-    columns = ('content', 'standing', 'servers that ended under it', 'trials')
+    """Show suspected and blocked requests, and why."""
+    columns = ('content', 'verdict', 'servers exited', 'probes')
     table = Table(*columns, title='suspected requests', title_justify='left')
     for suspect in suspects:
         ended = f'{suspect.servers_ended:g}'
--- a/citrondyke/cmd/ctl/client.py
+++ b/citrondyke/cmd/ctl/client.py
@@ -1,4 +1,4 @@
-"""Asks an instance on behalf of an operator."""
+"""Client of an instance's operator interface."""
 
 from __future__ import annotations
 
@@ -29,39 +29,42 @@
 
 
 class OperatorClient:
-    """One instance, one key; every failure becomes a message and an exit code."""
+    """Calls one instance with one key; each failure becomes a message and an exit code."""
 
     def __init__(self, options: Options) -> None:
-        """Ask the instance that the options name."""
+        """Create a client for the instance and key in the options."""
         self._server = options.server.rstrip('/')
         self._headers = {'Authorization': f'Bearer {options.key}'}
         self._http = urllib3.PoolManager(retries=False, timeout=urllib3.Timeout(TIMEOUT_S))
 
     def get(self, path: str, kind: type[T]) -> T:
-        """Ask, and decode the answer.
+        """Send a GET request and decode the answer.
 
-        :raises CtlError: when there is no answer, or it is a failure.
+        :raises CtlError: if there is no answer, or the answer is an error or invalid.
         """
         decoded: T = self._decode(self._call('GET', path, None), kind)
         return decoded
 
     def post(self, path: str, body: Any = None) -> Any:
-        """Ask for a change, and decode the answer.
+        """Send a POST request and decode the answer.
 
-        :raises CtlError: when there is no answer, or it is a failure.
+        :raises CtlError: if there is no answer, or the answer is an error or invalid.
         """
         return self._decode(self._call('POST', path, msgspec.json.encode(body)), Any)
 
     def config(self) -> ConfigSnapshot:
-        """Read the configuration in force."""
+        """Read the current configuration."""
         return self.get('/operator/v1/config', ConfigSnapshot)
 
     def propose(self, expect: int, edits: list[dict[str, Any]]) -> Any:
-        """Change the configuration on top of a version."""
+        """Propose edits of the configuration.
+
+        :param expect: the version that the edits are based on.
+        """
         return self.post('/operator/v1/config', {'expect_version': expect, 'edits': edits})
 
     def history(self, after: int) -> list[ConfigChange]:
-        """Read the changes behind a version."""
+        """Read the changes after a version."""
         return self.get(f'/operator/v1/config/history?after={after}', list[ConfigChange])
 
     def _call(self, method: str, path: str, body: bytes | None) -> bytes:
@@ -70,7 +73,7 @@
                 method, self._server + path, body=body, headers=self._headers
             )
         except urllib3.exceptions.HTTPError as error:
-            message = f'{self._server} does not answer: {error}'
+            message = f'{self._server} is unreachable: {error}'
             raise CtlError(ExitCode.UNAVAILABLE, message) from error
         if answer.status >= 400:  # noqa: PLR2004
             raise _error_from_response(answer.status, answer.data)
@@ -80,7 +83,7 @@
         try:
             return msgspec.json.decode(data, type=kind)
         except msgspec.DecodeError as error:
-            message = f'{self._server} gave an answer that cannot be read: {error}'
+            message = f'{self._server} sent an invalid answer: {error}'
             raise CtlError(ExitCode.FAILED, message) from error
 
 
--- a/citrondyke/cmd/ctl/config.py
+++ b/citrondyke/cmd/ctl/config.py
@@ -27,7 +27,7 @@
 
 __all__ = ('class_app', 'config_app', 'tenant_app')
 
-config_app = App(name='config', help='Look at and change the configuration.')
+config_app = App(name='config', help='Show and change the configuration.')
 class_app = App(name='class', help='Create, change and remove classes of work.')
 tenant_app = App(name='tenant', help='Create, change and remove tenants.')
 Shared = Annotated[Options, Parameter(name='*')]
@@ -50,10 +50,10 @@
 
 @config_app.command
 def apply(file: Path, *, expect: int, options: Shared = Options()) -> None:  # noqa: B008
-    """Make the entries those of FILE, on top of version EXPECT.
+    """Replace the entries with those in FILE, based on version EXPECT.
 
-    FILE is what ``config get --json`` prints, changed. Refused with exit code 3 when another
-    operator changed the configuration after EXPECT; the message says what and who.
+    FILE is the edited output of ``config get --json``. Fails with exit code 3 if another operator
+    has changed the configuration since EXPECT; the message names the changes and the operator.
     """
     client = OperatorClient(options)
     edits = _edits_between(client.config(), _read_entries(file))
@@ -65,7 +65,7 @@
 
 @config_app.command
 def history(*, after: int = 0, options: Shared = Options()) -> None:  # noqa: B008
-    """Show every change behind a version: who, when, before and after."""
+    """Show each change after a version: who, when, before and after."""
     show(options, OperatorClient(options).history(after), tables.history_table)
 
 
@@ -97,7 +97,7 @@
 
 @class_app.command(name='remove')
 def class_remove(name: str, *, options: Shared = Options()) -> None:  # noqa: B008
-    """Remove a class that no tenant names."""
+    """Remove a class that no tenant uses."""
     _propose_removal(options, f'class/{name}')
 
 
@@ -110,10 +110,10 @@
     tenant_key: list[str],
     options: Shared = Options(),  # noqa: B008
 ) -> None:
-    """Create or change a tenant; give --tenant-key once for each key in force.
+    """Create or change a tenant; repeat --tenant-key for each valid key.
 
-    To rotate a key, set the old and the new one, and later the new one alone. Only their
-    digests leave this machine.
+    To rotate a key, first set both the old and the new key, and later only the new one. Only the
+    digests of the keys are sent.
     """
     entry = TenantEntry(
         id=TenantId(tenant_id),
@@ -126,7 +126,7 @@
 
 @tenant_app.command(name='remove')
 def tenant_remove(tenant_id: str, *, options: Shared = Options()) -> None:  # noqa: B008
-    """Remove a tenant; its keys open nothing any more."""
+    """Remove a tenant; its keys become invalid."""
     _propose_removal(options, f'tenant/{tenant_id}')
 
 
@@ -144,7 +144,7 @@
 
 
 def _show_accepted(options: Options, change: Any) -> None:
-    show(options, change, lambda body: [f'version {body["version"]} is accepted'])
+    show(options, change, lambda body: [f'version {body["version"]} accepted'])
 
 
 def _read_entries(file: Path) -> dict[str, ConfigEntry]:
@@ -158,7 +158,7 @@
 
 
 def _edits_between(current: ConfigSnapshot, wanted: dict[str, ConfigEntry]) -> list[dict[str, Any]]:
-    """Give the edits that lead from what is in force to what is wanted."""
+    """Return the edits that turn the current configuration into the wanted one."""
     current_entries = {entry_name(entry): entry for entry in current.entries}
     changed = [name for name, entry in wanted.items() if current_entries.get(name) != entry]
     removed = [name for name in current_entries if name not in wanted]
--- a/citrondyke/cmd/ctl/exit_code.py
+++ b/citrondyke/cmd/ctl/exit_code.py
@@ -1,4 +1,4 @@
-"""How the operators' tool ends."""
+"""Exit codes of ``citrondykectl``."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ExitCode(Enum):
-    """One code for each kind of failure; stable."""
+    """One code for each kind of failure; scripts rely on the values."""
 
     DONE = 0
     FAILED = 1
--- a/citrondyke/cmd/ctl/explain.py
+++ b/citrondyke/cmd/ctl/explain.py
@@ -1,4 +1,4 @@
-"""``citrondykectl explain``: from an id and log files to a course of events."""
+"""``citrondykectl explain``: the history of a request, job or item from log files."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 
 def explain_id(wanted: str, *files: Path) -> Explanation:
-    """Join the lines about a request, a job or an item.
+    """Collect the log lines about a request, job or item, and find the cause.
 
-    :raises CtlError: for files that cannot be read and ids that are not in them.
+    :raises CtlError: if a file cannot be read, or the id is not found in the files.
     """
     if not files:
         raise CtlError(ExitCode.WRONG_CALL, 'give at least one log file')
@@ -36,10 +36,10 @@
 
 
 def explanation_tables(explanation: Explanation) -> Iterator[Table | str]:
-    """Show the course, what was believed around it, and the cause."""
-    yield _events(f'the course of {explanation.wanted}', explanation.course)
+    """Show the history, the state of the instances at the time, and the cause."""
+    yield _events(f'history of {explanation.wanted}', explanation.course)
     if explanation.around:
-        yield _events('what the instances believed, and when that changed', explanation.around)
+        yield _events('state of the instances and its changes', explanation.around)
     yield f'Cause: {explanation.cause}'
     for line in explanation.missing:
         yield f'Missing: {line}'
@@ -47,12 +47,12 @@
 
 def _events(title: str, events: list[LogEvent]) -> Table:
     table = Table(title=title, title_justify='left')
-    for column in ('time', 'instance', 'event', 'says'):
+    for column in ('time', 'instance', 'event', 'fields'):
         table.add_column(column, overflow='fold')
     for event in events:
         moment = datetime.fromtimestamp(event.time_s, UTC)
-        says = ' '.join(
+        fields = ' '.join(
             f'{name}={value}' for name, value in event.fields.items() if name not in HIDDEN
         )
-        table.add_row(f'{moment:%H:%M:%S.%f}'[:-3], event.instance, event.event, says)
+        table.add_row(f'{moment:%H:%M:%S.%f}'[:-3], event.instance, event.event, fields)
     return table
--- a/citrondyke/cmd/ctl/failure.py
+++ b/citrondyke/cmd/ctl/failure.py
@@ -1,4 +1,4 @@
-"""A failure of the operators' tool."""
+"""The error that ends ``citrondykectl``."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 class CtlError(Exception):
-    """Ends the tool with a message and an exit code."""
+    """Failure that ends the tool with a message and an exit code."""
 
     def __init__(self, exit_code: ExitCode, message: str) -> None:
-        """Build the failure."""
+        """Create an error with an exit code and a message."""
         super().__init__(message)
         self.exit_code = exit_code
         self.message = message
--- a/citrondyke/cmd/ctl/jobs.py
+++ b/citrondyke/cmd/ctl/jobs.py
@@ -14,7 +14,7 @@
 
 __all__ = ('jobs_app',)
 
-jobs_app = App(name='jobs', help='Look at and cancel jobs.')
+jobs_app = App(name='jobs', help='Show and cancel jobs.')
 Shared = Annotated[Options, Parameter(name='*')]
 
 
@@ -34,6 +34,6 @@
 
 @jobs_app.command(name='cancel')
 def jobs_cancel(job_id: str, *, options: Shared = Options()) -> None:  # noqa: B008
-    """Stop a job; what is visible already stays."""
+    """Cancel a job; results that are already visible are kept."""
     answer = OperatorClient(options).post(f'/operator/v1/jobs/{job_id}/cancel')
     show(options, answer, lambda body: [f'{body["job_id"]}: {body["state"]}'])
--- a/citrondyke/cmd/ctl/options.py
+++ b/citrondyke/cmd/ctl/options.py
@@ -1,4 +1,4 @@
-"""The options that all commands share."""
+"""The options that commands share."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
 
 @dataclass(frozen=True)
 class Options:
-    """Where to ask, as whom, and how to print."""
+    """Address of the instance, operator key and output format."""
 
     server: Annotated[
         str,
-        Parameter(env_var='CITRONDYKE_SERVER', help='an instance, such as http://10.0.0.7:8080'),
+        Parameter(
+            env_var='CITRONDYKE_SERVER', help='URL of an instance, such as http://10.0.0.7:8080'
+        ),
     ] = 'http://127.0.0.1:8080'
-    key: Annotated[str, Parameter(env_var='CITRONDYKE_KEY', help="the operator's key")] = ''
-    json: Annotated[bool, Parameter(help='print JSON for programs', negative='')] = False
+    key: Annotated[str, Parameter(env_var='CITRONDYKE_KEY', help='key of the operator')] = ''
+    json: Annotated[bool, Parameter(help='print JSON', negative='')] = False
--- a/citrondyke/cmd/ctl/show.py
+++ b/citrondyke/cmd/ctl/show.py
@@ -1,4 +1,4 @@
-"""Prints what a command found."""
+"""Prints the result of a command."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def show(options: Options, value: Any, draw: Any) -> None:
-    """Print for programs or for people."""
+    """Print a value as JSON, or as the tables and lines that ``draw`` makes of it."""
     if options.json:
         sys.stdout.buffer.write(msgspec.json.format(msgspec.json.encode(value), indent=2) + b'\n')
         return
--- a/citrondyke/cmd/ctl/tables.py
+++ b/citrondyke/cmd/ctl/tables.py
@@ -1,4 +1,4 @@
-"""What the operators' tool shows people."""
+"""Tables that ``citrondykectl`` prints for people."""
 
 from __future__ import annotations
 
@@ -43,25 +43,25 @@
 
 def config_table(snapshot: ConfigSnapshot) -> Iterator[Table]:
     """Show all entries."""
-    table = _table(f'configuration, version {snapshot.version}', 'entry', 'says')
+    table = _table(f'configuration, version {snapshot.version}', 'entry', 'value')
     for entry in sorted(snapshot.entries, key=entry_name):
         table.add_row(entry_name(entry), _describe(entry))
     yield table
 
 
 def edits_table(edits: list[dict[str, Any]]) -> Iterator[Table | str]:
-    """Show edits that would be made."""
+    """Show the edits that ``apply`` would make."""
     if not edits:
         yield 'no difference'
         return
-    table = _table('would change', 'entry', 'to')
+    table = _table('pending edits', 'entry', 'new value')
     for edit in edits:
         table.add_row(edit['name'], str(edit['after'] or 'removed'))
     yield table
 
 
 def history_table(changes: list[ConfigChange]) -> Iterator[Table]:
-    """Show accepted changes."""
+    """Show the accepted changes."""
     table = _table('history', 'version', 'when', 'who', 'entry', 'before', 'after')
     for change in changes:
         for edit in change.edits:
@@ -77,12 +77,12 @@
 
 
 def status_table(report: StatusReport) -> Iterator[Table | str]:
-    """Show one instance and what it sees."""
+    """Show an instance, its peers and the backend servers."""
     yield (
         f'{report.instance_id} in {report.zone}: version {report.config_version}, '
         f'{report.open_calls} calls, {report.held_segments} segments held'
     )
-    members = _table('other instances', 'instance', 'zone', 'listed', 'believed')
+    members = _table('other instances', 'instance', 'zone', 'listed', 'membership state')
     for member in report.members:
         members.add_row(member.id, member.zone, member.listed, member.state)
     yield members
@@ -136,13 +136,13 @@
 
 
 def report_tables(report: AuditReport) -> Iterator[Table | str]:
-    """Show what was kept, what was not, and whether the records are all there."""
+    """Show targets met and missed, and faults in the records."""
     table = _table(
         f'{report.objects_count} sealed objects',
         'class',
         'requests',
-        'kept',
-        'missed',
+        'targets met',
+        'targets missed',
         'jobs on time',
         'items with outcome',
         'outcomes',
@@ -163,8 +163,8 @@
 
 
 def outcome_table(outcome: TraceOutcome) -> Iterator[Table]:
-    """Show what a trace came to."""
-    table = _table('outcome', 'what', 'came to')
+    """Show the outcome of a replayed trace."""
+    table = _table('outcome', 'quantity', 'value')
     table.add_row('chats', str(outcome.chats))
     table.add_row('first token in time', str(outcome.chats_in_time))
     table.add_row('orders', str(outcome.orders))
@@ -178,7 +178,7 @@
 def histogram_tables(groups: dict[str, dict[str, HistogramData]]) -> Iterator[Table | str]:
     """Show histograms."""
     if not groups:
-        yield 'no requests were seen yet'
+        yield 'no requests seen yet'
     for name, quantities in groups.items():
         for quantity, data in quantities.items():
             histogram = SparseHistogram()
--- a/citrondyke/cmd/demo.py
+++ b/citrondyke/cmd/demo.py
@@ -1,4 +1,4 @@
-"""A demonstration against a running instance; ends with 0 only if all came out right."""
+"""A demonstration against a running instance; exits with 0 only if all checks pass."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
 console = Console(soft_wrap=True)
 
 ITEMS = 2000
-#: Items that can never be done.
+#: Numbers of items that the engine can never answer.
 IMPOSSIBLE = (411, 1042, 1733)
 READY_WITHIN_S = 30.0
 JOB_WITHIN_S = 120.0
 
 
 class Demo:
-    """One run against one instance."""
+    """One run of the demonstration."""
 
     def __init__(self, port: int) -> None:
-        """Talk to the instance on a port of loopback."""
+        """Use the instance on a loopback port."""
         self._http = urllib3.HTTPConnectionPool('127.0.0.1', port, timeout=30, retries=False)
         self._failures = 0
 
     def run(self) -> int:
-        """Run everything; give the exit code."""
+        """Run all steps and return the exit code."""
         self._wait_until_ready()
         self._streamed_call()
         self._service_call_twice()
         self._job()
         self._histograms()
-        verdict = 'all came out right' if not self._failures else f'{self._failures} wrong'
+        verdict = 'all checks passed' if not self._failures else f'{self._failures} checks failed'
         console.print(f'\n[bold]{verdict}[/bold]')
         return 1 if self._failures else 0
 
@@ -61,7 +61,7 @@
         deltas = [msgspec.json.decode(frame)['choices'][0]['delta'] for frame in frames]
         text = ''.join(delta.get('content', '') for delta in deltas)
         self._check(
-            'streamed call: the whole answer, and its end',
+            'streamed call: complete answer with its end marker',
             answer.data.endswith(b'data: [DONE]\n\n')
             and text == expected_text('user: Which stops come before noon?', 12),
         )
@@ -75,7 +75,7 @@
         ]
         runs = [msgspec.json.decode(answer.data).get('run') for answer in answers]
         replayed = answers[1].headers.get('Idempotent-Replayed')
-        self._check('order sent twice with one key: the service ran it once', runs == [1, 1])
+        self._check('order sent twice with the same key: the service ran it once', runs == [1, 1])
         self._check('the second answer is the stored one', replayed == 'true')
 
     def _job(self) -> None:
@@ -100,24 +100,24 @@
         self._check_outcomes(batch)
 
     def _check_outcomes(self, batch: dict[str, Any]) -> None:
-        good = self._lines(batch['output_file_id'])
-        bad = self._lines(batch['error_file_id'])
-        seen = [line['custom_id'] for line in good + bad]
-        wanted = [f'stop-{number}' for number in range(ITEMS)]
-        self._check('every item has exactly one outcome', sorted(seen) == sorted(wanted))
+        output_lines = self._lines(batch['output_file_id'])
+        error_lines = self._lines(batch['error_file_id'])
+        ids = [line['custom_id'] for line in output_lines + error_lines]
+        expected_ids = [f'stop-{number}' for number in range(ITEMS)]
+        self._check('every item has exactly one outcome', sorted(ids) == sorted(expected_ids))
         impossible = sorted(f'stop-{number}' for number in IMPOSSIBLE)
         self._check(
-            'the three that can never be done are told so',
-            sorted(line['custom_id'] for line in bad) == impossible,
+            'the three items that can never be answered have errors',
+            sorted(line['custom_id'] for line in error_lines) == impossible,
         )
-        for line in bad:
+        for line in error_lines:
             console.print(f'  {line["custom_id"]}: {line["error"]["code"]}')
         whole = all(
             line['response']['body']['choices'][0]['message']['content']
             == expected_text(f'user: Stop {line["custom_id"][5:]}', 8)
-            for line in good
+            for line in output_lines
         )
-        self._check('every answer is whole and for its own item', whole)
+        self._check('every answer is complete and belongs to its item', whole)
 
     def _histograms(self) -> None:
         answer = self._http.request(
@@ -131,7 +131,7 @@
                 histogram = SparseHistogram()
                 histogram.merge(data)
                 console.print(histogram_table(f'class {name}: {quantity}', histogram))
-        self._check('there are histograms of the class', 'calls' in report.by_class)
+        self._check('histograms of the class exist', 'calls' in report.by_class)
 
     def _wait_until_ready(self) -> None:
         until = time.monotonic() + READY_WITHIN_S
@@ -169,7 +169,7 @@
         )
 
     def _check(self, what: str, has_passed: bool) -> None:
-        mark = '[green]right[/green]' if has_passed else '[red]WRONG[/red]'
+        mark = '[green]passed[/green]' if has_passed else '[red]FAILED[/red]'
         console.print(f'{mark}  {what}')
         self._failures += not has_passed
 
--- a/citrondyke/cmd/embedded.py
+++ b/citrondyke/cmd/embedded.py
@@ -1,4 +1,4 @@
-"""One process with the stand-ins inside, for the first steps."""
+"""An instance and its stand-ins in one process, to try out the product."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 IP = '127.0.0.1'
 HTTP_PORT = 8080
-#: Ports of the stand-ins, counted from the instance's own.
+#: Ports of peers and stand-ins, as offsets from the HTTP port of the instance.
 PEER_OFFSET = 1
 PLATFORM_OFFSET = 10
 FIRST_SERVER_OFFSET = 11
@@ -52,7 +52,7 @@
 
 
 def demo_entries() -> list[ConfigEntry]:
-    """Give the configuration that the first steps work with."""
+    """Return the configuration of the embedded instance."""
     return [
         ClassEntry(
             name=ClassName('calls'),
@@ -73,7 +73,7 @@
 
 
 def seed_configuration(platform: PlatformApp, entries: list[ConfigEntry]) -> None:
-    """Write the first version of the configuration into the stand-in's table."""
+    """Write the first version of the configuration to the table of the stand-in."""
     change = first_change(entries, 'embedded')
     key = log_row_key(change.version)
     platform.table.transact(Transaction(WriteId('seed'), (), (Write(key, encode_row(change)),)))
@@ -82,7 +82,7 @@
 def serve_embedded(port: int) -> int:
     """Run an instance, the platform, two engines and a service in this process.
 
-    :param port: the instance's; the stand-ins take some after it.
+    :param port: HTTP port of the instance; the other ports are at fixed offsets from it.
     """
     clock = SystemClock()
     app, platform = platform_app(clock)
@@ -105,7 +105,7 @@
         InstanceId(own.id), own.ip, own.http_port, own.peer_port, AvailabilityZone(own.zone)
     )
     platform.lists.put_instance(instance, clock.now_ms())
-    print(f'citrondyke serves on http://{IP}:{port}; key: {DEMO_TENANT_KEY}', flush=True)
+    print(f'citrondyke is serving on http://{IP}:{port}; key: {DEMO_TENANT_KEY}', flush=True)
     return run_daemon(settings)
 
 
--- a/citrondyke/cmd/gateway.py
+++ b/citrondyke/cmd/gateway.py
@@ -1,6 +1,7 @@
-"""The gateway's daemon: one instance on the users' platform.
+"""Entry point of the gateway daemon, which runs one instance on the platform.
 
-It listens before it imports its parts, so that callers who come meanwhile wait for it.
+It listens before it imports most of its modules, so that callers that connect during the imports
+wait instead of being refused.
 """
 
 from __future__ import annotations
@@ -8,10 +9,12 @@
 import os
 import sys
 
-# The extension itself, as the module ``signal`` around it takes longer than to listen.
+# The C extension is imported directly: importing the ``signal`` module that wraps it takes longer
+# than opening the listening sockets.
 from _signal import SIG_IGN, SIGHUP, signal  # type: ignore[import-not-found]
 
-# First of all: the other imports take longer than what follows.
+# Imported before the other modules, because it records the start of the process and importing them
+# takes longer than the steps that follow.
 from citrondyke.util.process_start import PROCESS_START_MS  # isort: skip
 from citrondyke.platform.early_addresses import early_addresses
 from citrondyke.util.code_bundle import LIBRARY, PACKAGES, open_bundle
@@ -21,21 +24,21 @@
 __all__ = ('BUNDLE_FILE', 'bundle_roots', 'main')
 
 _PACKAGE = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-#: Made by the build, beside the package.
+#: Created by the build next to the package.
 BUNDLE_FILE = f'{_PACKAGE}.bundle'
 
 
 def main() -> int:
     """Run one instance until SIGTERM."""
     steps = StartSteps()
-    # By default it would end the process. The settings are read later anyway.
+    # The default action would end the process. No reload is lost, as the settings are read later.
     signal(SIGHUP, SIG_IGN)
     sockets = EarlySockets(early_addresses(os.environ))
     steps.record('listening')
     bundle = open_bundle(BUNDLE_FILE, bundle_roots())
     import gc
 
-    # What is imported stays: looking for garbage among it only takes time.
+    # Imported modules stay in memory, so garbage collection during the imports only costs time.
     gc.disable()
     from citrondyke.cmd.lean_imports import defer_unused_imports
 
@@ -51,7 +54,10 @@
 
 
 def bundle_roots() -> dict[str, str]:
-    """Give the folders of the modules in a bundle: the package and its libraries, and Python's."""
+    """Return the root folders of bundled modules.
+
+    These are the folder of the package and its libraries, and that of the standard library.
+    """
     return {PACKAGES: os.path.dirname(_PACKAGE), LIBRARY: os.path.dirname(os.__file__)}
 
 
--- a/citrondyke/cmd/lean_imports.py
+++ b/citrondyke/cmd/lean_imports.py
@@ -1,4 +1,4 @@
-"""Leaves out of the start what is imported, but used later or never."""
+"""Defers imports that the start of the daemon does not need."""
 
 from __future__ import annotations
 
@@ -8,21 +8,25 @@
 
 
 def defer_unused_imports() -> None:
-    """Put off the modules below; to be called before any library is imported."""
-    # pycapnp takes one class of it; its event loop is never run here.
+    """Defer modules that libraries import but the daemon uses later or never.
+
+    Must be called before any library is imported.
+    """
+    # pycapnp uses one class of it; the event loop never runs in this process.
     defer_import('asyncio', ('asyncio.protocols',))
-    # logbook's handlers for mail and for packed files.
+    # Used only by the mail and compressed file handlers of logbook, which are not used here.
     defer_import('ssl')
     defer_import('gzip')
-    # It takes one hash of it, which is not used; the extension has it too.
+    # logbook imports one hash function, which is not used; the C extension provides it as well.
     defer_import('hashlib', ('_sha1',))
-    # On this version of Python, all that is taken of it but one decorator is in ``typing``.
+    # In this version of Python, ``typing`` has all names imported from it except one decorator.
     defer_import('typing_extensions', ('typing', 'citrondyke.util.deprecated'))
-    # msgspec knows UUIDs, whose module asks for the system's name.
+    # msgspec imports ``uuid``, which only needs the name of the operating system from it.
     defer_import('platform', ('citrondyke.util.system_name',))
-    # For the rows of jobs, and what peers know; it asks for the name of the interpreter as well.
+    # Needed only for rows of jobs and for state sent by peers. It also reads the name of the
+    # interpreter, for which it imports ``platform``.
     defer_import('zstandard')
-    # For addresses in brackets, which no URL here has.
+    # Needed only for bracketed IPv6 addresses, which no URL here contains.
     defer_import('ipaddress')
-    # For tracebacks of sources, and messages of uncommon errors.
+    # Needed only for source lines in tracebacks and for messages of rare errors.
     defer_import('tokenize')
--- a/citrondyke/cmd/make_bundle.py
+++ b/citrondyke/cmd/make_bundle.py
@@ -1,4 +1,4 @@
-"""Writes the code of all modules that the daemon imports into one file, as part of the build."""
+"""Writes the compiled code of all modules that the daemon imports to one file at build time."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Write it beside the package."""
+    """Write the bundle next to the package."""
     before = set(sys.modules)
     defer_unused_imports()
     importlib.import_module(DAEMON_MODULE)
@@ -35,10 +35,10 @@
 
 
 def _entry(name: str, roots: dict[str, str]) -> Entry | None:
-    """Give a module's entry; ``None`` for one that is not plain compiled code."""
+    """Return the bundle entry of a module; ``None`` if it has no Python code to bundle."""
     module = sys.modules[name]
     if '__getattr__' in vars(module) and not hasattr(module, '__builtins__'):
-        # Put off: its code has not run.
+        # The import is deferred, and the code of the module has not run.
         return None
     spec = getattr(module, '__spec__', None)
     if spec is None or not (spec.origin or '').endswith('.py') or spec.name != name:
--- a/citrondyke/cmd/patch.py
+++ b/citrondyke/cmd/patch.py
@@ -1,13 +1,13 @@
-"""Makes the standard library cooperate with gevent; imported before anything else."""
+"""Patches the standard library for gevent; must be imported before any other module."""
 
 from __future__ import annotations
 
 import os
 
-# The loop is pinned: libev over epoll, never io_uring, whatever a later library would choose.
+# Pins the event loop to libev over epoll, so that no later gevent version switches to io_uring.
 os.environ.setdefault('GEVENT_LOOP', 'libev-cext')
 os.environ.setdefault('GEVENT_BACKEND', 'epoll')
-# Addresses are numbers here, so no thread pool is needed to look names up.
+# All addresses are numeric, so no thread pool is needed to resolve names.
 os.environ.setdefault('GEVENT_RESOLVER', 'block')
 
 from gevent import monkey
--- a/citrondyke/cmd/run_daemon.py
+++ b/citrondyke/cmd/run_daemon.py
@@ -1,4 +1,4 @@
-"""Runs an instance of the product's own interface as a process."""
+"""Runs an instance with the product's own HTTP interface as a process."""
 
 from __future__ import annotations
 
--- a/citrondyke/cmd/run_gateway.py
+++ b/citrondyke/cmd/run_gateway.py
@@ -1,4 +1,4 @@
-"""Runs a gateway instance as a process, from its settings to its end."""
+"""Runs a gateway instance as a process."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 import sys
 from typing import TYPE_CHECKING
 
-# The loop is pinned: libev over epoll, never io_uring, whatever a later library would choose.
+# Pins the event loop to libev over epoll, so that no later gevent version switches to io_uring.
 os.environ.setdefault('GEVENT_LOOP', 'libev-cext')
 os.environ.setdefault('GEVENT_BACKEND', 'epoll')
-# Addresses are numbers here, so no thread pool is needed to look names up.
+# All addresses are numeric, so no thread pool is needed to resolve names.
 os.environ.setdefault('GEVENT_RESOLVER', 'block')
 
 import gevent
@@ -30,7 +30,7 @@
 
 __all__ = ('run_gateway',)
 
-#: As the deploy file names it.
+#: Port of the metrics endpoint that the deployment file declares.
 METRICS_PORT = 9_464
 EXIT_SETTINGS = 2
 
@@ -38,8 +38,9 @@
 def run_gateway(sockets: EarlySockets, steps: StartSteps, began_ms: float) -> int:
     """Run one instance until SIGTERM.
 
-    :param sockets: those that listen already.
-    :param began_ms: start of the process by the fence clock.
+    :param sockets: sockets that are already listening.
+    :param steps: records the times of the steps of the start.
+    :param began_ms: start of the process, by the fence clock.
     """
     try:
         settings = load_platform_settings(METRICS_PORT)
@@ -47,7 +48,7 @@
         print(f'citrondyke gateway: {error.message}', file=sys.stderr)
         return EXIT_SETTINGS
     steps.record('settings')
-    # A crash in an extension module leaves the Python stack on standard error.
+    # Prints the Python stack to standard error if an extension module crashes.
     faulthandler.enable()
     clock = SystemClock()
     handler = EventLogHandler(clock, {'instance': settings.instance_id})
--- a/citrondyke/cmd/standin.py
+++ b/citrondyke/cmd/standin.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the platform and of backend servers, one in each process."""
+"""``citrondyke-standin``: runs one stand-in for the platform or a backend server."""
 
 from __future__ import annotations
 
@@ -16,12 +16,15 @@
 
 __all__ = ('app', 'main')
 
-app = App(name='citrondyke-standin', help='Stand-ins for tests, benchmarks and first steps.')
+app = App(
+    name='citrondyke-standin',
+    help='Run a stand-in for tests, benchmarks and trying out citrondyke.',
+)
 
 
 @app.command
 def platform(*, port: int, ip: str = '127.0.0.1') -> None:
-    """Stand in for the table service, the object store and the lists."""
+    """Run a stand-in for the table service, the object store and the fleet lists."""
     _serve(ip, port, platform_app(SystemClock())[0])
 
 
@@ -37,7 +40,7 @@
     max_running: int = 128,
     load_lag_ms: float = 100.0,
 ) -> None:
-    """Stand in for a continuous-batching model engine."""
+    """Run a stand-in for a continuous-batching inference engine."""
     curve = EngineCurve(
         base_ms=base_ms,
         knee_streams=knee_streams,
@@ -49,7 +52,7 @@
 
 @app.command
 def service(*, port: int, ip: str = '127.0.0.1', run_ms: float = 5.0) -> None:
-    """Stand in for a plain service that counts what it runs."""
+    """Run a stand-in for a plain service, which counts its runs by request."""
     _serve(ip, port, service_app(run_ms)[0])
 
 
--- a/tests/test_cmd/__init__.py
+++ b/tests/test_cmd/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of the programs."""
+"""Tests of the command line programs."""
 
 from __future__ import annotations
--- a/tests/test_cmd/test_cmd_ctl.py
+++ b/tests/test_cmd/test_cmd_ctl.py
@@ -1,4 +1,4 @@
-"""The operators' tool: what it shows, what it changes, how it fails."""
+"""``citrondykectl`` shows state, changes the configuration and fails with documented exit codes."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_classes_and_tenants_come_and_go(ctl: Ctl, fleet: Fleet, tmp_path: Path) -> None:
+def test_classes_and_tenants_are_set_and_removed(ctl: Ctl, fleet: Fleet, tmp_path: Path) -> None:
     words = ['class', 'set', 'counter', '--kind', 'online', '--first-token-ms', '300']
     assert ctl.json(*words)['version'] == 2
     tenant = ['tenant', 'set', 'new', '--online-class', 'counter', '--batch-class', 'nightly']
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.fleet(instances=1, engines=0, services=())
-def test_failures_have_their_exit_codes(ctl: Ctl, fleet: Fleet) -> None:
+def test_each_kind_of_failure_has_its_exit_code(ctl: Ctl, fleet: Fleet) -> None:
     assert ctl.run('jobs', 'show', 'none').returncode == 4
     assert Ctl(fleet.port('instance-0'), 'nobody').run('status').returncode == 5
     assert Ctl(1).run('status').returncode == 6
--- a/tests/test_cmd/test_cmd_start_files.py
+++ b/tests/test_cmd/test_cmd_start_files.py
@@ -1,4 +1,4 @@
-"""What makes the daemon's start short: code in one file, and code that is not run."""
+"""The daemon starts faster with bundled code and deferred imports."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     return str(file)
 
 
-def test_modules_come_from_the_bundle_wherever_it_lies(tmp_path: Path) -> None:
+def test_bundled_modules_load_after_their_folder_was_moved(tmp_path: Path) -> None:
     roots = {PACKAGES: '/moved/here', LIBRARY: '/lib'}
     finder = open_bundle(write_bundle(tmp_path), roots)
     assert finder is not None
@@ -35,19 +35,19 @@
 
 
 @pytest.mark.parametrize('content', [b'', b'{', marshal.dumps(7), marshal.dumps((1, 2, 3))])
-def test_a_bundle_in_error_changes_nothing(tmp_path: Path, content: bytes) -> None:
-    # A build that was cut off leaves a part of the file.
+def test_an_invalid_bundle_is_ignored(tmp_path: Path, content: bytes) -> None:
+    # An interrupted build can leave a truncated bundle.
     file = tmp_path / 'some.bundle'
     file.write_bytes(content)
     assert open_bundle(str(file), {}) is None
     assert open_bundle(str(tmp_path / 'none'), {}) is None
 
 
-def test_a_bundle_of_another_interpreter_is_left_alone(tmp_path: Path) -> None:
+def test_a_bundle_of_another_interpreter_is_ignored(tmp_path: Path) -> None:
     assert open_bundle(write_bundle(tmp_path, '3.9'), {}) is None
 
 
-def test_a_module_that_is_put_off_runs_at_its_first_use(
+def test_a_deferred_module_runs_at_its_first_use(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     (tmp_path / 'unused_whole.py').write_text("RAN.append(1)\nNAME = 'whole'\n")
@@ -67,8 +67,8 @@
     assert ran == [1]
 
 
-def test_the_build_bundles_all_that_the_daemon_imports(tmp_path: Path) -> None:
-    # Without its sources the daemon still comes up to the check of its settings.
+def test_the_bundle_contains_all_modules_that_the_daemon_imports(tmp_path: Path) -> None:
+    # Without the sources of these modules, the daemon still starts and reports missing settings.
     package = Path(__file__).parents[2] / 'citrondyke'
     tree = tmp_path / 'citrondyke'
     subprocess.run(['cp', '-r', str(package), str(tree)], check=True)
@@ -80,6 +80,6 @@
     for part in ('gateway', 'decisions', 'platform/adapters.py', 'cmd/run_gateway.py'):
         (tree / part).rename(tmp_path / part.replace('/', '-'))
     run = [*python, 'citrondyke.cmd.gateway']
-    ended = subprocess.run(run, env=environment, cwd=tmp_path, capture_output=True, check=False)
-    assert ended.returncode == 2, ended.stderr
-    assert b'CITRONDYKE_NODE_FILE' in ended.stderr
+    process = subprocess.run(run, env=environment, cwd=tmp_path, capture_output=True, check=False)
+    assert process.returncode == 2, process.stderr
+    assert b'CITRONDYKE_NODE_FILE' in process.stderr
