--- a/citrondyke/cmd/ctl/tables.py
+++ b/citrondyke/cmd/ctl/tables.py
@@ -54,7 +54,7 @@
     if not edits:
         yield 'no difference'
         return
-    table = _table('pending edits', 'entry', 'new value')
+    table = _table('pending edits', 'entry', 'to')
     for edit in edits:
         table.add_row(edit['name'], str(edit['after'] or 'removed'))
     yield table
@@ -164,7 +164,7 @@
 
 def outcome_table(outcome: TraceOutcome) -> Iterator[Table]:
     """Show the outcome of a replayed trace."""
-    table = _table('outcome', 'quantity', 'value')
+    table = _table('outcome', 'what', 'value')
     table.add_row('chats', str(outcome.chats))
     table.add_row('first token in time', str(outcome.chats_in_time))
     table.add_row('orders', str(outcome.orders))
