--- a/citrondyke/cmd/ctl/accounts.py
+++ b/citrondyke/cmd/ctl/accounts.py
@@ -81,7 +81,7 @@
 
 def suspects_table(suspects: Sequence[SuspectState]) -> Iterator[Table]:
     """Show suspected and blocked requests, and why."""
-    columns = ('content', 'verdict', 'servers exited', 'trials')
+    columns = ('content', 'standing', 'servers exited', 'trials')
     table = Table(*columns, title='suspected requests', title_justify='left')
     for suspect in suspects:
         ended = f'{suspect.servers_ended:g}'
--- a/citrondyke/cmd/ctl/explain.py
+++ b/citrondyke/cmd/ctl/explain.py
@@ -47,7 +47,7 @@
 
 def _events(title: str, events: list[LogEvent]) -> Table:
     table = Table(title=title, title_justify='left')
-    for column in ('time', 'instance', 'event', 'fields'):
+    for column in ('time', 'instance', 'event', 'says'):
         table.add_column(column, overflow='fold')
     for event in events:
         moment = datetime.fromtimestamp(event.time_s, UTC)
--- a/citrondyke/cmd/ctl/tables.py
+++ b/citrondyke/cmd/ctl/tables.py
@@ -43,7 +43,7 @@
 
 def config_table(snapshot: ConfigSnapshot) -> Iterator[Table]:
     """Show all entries."""
-    table = _table(f'configuration, version {snapshot.version}', 'entry', 'value')
+    table = _table(f'configuration, version {snapshot.version}', 'entry', 'says')
     for entry in sorted(snapshot.entries, key=entry_name):
         table.add_row(entry_name(entry), _describe(entry))
     yield table
@@ -82,7 +82,7 @@
         f'{report.instance_id} in {report.zone}: version {report.config_version}, '
         f'{report.open_calls} calls, {report.held_segments} segments held'
     )
-    members = _table('other instances', 'instance', 'zone', 'listed', 'membership state')
+    members = _table('other instances', 'instance', 'zone', 'listed', 'believed')
     for member in report.members:
         members.add_row(member.id, member.zone, member.listed, member.state)
     yield members
@@ -141,8 +141,8 @@
         f'{report.objects_count} sealed objects',
         'class',
         'requests',
-        'targets met',
-        'targets missed',
+        'kept',
+        'missed',
         'jobs on time',
         'items with outcome',
         'outcomes',
