--- a/citrondyke/storage/__init__.py
+++ b/citrondyke/storage/__init__.py
@@ -1,3 +1,3 @@
-"""The platform's services as the instance sees them: rows, objects, lists."""
+"""Clients for the platform's services: tables, objects and lists of the fleet."""
 
 from __future__ import annotations
--- a/citrondyke/storage/_platform_http.py
+++ b/citrondyke/storage/_platform_http.py
@@ -1,4 +1,4 @@
-"""One HTTP call to the platform, with its failure sorted by what may have happened."""
+"""HTTP calls to the platform, with failures classified by whether they had an effect."""
 
 from __future__ import annotations
 
@@ -19,19 +19,20 @@
 
 __all__ = ('PlatformHttpClient',)
 
-#: Answers that say the platform refused before doing anything.
+#: Status codes with which the platform rejects a call before it has any effect.
 REJECTED_STATUSES = frozenset({429, 503})
 NOT_MODIFIED_STATUS = 304
 CONFLICT_STATUS = 409
 
 
 class PlatformHttpClient:
-    """A pool of connections to one service of the platform."""
+    """A connection pool for one service of the platform."""
 
     def __init__(self, url: str, timeout_ms: float, connections: int = 16) -> None:
-        """Open nothing yet.
+        """Initialize the pool without opening a connection.
 
         :param timeout_ms: timeout of each call.
+        :param connections: maximum number of idle connections.
         """
         self._pool = urllib3.connection_from_url(
             url,
@@ -41,33 +42,34 @@
             retries=False,
         )
 
-    def get_if_changed(self, path: str, tag: str) -> tuple[str, bytes] | PlatformFailure | None:
-        """Fetch what changed since the answer that carried ``tag``.
+    def get_if_changed(self, path: str, etag: str) -> tuple[str, bytes] | PlatformFailure | None:
+        """Fetch a resource unless it still has the given ETag.
 
-        :returns: the new tag and body, or ``None`` where nothing changed.
+        :param etag: ETag of the last response; empty to fetch in any case.
+        :returns: the new ETag and body; ``None`` if the resource has not changed.
         """
-        answer = self._answer('GET', path, None, {'If-None-Match': tag} if tag else {})
-        if isinstance(answer, PlatformFailure):
-            return answer
-        if answer.status == NOT_MODIFIED_STATUS:
+        response = self._send('GET', path, None, {'If-None-Match': etag} if etag else {})
+        if isinstance(response, PlatformFailure):
+            return response
+        if response.status == NOT_MODIFIED_STATUS:
             return None
-        return answer.headers.get('ETag', ''), answer.data
+        return response.headers.get('ETag', ''), response.data
 
     def call(
         self, method: str, path: str, body: bytes | None = None
     ) -> tuple[int, bytes] | PlatformFailure:
-        """Make one call, never repeated here.
+        """Make a call once, without retries.
 
-        A reply that is lost after the write took effect looks the same as a write that
-        never arrived. Only the caller can tell them apart, by its write id; so anything
-        but a connection that was never made counts as ambiguous.
+        A lost reply to a write that took effect cannot be distinguished from a write that never
+        arrived, except by the caller with its write id. Any failure after a connection was
+        established is therefore ambiguous, unless the platform rejected the call.
         """
-        answer = self._answer(method, path, body, {})
-        if isinstance(answer, PlatformFailure):
-            return answer
-        return answer.status, answer.data
+        response = self._send(method, path, body, {})
+        if isinstance(response, PlatformFailure):
+            return response
+        return response.status, response.data
 
-    def _answer(
+    def _send(
         self, method: str, path: str, body: bytes | None, headers: dict[str, str]
     ) -> BaseHTTPResponse | PlatformFailure:
         try:
--- a/citrondyke/storage/failure.py
+++ b/citrondyke/storage/failure.py
@@ -1,4 +1,4 @@
-"""How a call of the platform fails, as a sentinel value with its reason."""
+"""Failures of calls to the platform, as sentinel values with a reason."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class PlatformFailureReason(Enum):
-    """What is known of the call."""
+    """Why a call failed and whether it may have had an effect."""
 
-    #: Refused, or never reached the platform: it had no effect.
+    #: The call was rejected or never reached the platform; it had no effect.
     UNAVAILABLE = 'unavailable'
-    #: Cut or timed out: it may have taken effect, or still may.
+    #: The call was aborted or timed out; it may have taken effect or may still do so.
     AMBIGUOUS = 'ambiguous'
-    #: The object is not there.
+    #: The object does not exist.
     MISSING = 'missing'
-    #: The history that was asked for is not kept any more.
+    #: The requested history is no longer stored.
     HISTORY_LOST = 'history_lost'
-    #: The store takes nothing more.
+    #: The store has no free capacity.
     FULL = 'full'
-    #: What is there cannot be read.
+    #: The data cannot be decoded.
     UNREADABLE = 'unreadable'
 
 
 class PlatformFailure(msgspec.Struct, frozen=True):
-    """Stands in the place of a result."""
+    """Returned instead of a result."""
 
     reason: PlatformFailureReason
 
     def __bool__(self) -> bool:
-        """Count as no result."""
+        """Return ``False``, so that a failure is falsy."""
         return False
 
 
--- a/citrondyke/storage/fleet_lists.py
+++ b/citrondyke/storage/fleet_lists.py
@@ -1,4 +1,4 @@
-"""The platform's lagging lists of instances and backend servers."""
+"""The platform's lists of instances and backend servers, which may be out of date."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class ListedState(Enum):
-    """What the platform says of an entry."""
+    """State of an entry in the platform's lists."""
 
     LIVE = 'live'
     LEAVING = 'leaving'
 
 
 class ListedInstance(msgspec.Struct, frozen=True):
-    """An instance of ours as listed."""
+    """An entry of the list of instances."""
 
     id: InstanceId
     ip: str
@@ -32,7 +32,7 @@
 
 
 class ListedServer(msgspec.Struct, frozen=True):
-    """A backend server as listed."""
+    """An entry of the list of backend servers."""
 
     id: ServerId
     ip: str
@@ -41,19 +41,19 @@
     #: The model it serves, or ``service:<name>`` for a plain service.
     target: TargetName
     state: ListedState = ListedState.LIVE
-    #: Whether it refuses an order with an old fencing number.
+    #: Whether the server rejects a request with an outdated fencing number.
     checks_fence: bool = False
 
 
 class FleetSnapshot(msgspec.Struct, frozen=True):
-    """Both lists at one moment, perhaps an old one."""
+    """Both lists at one moment, possibly an old one."""
 
     instances: tuple[ListedInstance, ...] = ()
     servers: tuple[ListedServer, ...] = ()
 
 
 class FleetLists(ABC):
-    """A client of the lists."""
+    """A client for the lists."""
 
     @abstractmethod
     def read(self) -> FleetSnapshot | PlatformFailure:
--- a/citrondyke/storage/http_fleet_lists.py
+++ b/citrondyke/storage/http_fleet_lists.py
@@ -1,4 +1,4 @@
-"""The lists over their HTTP protocol."""
+"""HTTP client for the lists of instances and backend servers."""
 
 from __future__ import annotations
 
@@ -12,37 +12,38 @@
 
 
 def http_fleet_lists(url: str, timeout_ms: float) -> HttpFleetLists:
-    """Make a client.
+    """Create a client.
 
+    :param url: base URL of the service.
     :param timeout_ms: timeout of each call.
     """
     return HttpFleetLists(PlatformHttpClient(url, timeout_ms))
 
 
 class HttpFleetLists(FleetLists):
-    """A client of the lists."""
+    """Reads the lists over HTTP."""
 
     def __init__(self, http: PlatformHttpClient) -> None:
-        """Use the connections of ``http``."""
+        """Initialize the client."""
         self._http = http
-        self._tag = ''
-        self._last = FleetSnapshot()
+        self._etag = ''
+        self._last_snapshot = FleetSnapshot()
 
     def read(self) -> FleetSnapshot | PlatformFailure:
         """Read both lists.
 
-        At 970 entries they are over 100 KB, and they seldom change; an unchanged one is not sent
-        again.
+        With 970 entries the lists exceed 100 KB, and they seldom change. Conditional requests
+        avoid transferring them again while they are unchanged.
         """
-        answer = self._http.get_if_changed('/lists', self._tag)
-        if isinstance(answer, PlatformFailure):
-            return answer
-        if answer is None:
-            return self._last
-        tag, body = answer
+        response = self._http.get_if_changed('/lists', self._etag)
+        if isinstance(response, PlatformFailure):
+            return response
+        if response is None:
+            return self._last_snapshot
+        etag, body = response
         try:
-            self._last = msgspec.json.decode(body, type=FleetSnapshot)
+            self._last_snapshot = msgspec.json.decode(body, type=FleetSnapshot)
         except msgspec.DecodeError:
             return AMBIGUOUS
-        self._tag = tag
-        return self._last
+        self._etag = etag
+        return self._last_snapshot
--- a/citrondyke/storage/http_object_store.py
+++ b/citrondyke/storage/http_object_store.py
@@ -1,4 +1,4 @@
-"""The object store over its HTTP protocol."""
+"""HTTP client for the object store."""
 
 from __future__ import annotations
 
@@ -15,38 +15,39 @@
 
 
 def http_object_store(url: str, timeout_ms: float) -> HttpObjectStore:
-    """Make a client.
+    """Create a client.
 
+    :param url: base URL of the service.
     :param timeout_ms: timeout of each call.
     """
     return HttpObjectStore(PlatformHttpClient(url, timeout_ms))
 
 
 class HttpObjectStore(ObjectStore):
-    """A client of the object store."""
+    """Accesses the object store over HTTP."""
 
     def __init__(self, http: PlatformHttpClient) -> None:
-        """Use the connections of ``http``."""
+        """Initialize the client."""
         self._http = http
 
     def put(self, key: ObjectKey, body: bytes) -> PlatformFailure | None:
         """Store an object."""
-        answer = self._http.call('PUT', f'/objects/{quote(key)}', body)
-        return answer if isinstance(answer, PlatformFailure) else None
+        response = self._http.call('PUT', f'/objects/{quote(key)}', body)
+        return response if isinstance(response, PlatformFailure) else None
 
     def get(self, key: ObjectKey) -> bytes | PlatformFailure:
         """Fetch an object."""
-        answer = self._http.call('GET', f'/objects/{quote(key)}')
-        return answer if isinstance(answer, PlatformFailure) else answer[1]
+        response = self._http.call('GET', f'/objects/{quote(key)}')
+        return response if isinstance(response, PlatformFailure) else response[1]
 
     def delete(self, key: ObjectKey) -> PlatformFailure | None:
-        """Delete an object; one that is not there counts as deleted."""
-        answer = self._http.call('DELETE', f'/objects/{quote(key)}')
-        return answer if isinstance(answer, PlatformFailure) and answer != MISSING else None
+        """Delete an object; succeed if it does not exist."""
+        response = self._http.call('DELETE', f'/objects/{quote(key)}')
+        return response if isinstance(response, PlatformFailure) and response != MISSING else None
 
     def list_keys(self, prefix: str) -> list[ObjectKey] | PlatformFailure:
-        """List the keys below a prefix, in order."""
-        answer = self._http.call('GET', f'/objects?prefix={quote(prefix, safe="")}')
-        if isinstance(answer, PlatformFailure):
-            return answer
-        return msgspec.json.decode(answer[1], type=list[ObjectKey])
+        """List the keys with a prefix, in order."""
+        response = self._http.call('GET', f'/objects?prefix={quote(prefix, safe="")}')
+        if isinstance(response, PlatformFailure):
+            return response
+        return msgspec.json.decode(response[1], type=list[ObjectKey])
--- a/citrondyke/storage/http_table_service.py
+++ b/citrondyke/storage/http_table_service.py
@@ -1,4 +1,4 @@
-"""The table service over its HTTP protocol."""
+"""HTTP client for the table service."""
 
 from __future__ import annotations
 
@@ -29,32 +29,33 @@
 
 
 class RowsReply(msgspec.Struct, frozen=True):
-    """Answer to a read or a scan."""
+    """Response to a read or a scan."""
 
     rows: list[Row]
 
 
 def http_table_service(url: str, timeout_ms: float) -> HttpTableService:
-    """Make a client.
+    """Create a client.
 
+    :param url: base URL of the service.
     :param timeout_ms: timeout of each call.
     """
     return HttpTableService(PlatformHttpClient(url, timeout_ms))
 
 
 class HttpTableService(TableService):
-    """A client of the table service."""
+    """Accesses the table service over HTTP."""
 
     def __init__(self, http: PlatformHttpClient) -> None:
-        """Use the connections of ``http``."""
+        """Initialize the client."""
         self._http = http
 
     def transact(self, transaction: Transaction) -> Committed | Conflict | PlatformFailure:
-        """Try one transaction, once."""
-        answer = self._http.call('POST', '/v1/transact', msgspec.json.encode(transaction))
-        if isinstance(answer, PlatformFailure):
-            return answer
-        status, body = answer
+        """Attempt a transaction once."""
+        response = self._http.call('POST', '/v1/transact', msgspec.json.encode(transaction))
+        if isinstance(response, PlatformFailure):
+            return response
+        status, body = response
         try:
             if status == CONFLICT_STATUS:
                 return msgspec.json.decode(body, type=Conflict)
@@ -63,21 +64,21 @@
             return AMBIGUOUS
 
     def read(self, keys: Sequence[RowKey]) -> dict[RowKey, Row] | PlatformFailure:
-        """Read rows; missing ones are left out."""
-        rows = self._rows('/v1/read', ReadRequest(tuple(keys)))
+        """Read rows; omit those that do not exist."""
+        rows = self._request_rows('/v1/read', ReadRequest(tuple(keys)))
         if isinstance(rows, PlatformFailure):
             return rows
         return {row.key: row for row in rows}
 
     def scan(self, prefix: str, after: str, limit: int) -> list[Row] | PlatformFailure:
         """Read rows in key order."""
-        return self._rows('/v1/scan', ScanRequest(prefix, after, limit))
+        return self._request_rows('/v1/scan', ScanRequest(prefix, after, limit))
 
-    def _rows(self, path: str, request: msgspec.Struct) -> list[Row] | PlatformFailure:
-        answer = self._http.call('POST', path, msgspec.json.encode(request))
-        if isinstance(answer, PlatformFailure):
-            return answer
+    def _request_rows(self, path: str, request: msgspec.Struct) -> list[Row] | PlatformFailure:
+        response = self._http.call('POST', path, msgspec.json.encode(request))
+        if isinstance(response, PlatformFailure):
+            return response
         try:
-            return msgspec.json.decode(answer[1], type=RowsReply).rows
+            return msgspec.json.decode(response[1], type=RowsReply).rows
         except msgspec.DecodeError:
             return AMBIGUOUS
--- a/citrondyke/storage/object_store.py
+++ b/citrondyke/storage/object_store.py
@@ -1,4 +1,4 @@
-"""The object store: bytes under names, written once."""
+"""Interface of the object store: bytes by key, written once."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class ObjectStore(ABC):
-    """A client of the object store; every call has its own timeout."""
+    """A client for the object store; each call has its own timeout."""
 
     @abstractmethod
     def put(self, key: ObjectKey, body: bytes) -> PlatformFailure | None:
-        """Store an object; the same key again replaces it."""
+        """Store an object; replace any object with the same key."""
 
     @abstractmethod
     def get(self, key: ObjectKey) -> bytes | PlatformFailure:
@@ -23,8 +23,8 @@
 
     @abstractmethod
     def delete(self, key: ObjectKey) -> PlatformFailure | None:
-        """Delete an object; one that is not there counts as deleted."""
+        """Delete an object; succeed if it does not exist."""
 
     @abstractmethod
     def list_keys(self, prefix: str) -> list[ObjectKey] | PlatformFailure:
-        """List the keys below a prefix, in order."""
+        """List the keys with a prefix, in order."""
--- a/citrondyke/storage/partitioned_table.py
+++ b/citrondyke/storage/partitioned_table.py
@@ -1,4 +1,4 @@
-"""Tables cut into parts: conditional transactions within one part, and a feed of changes."""
+"""Interface of partitioned tables: conditional transactions within one partition, and changes."""
 
 from __future__ import annotations
 
@@ -23,25 +23,26 @@
     'RowRemoval',
 )
 
-#: Parts in one answer of the store; fewer say that there are no more.
+#: Partitions in one page of the list; a shorter page is the last one.
 PARTS_PAGE = 1_000
-#: A version that no row ever has: the conflict that it brings is a read that is never stale.
+#: A version that no row ever has. A condition on it always conflicts, and the conflict returns the
+#: current rows: this is a read that is never stale.
 IMPOSSIBLE_VERSION = 2**53
 
 
 class PartRow(msgspec.Struct, frozen=True):
-    """One row as it stands; in a feed, ``None`` as its value says that it was deleted."""
+    """A row of a partition; among changes, the value ``None`` means that the row was deleted."""
 
     table: str
     part: str
     key: str
-    #: Grows with every transaction of the whole store.
+    #: Increases with each transaction of the whole store.
     version: int
     value: bytes | None
 
 
 class RowCondition(msgspec.Struct, frozen=True):
-    """A row's version that a transaction needs; 0 for no such row."""
+    """The version that a row must have for a transaction; 0 if the row must not exist."""
 
     table: str
     key: str
@@ -64,7 +65,7 @@
 
 
 class PartTransaction(msgspec.Struct, frozen=True):
-    """All of it or nothing, within one part."""
+    """An atomic transaction within one partition."""
 
     part: str
     conditions: tuple[RowCondition, ...] = ()
@@ -73,29 +74,29 @@
 
 
 class PartCommitted(msgspec.Struct, frozen=True):
-    """The transaction took effect."""
+    """The transaction was committed."""
 
-    #: Version of every row that it wrote.
+    #: Version of all rows that the transaction wrote.
     version: int
 
 
 class PartConflict(msgspec.Struct, frozen=True):
-    """A condition did not hold; nothing was written.
+    """A condition was not met; nothing was written.
 
-    The rows are those of the conditions as they stand, at one moment that is not older than the
-    call: a transaction with a condition that cannot hold is a read that is never stale.
+    ``rows`` has the current rows of all conditions as of one moment that is not before the call. A
+    transaction with a condition that cannot be met is therefore a read that is never stale.
     """
 
     rows: tuple[PartRow, ...]
     version: int
 
     def row(self, table: str, key: str) -> PartRow | None:
-        """Find a row; ``None`` says that it is not there."""
+        """Return a row; ``None`` if it does not exist."""
         return next((row for row in self.rows if (row.table, row.key) == (table, key)), None)
 
 
 class Listing(msgspec.Struct, frozen=True):
-    """Rows in key order as of one moment, which may lie some seconds back."""
+    """Rows in key order as of one moment, which may be some seconds ago."""
 
     rows: tuple[PartRow, ...]
     has_more: bool
@@ -103,32 +104,32 @@
 
 
 class ChangeBatch(msgspec.Struct, frozen=True):
-    """Changes behind a version, in order."""
+    """Changes after a version, in order."""
 
     rows: tuple[PartRow, ...]
-    #: Ask on from here.
+    #: Version to continue from.
     version: int
 
 
 class PartitionedTable(ABC):
-    """A client of the store; every call has its own timeout."""
+    """A client for the store; each call has its own timeout."""
 
     @property
     def mean_latency_ms(self) -> float:
-        """Give the time that calls usually take; 0 where nobody measures it."""
+        """Return the mean latency of calls; 0 if it is not measured."""
         return 0.0
 
     @abstractmethod
     def transact(
         self, transaction: PartTransaction
     ) -> PartCommitted | PartConflict | PlatformFailure:
-        """Try a transaction, once."""
+        """Attempt a transaction once."""
 
     @abstractmethod
     def read(
         self, table: str, part: str, from_key: str = '', limit: int = 500
     ) -> Listing | PlatformFailure:
-        """Read rows of a part from a key on."""
+        """Read one page of rows of a partition, beginning at a key."""
 
     def read_all(
         self,
@@ -137,10 +138,10 @@
         from_key: str = '',
         on_page: Callable[[Listing], None] | None = None,
     ) -> Listing | PlatformFailure:
-        """Read all rows of a part from a key on, page by page.
+        """Read all rows of a partition, page by page, beginning at a key.
 
-        :param on_page: called with each page as it comes.
-        :returns: as of the oldest of its pages.
+        :param on_page: called with each page as it arrives.
+        :returns: all rows, with the lowest version of the pages.
         """
         rows: list[PartRow] = []
         version: int | None = None
@@ -157,7 +158,7 @@
             from_key = page.rows[-1].key + '\0'
 
     def list_all_parts(self, table: str) -> list[str] | PlatformFailure:
-        """List all parts of a table."""
+        """List all partitions of a table."""
         found: list[str] = []
         while True:
             page = self.list_parts(table, found[-1] if found else '')
@@ -169,10 +170,13 @@
 
     @abstractmethod
     def list_parts(self, table: str, after: str = '') -> list[str] | PlatformFailure:
-        """List parts behind one; at most 1,000."""
+        """List at most 1,000 partitions after one."""
 
     @abstractmethod
     def follow(
         self, table: str, after_version: int, wait_ms: float
     ) -> ChangeBatch | PlatformFailure:
-        """Wait for changes of a table behind a version."""
+        """Wait for changes of a table after a version.
+
+        :param wait_ms: how long the store waits if there are none yet.
+        """
--- a/citrondyke/storage/table_service.py
+++ b/citrondyke/storage/table_service.py
@@ -1,4 +1,4 @@
-"""The table service: rows under conditional transactions."""
+"""Interface of the table service, which has conditional transactions on rows."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row as it stands."""
+    """The current state of a row."""
 
     key: RowKey
-    #: Grows with every write of the whole table and is never used again.
+    #: Increases with each write to the table and is never reused.
     version: int
-    #: The transaction that wrote the row last.
+    #: The transaction that last wrote the row.
     write_id: WriteId
     value: msgspec.Raw
 
 
 class Check(msgspec.Struct, frozen=True):
-    """A condition on one row: its version, or ``None`` for no such row."""
+    """The version that a row must have; ``None`` if the row must not exist."""
 
     key: RowKey
     version: int | None
 
 
 class Write(msgspec.Struct, frozen=True):
-    """A row to write, or with ``null`` as its value to delete."""
+    """A row to write, or to delete if its value is ``null``."""
 
     key: RowKey
     value: msgspec.Raw
 
     @property
     def is_delete(self) -> bool:
-        """Tell whether the row is to go."""
+        """Return whether the row is to be deleted."""
         return bytes(self.value) == b'null'
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """All the writes if all the checks hold, else nothing."""
+    """Writes that are applied together if all checks pass."""
 
     write_id: WriteId
     checks: tuple[Check, ...]
@@ -52,36 +52,36 @@
 
 
 class Committed(msgspec.Struct, frozen=True):
-    """The transaction took effect."""
+    """The transaction was committed."""
 
-    #: The version of every row that was written.
+    #: Version of all rows that were written.
     version: int
 
 
 class Conflict(msgspec.Struct, frozen=True):
-    """A check did not hold; nothing was written."""
+    """A check failed; nothing was written."""
 
-    #: The rows that broke a check, as they stand; a missing row is left out.
+    #: Current rows that failed a check, except those that do not exist.
     rows: dict[RowKey, Row]
-    #: The checks that did not hold.
+    #: Keys of the failed checks.
     broken: tuple[RowKey, ...]
 
 
 class TableService(ABC):
-    """A client of the table service; every call has its own timeout."""
+    """A client for the table service; each call has its own timeout."""
 
     @abstractmethod
     def transact(self, transaction: Transaction) -> Committed | Conflict | PlatformFailure:
-        """Try one transaction, once."""
+        """Attempt a transaction once."""
 
     @abstractmethod
     def read(self, keys: Sequence[RowKey]) -> dict[RowKey, Row] | PlatformFailure:
-        """Read rows; missing ones are left out."""
+        """Read rows; omit those that do not exist."""
 
     @abstractmethod
     def scan(self, prefix: str, after: str, limit: int) -> list[Row] | PlatformFailure:
         """Read rows in key order.
 
-        :param after: keys up to and with this one are passed over.
-        :param limit: rows at the most.
+        :param after: only keys after this one are read.
+        :param limit: maximum number of rows.
         """
