--- a/citrondyke/gateway/jobs/__init__.py
+++ b/citrondyke/gateway/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Batch jobs: accepted, run, kept and shown."""
+"""Batch jobs: acceptance, execution, storage and results."""
--- a/citrondyke/gateway/jobs/job_store.py
+++ b/citrondyke/gateway/jobs/job_store.py
@@ -69,7 +69,7 @@
 
     @property
     def mean_latency_ms(self) -> float:
-        """Give the time that the store usually takes for a call."""
+        """Return the mean latency of store calls."""
         return self._table.mean_latency_ms
 
     def accept(self, head: JobHead, items: Sequence[JobItem]) -> StoredHead | CommitVerdict:
--- a/citrondyke/gateway/jobs/own_token_share.py
+++ b/citrondyke/gateway/jobs/own_token_share.py
@@ -67,7 +67,8 @@
         if isinstance(answer, PartCommitted):
             self._set_confirmed(share, answer.version)
         elif isinstance(answer, PlatformFailure):
-            # If the write was applied without a reply, peers would lack these tokens permanently.
+            # Makes the next poll write again: if this write was applied without a reply, it would
+            # withhold its tokens from peers permanently.
             self.is_uncertain = True
         return answer
 
--- a/citrondyke/gateway/jobs/route_backlog_limiter.py
+++ b/citrondyke/gateway/jobs/route_backlog_limiter.py
@@ -54,7 +54,7 @@
 
 
 class RouteBacklogLimiter:
-    """Reserves backlog tokens for jobs, and publishes the tokens in use by the own share."""
+    """Reserves backlog tokens for jobs, and publishes the tokens in use in a stored share."""
 
     def __init__(
         self,
