--- a/tests/test_gateway/test_callers/test_callers_forwarding.py
+++ b/tests/test_gateway/test_callers/test_callers_forwarding.py
@@ -283,7 +283,7 @@
 ) -> None:
     # In a large fleet a load notice does not wake the process; the next server choice reads it.
     first, second = fleet.instances
-    monkeypatch.setattr(first.peers, '_gather_ms', lambda: 60_000.0)
+    monkeypatch.setattr(first.peers, '_batch_window_ms', lambda: 60_000.0)
     state = first.book.state(fleet.servers['app-1'].server_id)  # type: ignore[arg-type]
     assert state is not None
     notice = LoadNotice([ServerLoad(server_digest(state.listed), 3, 0)])
