--- a/citrondyke/peer/gateway.capnp
+++ b/citrondyke/peer/gateway.capnp
@@ -1,51 +1,53 @@
 @0xb7d2a94c1e5f3086;
 
-# What gateway instances say to each other. Only add fields, never renumber: instances of two
-# versions talk to each other during an upgrade.
+# Messages between gateway instances. Only add fields, never renumber them: during an upgrade
+# instances of two versions exchange messages.
 
 struct GatewayMessage {
   sender @0 :Text;
-  # Newest configuration that the sender has; a receiver that has less asks for it.
+  # Newest version of the configuration that the sender has; a receiver with an older one
+  # requests it.
   configVersion @1 :UInt64;
   union {
-    # Requests that the sender has on servers.
+    # Numbers of the sender's requests on servers.
     load @2 :List(ServerLoad);
-    # A job's head changed; its owner looks at it.
+    # Notifies a job's owner that the job's head has changed.
     jobChanged @3 :Text;
-    # Asks for all that the receiver knows; over a stream.
+    # Requests the complete store state of the receiver; over a stream.
     knowledgeWanted @4 :Void;
-    # MessagePack, as it is large and passes between equal types.
+    # Store state. MessagePack, since it is large and both ends use the same types.
     knowledge @5 :Data;
-    # A call of the store that the sender cannot make itself; MessagePack, over a stream.
+    # A call of the store that the receiver makes for the sender; MessagePack, over a stream.
     storeCall @6 :Data;
     storeAnswer @7 :Data;
-    # What all instances have on the servers of the sender's availability zone.
+    # Numbers of all instances' requests on the servers of the sender's availability zone.
     loadTotals @8 :List(ServerLoad);
-    # The same two as 8 bytes each: server, online, batch, little-endian. They come hundreds of
-    # times a second, and a list's elements are read one field at a time.
+    # Replace load and loadTotals with 8 bytes per server: server, online, batch, little-endian.
+    # They arrive hundreds of times a second, and the elements of a list are decoded field by field.
     loadBytes @9 :Data;
     loadTotalsBytes @10 :Data;
-    # Asks for what the receiver knows beyond this and beyond the sender's configuration.
+    # Requests the store state that the sender lacks, according to this and to its configVersion.
     knowledgeAsked @11 :KnowledgeAsked;
-    # Requests that were under way at a server that ended, or were answered well.
+    # Requests that were running on a server when it exited, or that ran to their end.
     suspects @12 :SuspectNews;
-    # One request of an account: may it be sent to a server?
+    # Asks whether one request of an account may be sent to a server.
     useAsked @13 :UseAsked;
     useAnswered @14 :UseAnswered;
-    # The lease by which one instance counts the accounts of a slot.
+    # Request for the lease under which one instance counts the accounts of a slot.
     leaseAsked @15 :LeaseAsked;
     leaseAnswered @16 :LeaseAnswered;
-    # How far the steward of a slot may let accounts fall, for its keepers, and their answer.
+    # Floors of accounts, from the steward of a slot to its keepers, and their acknowledgements.
     useCounts @17 :Data;
-    # Not sent. The number is not given to anything else.
+    # No longer sent. The number must not be reused.
     usePlaces @18 :Data;
-    # Failures and successes that the sender has seen at servers.
+    # Outcomes of the sender's requests on servers.
     serverEvidence @19 :Data;
-    # Batch items that wait at the sender.
+    # Batch items that wait for capacity at the sender.
     batchNeed @20 :Data;
-    # Knowledge that the sender hands on without being asked; over a stream.
+    # Update of the server list: published by a reader, or its answer to a listPosition over a
+    # stream.
     knowledgeOffered @21 :Data;
-    # How far the sender has read the list of servers.
+    # Cursor of the sender in the server list; over a stream, a request for the changes after it.
     listPosition @22 :Data;
   }
 }
@@ -53,27 +55,27 @@
 struct UseAsked {
   number @0 :UInt32;
   account @1 :Text;
-  # Names the work asked for; the same when the caller comes back.
+  # Identifies the requested work; the same when the caller retries.
   work @2 :UInt32;
-  # Time until the caller's deadline, and how long the request may wait.
+  # Time until the caller's deadline, and time for which the request may wait.
   leftMs @3 :Float32;
   mayWaitMs @4 :Float32;
-  # Work of the account, 4 bytes each, that the sender has refused without asking.
+  # Work of the account, 4 bytes each, that the sender rejected without a query.
   refused @5 :Data;
 }
 
 struct UseAnswered {
   number @0 :UInt32;
   outcome @1 :Outcome;
-  # When the caller may come back, and for how long the sender need not ask again.
+  # Time after which the caller may retry, and time for which the receiver need not ask again.
   retryInMs @2 :Float32;
   pauseMs @3 :Float32;
   isSteward @4 :Bool;
-  # When a granted use may begin.
+  # Time after which a granted use may start.
   startInMs @5 :Float32;
-  # Whether a place is kept at the time to come back.
+  # Whether capacity is reserved at the retry time.
   isKept @6 :Bool;
-  # Work, 4 bytes each, for which places are kept that fall due while the sender need not ask.
+  # Work, 4 bytes each, whose reservations fall due while the receiver need not ask.
   expected @7 :Data;
 
   enum Outcome {
@@ -87,7 +89,7 @@
   slot @0 :UInt16;
   number @1 :UInt32;
   isRenewal @2 :Bool;
-  # Whether the sender only tells that it will ask.
+  # Whether the sender only announces a later request.
   isEarly @3 :Bool;
 }
 
@@ -95,31 +97,31 @@
   slot @0 :UInt16;
   number @1 :UInt32;
   isGranted @2 :Bool;
-  # For how long nobody else has had the sender's word.
+  # Time for which no other instance has had the sender's vote.
   freeMs @3 :Float64;
-  # What the sender knows of the last lease; empty where it may not be the last.
+  # The sender's copy of the state of the last lease; empty if it may not be the last one.
   copy @4 :Data;
 }
 
 struct SuspectNews {
-  # Digest of the server's life; 0 where none has ended.
+  # Digest of the server's incarnation; 0 if none has exited.
   server @0 :UInt32;
-  # 15 bytes each: the digest of what is asked for, its target's bucket, what is told (0: its
-  # answer had begun, 1: it had not, 2: it was answered well).
+  # 15 bytes each: the digest of the request's content, the bucket of its target, and the kind of
+  # the update (0: its answer had begun, 1: it had not, 2: the request ran to its end).
   requests @1 :Data;
 }
 
 struct KnowledgeAsked {
-  # Instances of which the sender has the address, itself included.
+  # Number of instances whose address the sender has, including itself.
   instancesCount @0 :UInt32;
-  # Of the list of servers that the sender has; the same list is left out of the answer.
+  # Digest of the sender's server list; an equal list is left out of the answer.
   listDigest @1 :UInt64;
-  # The answer may be compressed.
+  # Whether the answer may be compressed.
   takesCompressed @2 :Bool;
 }
 
 struct ServerLoad {
-  # First 32 bits of a digest of the server's id.
+  # First 32 bits of the digest of the server's id.
   server @0 :UInt32;
   online @1 :UInt16;
   batch @2 :UInt16;
--- a/citrondyke/peer/messages.capnp
+++ b/citrondyke/peer/messages.capnp
@@ -1,11 +1,11 @@
 @0xc3a1d0f2b7e94586;
 
-# What instances say to each other. Only add fields, never renumber: instances of two versions
-# talk to each other during an upgrade.
+# Messages between instances. Only add fields, never renumber them: during an upgrade instances of
+# two versions exchange messages.
 
 struct Envelope {
   sender @0 :Text;
-  # One life of the sender; with the number it makes a replay known.
+  # Identifies one incarnation of the sender; together with the number it reveals a replay.
   epoch @1 :UInt64;
   number @2 :UInt64;
   configVersion @3 :UInt64;
