--- a/citrondyke/entry/jobs_endpoint.py
+++ b/citrondyke/entry/jobs_endpoint.py
@@ -177,7 +177,7 @@
                 )
             )
         )
-        return self._answer(accepted)
+        return self._respond(accepted)
 
     def batches(self) -> bytes:
         """Answer ``GET /v1/batches``."""
@@ -194,7 +194,7 @@
 
     def batch(self, job_id: str) -> bytes:
         """Answer ``GET /v1/batches/<id>``."""
-        return self._answer(self._job(self._authenticate(), job_id))
+        return self._respond(self._job(self._authenticate(), job_id))
 
     def cancel(self, job_id: str) -> bytes:
         """Answer ``POST /v1/batches/<id>/cancel``."""
@@ -202,7 +202,7 @@
         result = self._context.driver.run(
             self._context.instance.cancel_job(tenant.id, JobId(job_id))
         )
-        return self._answer(result)
+        return self._respond(result)
 
     def _authenticate(self) -> TenantEntry:
         return self._context.authenticate_tenant(bottle.request.headers.get('Authorization'))
@@ -231,7 +231,7 @@
             raise PlatformUnavailableError(retry_in_ms=PLATFORM_RETRY_MS)
         return counts
 
-    def _answer(self, result: JobResult) -> bytes:
+    def _respond(self, result: JobResult) -> bytes:
         if isinstance(result, JobRejection):
             raise error_for_job_rejection(result)
         return json_response(batch_fields(result, self._counts(result)))
--- a/citrondyke/entry/online_endpoint.py
+++ b/citrondyke/entry/online_endpoint.py
@@ -172,10 +172,10 @@
 
         The service's configuration decides; a caller can only forbid repeats.
         """
-        stated = bottle.request.headers.get(REPEATABLE_HEADER, 'yes').lower()
-        if stated not in ('yes', 'no'):
+        header = bottle.request.headers.get(REPEATABLE_HEADER, 'yes').lower()
+        if header not in ('yes', 'no'):
             raise InvalidFieldError(f'{REPEATABLE_HEADER} must be yes or no')
-        return stated == 'yes' and self._context.instance.is_repeatable(target)
+        return header == 'yes' and self._context.instance.is_repeatable(target)
 
     def _serve(self, request: OnlineRequest) -> Any:
         bottle.response.set_header(REQUEST_HEADER, request.request_id)
@@ -189,7 +189,7 @@
             result = self._context.driver.run(self._context.instance.online.serve(request))
         finally:
             recorder.close(result)
-        return self._answer(result)
+        return self._respond(result)
 
     def _serve_stream(self, request: OnlineRequest, recorder: RequestRecorder) -> Any:
         events = self._context.driver.stream(self._context.instance.online.serve(request))
@@ -197,7 +197,7 @@
             first = next(events)
         except StopIteration as stop:
             recorder.close(stop.value)
-            return self._answer(stop.value)
+            return self._respond(stop.value)
         except BaseException:
             recorder.close(None)
             raise
@@ -225,7 +225,7 @@
             bottle.response.set_header(REPLAY_HEADER, 'true')
         return _stored_response(result.reply, is_streamed=request.is_streamed)
 
-    def _answer(self, result: OnlineResult) -> bytes:
+    def _respond(self, result: OnlineResult) -> bytes:
         if result.kind is not OnlineResultKind.ANSWERED or result.reply is None:
             return error_response(error_for_result(result, has_begun=False))
         bottle.response.status = result.reply.status
--- a/citrondyke/entry/request_recorder.py
+++ b/citrondyke/entry/request_recorder.py
@@ -61,7 +61,7 @@
             total_ms=total_ms,
             first_token_ms=first_ms if request.is_streamed else None,
             tokens_count=result.frames_count if result is not None else 0,
-            is_kept=_is_kept(entry, request, outcome, result, total_ms),
+            is_kept=_met_target(entry, request, outcome, result, total_ms),
         )
         context.metrics.add(sample)
         self._add_audit_record(sample)
@@ -102,7 +102,7 @@
         )
 
 
-def _is_kept(
+def _met_target(
     entry: ClassEntry | None,
     request: OnlineRequest,
     outcome: str,
--- a/citrondyke/entry/results.py
+++ b/citrondyke/entry/results.py
@@ -66,14 +66,16 @@
 ) -> bytes:
     """Return the lines of items that were cancelled or expired; no stored object has them."""
     lines = _read_object(context, input_object_key(job.row.upload_id, segment)).split(b'\n')
-    written: list[bytes] = []
+    closed_lines: list[bytes] = []
     for position in ItemSet.parse(part.items):
         custom_id = msgspec.json.decode(lines[position], type=_CustomId).custom_id
         request_id = f'{job.job_id}-{segment}-{position}'
         # An item that was aborted while running has no outcome either, so the run state is
         # "unknown" and not "not run".
-        written.append(result_line(request_id, custom_id, UNFINISHED_CODES[part.kind], 'unknown'))
-    return b'\n'.join(written) + b'\n'
+        closed_lines.append(
+            result_line(request_id, custom_id, UNFINISHED_CODES[part.kind], 'unknown')
+        )
+    return b'\n'.join(closed_lines) + b'\n'
 
 
 def _read_object(context: EntryContext, key: ObjectKey) -> bytes:
