--- a/citrondyke/standin/__init__.py
+++ b/citrondyke/standin/__init__.py
@@ -1,3 +1,3 @@
-"""Small stand-ins of the platform and of the backend servers."""
+"""Stand-ins for the platform and the backend servers, with injectable faults."""
 
 from __future__ import annotations
--- a/citrondyke/standin/abortable_server.py
+++ b/citrondyke/standin/abortable_server.py
@@ -1,4 +1,4 @@
-"""A WSGI server whose applications can cut their caller's connection."""
+"""A WSGI server whose applications can abort the connection of a caller."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class _SocketExposingHandler(WSGIHandler):
-    """Hands the connection's socket to the application."""
+    """Passes the socket of the connection to the application."""
 
     def get_environ(self) -> dict[str, Any]:
-        """Add the socket to the request's environment."""
+        """Add the socket to the environment of the request."""
         environ: dict[str, Any] = super().get_environ()
         environ[SOCKET_KEY] = self.socket
         return environ
 
     def log_error(self, msg: str, *args: Any) -> None:
-        """Keep quiet: cut connections are what these servers are for."""
+        """Log nothing, because aborted connections are expected here."""
 
 
 class _NoDelayServer(WSGIServer):
-    """Sends each token at once."""
+    """Sends each token without delay."""
 
     def handle(self, sock: socket.socket, address: Any) -> None:
         """Serve one connection."""
@@ -35,7 +35,7 @@
 
 
 def abort_connection(environ: dict[str, Any]) -> None:
-    """Close the caller's connection with no answer."""
+    """Shut down the connection of the caller without completing the answer."""
     try:
         environ[SOCKET_KEY].shutdown(socket.SHUT_RDWR)
     except OSError:
@@ -43,7 +43,7 @@
 
 
 def make_server(ip: str, port: int, app: Any) -> WSGIServer:
-    """Make a server without a request log."""
+    """Create a server without request and error logs."""
     return _NoDelayServer(
         (ip, port), app, handler_class=_SocketExposingHandler, log=None, error_log=None
     )
--- a/citrondyke/standin/engine_answer.py
+++ b/citrondyke/standin/engine_answer.py
@@ -1,4 +1,4 @@
-"""One answer of the engine's stand-in, in the published OpenAI shapes."""
+"""Answers of the engine stand-in in the format of the OpenAI API."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class EngineAnswer:
-    """Writes one answer in the published shapes."""
+    """Encodes one answer in the format of the OpenAI API."""
 
     def __init__(self, model_name: str, prompt: str, request_id: str, *, chat: bool) -> None:
         self._model_name = model_name
@@ -28,7 +28,7 @@
         self._created = int(time.time())
 
     def complete_body(self, tokens: Iterator[EngineToken]) -> bytes:
-        """Give the plain answer."""
+        """Return the body of an answer that is not streamed."""
         text = ''.join(token_text(self._seed, token.index) for token in tokens)
         choice: dict[str, Any] = {'index': 0, 'finish_reason': 'length', 'logprobs': None}
         if self._chat:
@@ -41,7 +41,7 @@
         return msgspec.json.encode(body)
 
     def frames(self, tokens: Iterator[EngineToken]) -> Iterator[bytes]:
-        """Give the streamed answer, a frame for each token."""
+        """Yield the frames of a streamed answer, one for each token and an end marker."""
         for token in tokens:
             yield self._frame(token)
         yield b'data: [DONE]\n\n'
--- a/citrondyke/standin/engine_app.py
+++ b/citrondyke/standin/engine_app.py
@@ -1,4 +1,4 @@
-"""The engine's stand-in over HTTP, in the published OpenAI shapes."""
+"""HTTP stand-in for an inference engine with the OpenAI API."""
 
 from __future__ import annotations
 
@@ -23,7 +23,9 @@
 
 __all__ = ('EngineApp', 'LoadReport', 'engine_app', 'prompt_text')
 
+#: In a prompt: answer 422, however often the request is sent.
 NEVER_MARK = '[[never]]'
+#: In a prompt: crash, so that all streams are lost.
 CRASH_MARK = '[[crash]]'
 DEFAULT_MAX_TOKENS = 16
 PREFIX_CHARS = 256
@@ -50,24 +52,24 @@
     max_tokens: int | None = None
     max_completion_tokens: int | None = None
     stream: bool = False
-    #: Tokens of the same answer that the caller has already.
+    #: Number of tokens of the same answer that the caller already has.
     resume_from_token: int = 0
 
 
 def prompt_text(messages: list[tuple[str, str]]) -> str:
-    """Give the prompt that a list of role and content stands for."""
+    """Join messages, each a role and its content, to a prompt."""
     return '\n'.join(f'{role}: {content}' for role, content in messages)
 
 
 class EngineApp:
-    """A continuous-batching engine behind HTTP."""
+    """A continuous-batching engine with an HTTP interface."""
 
     def __init__(
         self, model_name: str, curve: EngineCurve, clock: Clock, load_lag_ms: float = 100.0
     ) -> None:
-        """Start idle and begin stepping.
+        """Create an idle engine and start its stepping greenlet.
 
-        :param load_lag_ms: how old the load is that it reports.
+        :param load_lag_ms: age of the load that the engine reports.
         """
         self.faults = BackendFaults()
         self._model_name = model_name
@@ -109,11 +111,11 @@
         return msgspec.json.encode(report)
 
     def runs(self) -> bytes:
-        """Answer ``GET /control/runs``: how often each request id was taken."""
+        """Answer ``GET /control/runs``: the number of runs of each request id."""
         return msgspec.json.encode(self._runs)
 
     def running(self) -> bytes:
-        """Answer ``GET /control/running``: request ids that are in the engine now."""
+        """Answer ``GET /control/running``: the ids of the streams in the engine."""
         return msgspec.json.encode(sorted(self._queues))
 
     def set_faults(self) -> bytes:
@@ -237,7 +239,7 @@
 def engine_app(
     model_name: str, curve: EngineCurve, clock: Clock, load_lag_ms: float = 100.0
 ) -> tuple[bottle.Bottle, EngineApp]:
-    """Make the stand-in and its WSGI application."""
+    """Create the stand-in and its WSGI application."""
     engine = EngineApp(model_name, curve, clock, load_lag_ms)
     app = bottle.Bottle()
     app.post('/v1/chat/completions', callback=engine.chat)
--- a/citrondyke/standin/engine_faults.py
+++ b/citrondyke/standin/engine_faults.py
@@ -1,4 +1,4 @@
-"""The faults that an engine's or a service's stand-in can be told to show."""
+"""Faults that can be injected into the stand-in of an engine or a service."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 
 
 class BackendFaults(msgspec.Struct):
-    """What goes wrong with the next requests; counts run down to 0."""
+    """Faults of the next requests; fields named ``*_left`` count down to 0."""
 
-    #: Cut so many streams, each after ``cut_after_tokens`` tokens.
+    #: Number of streams to abort, each after ``cut_after_tokens`` tokens.
     cut_streams_left: int = 0
     cut_after_tokens: int = 0
-    #: Take so many requests, run them, and cut before the first byte of the answer.
+    #: Number of requests to run and then abort before the first byte of the answer.
     cut_before_answer_left: int = 0
-    #: Refuse so many requests with 503 before running them.
+    #: Number of requests to reject with 503 without running them.
     refuse_left: int = 0
-    #: Each step or run takes so much longer.
+    #: Added duration of each step or run.
     slow_ms: float = 0.0
-    #: The load report says this instead of the truth; negative is the truth.
+    #: Number of running streams to report instead of the real one; negative for the real one.
     lie_running: int = -1
-    #: The load report says that the server is leaving.
+    #: Report that the server is leaving.
     is_leaving: bool = False
-    #: A prompt with the crash mark ends the process.
+    #: Exit the process on a prompt with the crash mark, instead of only losing all streams.
     crash_exits: bool = False
--- a/citrondyke/standin/engine_model.py
+++ b/citrondyke/standin/engine_model.py
@@ -1,4 +1,4 @@
-"""A continuous-batching engine without any I/O or clock."""
+"""A simulation of a continuous-batching engine, without I/O or a clock."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 __all__ = ('EngineModel', 'EngineStream', 'EngineToken')
 
-#: Prompt tokens that one step prefills at the most.
+#: Largest number of prompt tokens that one step prefills.
 PREFILL_CHUNK_TOKENS = 512
 
 
 class EngineStream(msgspec.Struct):
-    """One request inside the engine."""
+    """A request in the engine."""
 
     stream_id: str
     prompt_tokens: int
     max_tokens: int
     prefix_key: str = ''
-    #: Prompt tokens that a cached prefix could save.
+    #: Prompt tokens that need no prefill if the prefix is cached.
     prefix_tokens: int = 0
-    #: Tokens made already, here or on another server before a resume.
+    #: Tokens already generated, here or on another server before a resume.
     done_tokens: int = 0
     prefill_left_tokens: int = -1
     cache_hit: bool = False
 
 
 class EngineToken(msgspec.Struct, frozen=True):
-    """One token at the end of a step."""
+    """A token generated in a step."""
 
     stream_id: str
     index: int
@@ -40,12 +40,12 @@
 
 
 class EngineModel:
-    """Admits requests as they arrive and knows no priorities."""
+    """An engine that admits requests in order of arrival, without priorities."""
 
     def __init__(self, curve: EngineCurve, cache_tokens: int = 200_000) -> None:
-        """Start idle.
+        """Create an idle engine.
 
-        :param cache_tokens: size of the prefix cache.
+        :param cache_tokens: capacity of the prefix cache.
         """
         self._curve = curve
         self._cache_tokens = cache_tokens
@@ -58,24 +58,24 @@
 
     @property
     def running_count(self) -> int:
-        """Count the streams in the batch."""
+        """Return the number of streams in the batch."""
         return len(self._running)
 
     @property
     def waiting_count(self) -> int:
-        """Count the streams that wait for a place."""
+        """Return the number of streams that wait to join the batch."""
         return len(self._waiting)
 
     def is_idle(self) -> bool:
-        """Tell whether a step would do nothing."""
+        """Return whether a step would do nothing."""
         return not self._running and not self._waiting
 
     def submit(self, stream: EngineStream) -> None:
-        """Take a request; it joins the batch at the next step."""
+        """Queue a request, which joins the batch at the next step with free capacity."""
         self._waiting.append(stream)
 
     def cancel(self, stream_id: str) -> bool:
-        """Drop a request; tell whether it was there."""
+        """Drop a request; return whether it was in the engine."""
         if self._running.pop(stream_id, None) is not None:
             return True
         for stream in self._waiting:
@@ -85,14 +85,14 @@
         return False
 
     def drop_all(self) -> None:
-        """Lose everything, as a crash does."""
+        """Drop all requests and the prefix cache, as in a crash."""
         self._running.clear()
         self._waiting.clear()
         self._cached.clear()
         self._cached_tokens = 0
 
     def begin_step(self) -> float:
-        """Admit what fits and give how long the step takes, in milliseconds."""
+        """Admit waiting requests up to the batch limit and return the step duration in ms."""
         while self._waiting and len(self._running) < self._curve.max_running:
             stream = self._waiting.popleft()
             self._begin_prefill(stream)
@@ -100,14 +100,14 @@
         budget = PREFILL_CHUNK_TOKENS
         prefilled = 0
         for stream in self._running.values():
-            take = min(stream.prefill_left_tokens, budget - prefilled)
-            if take > 0:
-                stream.prefill_left_tokens -= take
-                prefilled += take
+            prefill = min(stream.prefill_left_tokens, budget - prefilled)
+            if prefill > 0:
+                stream.prefill_left_tokens -= prefill
+                prefilled += prefill
         return self._curve.step_ms(len(self._running), prefilled)
 
     def end_step(self) -> list[EngineToken]:
-        """Give a token to every stream whose prefill is done."""
+        """Generate a token for each stream whose prefill is finished."""
         tokens: list[EngineToken] = []
         for stream in list(self._running.values()):
             if stream.prefill_left_tokens > 0:
@@ -121,15 +121,15 @@
         return tokens
 
     def _begin_prefill(self, stream: EngineStream) -> None:
-        saved = 0
+        cached_tokens = 0
         if stream.prefix_key:
             stream.cache_hit = stream.prefix_key in self._cached
-            saved = stream.prefix_tokens if stream.cache_hit else 0
-            self._remember_prefix(stream)
-        # A resumed stream computes its own earlier tokens again as part of the prompt.
-        stream.prefill_left_tokens = stream.prompt_tokens + stream.done_tokens - saved
+            cached_tokens = stream.prefix_tokens if stream.cache_hit else 0
+            self._update_prefix_cache(stream)
+        # A resumed stream recomputes the tokens generated before as part of its prompt.
+        stream.prefill_left_tokens = stream.prompt_tokens + stream.done_tokens - cached_tokens
 
-    def _remember_prefix(self, stream: EngineStream) -> None:
+    def _update_prefix_cache(self, stream: EngineStream) -> None:
         if stream.cache_hit:
             self.prefix_hits += 1
             self._cached.move_to_end(stream.prefix_key)
--- a/citrondyke/standin/faults.py
+++ b/citrondyke/standin/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a stand-in can be told to show."""
+"""Faults that can be injected into the services of the platform stand-in."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 
 
 class FaultMode(Enum):
-    """How one service misbehaves."""
+    """Kind of fault of a service."""
 
     NONE = 'none'
-    #: Refuses every call with 503, before any effect.
+    #: Rejects each call with 503, without any effect.
     DOWN = 'down'
-    #: Takes calls and answers none, without any effect.
+    #: Accepts calls without any effect and never answers.
     HANG = 'hang'
-    #: Answers after ``delay_ms``.
+    #: Delays each answer by ``delay_ms``.
     SLOW = 'slow'
-    #: The write takes effect; then the connection is cut.
+    #: Carries out the call, then aborts the connection.
     LOST_REPLY = 'lost_reply'
 
 
 class FaultSwitch(msgspec.Struct):
-    """The fault in force for one service."""
+    """The current fault of one service."""
 
     mode: FaultMode = FaultMode.NONE
     delay_ms: float = 0.0
-    #: How many calls it still hits; negative is without end.
+    #: Number of calls that still fail; negative for no limit.
     calls_left: int = -1
 
     def take(self) -> FaultMode:
-        """Use the fault up for one call."""
+        """Return the fault for the next call and count the call."""
         if self.mode is FaultMode.NONE or self.calls_left == 0:
             return FaultMode.NONE
         if self.calls_left > 0:
--- a/citrondyke/standin/lagging_lists.py
+++ b/citrondyke/standin/lagging_lists.py
@@ -1,4 +1,4 @@
-"""The fleet lists' stand-in: what was true some time ago."""
+"""Stand-in for the fleet lists, which are read with a lag."""
 
 from __future__ import annotations
 
@@ -14,37 +14,37 @@
 
 
 class LaggingLists:
-    """Both lists with their past."""
+    """The instance list and the server list with their earlier states."""
 
     def __init__(self) -> None:
-        """Start with empty lists."""
+        """Create empty lists that are read without a lag."""
         self.lag_ms = 0.0
         self._instances: dict[InstanceId, ListedInstance] = {}
         self._servers: dict[ServerId, ListedServer] = {}
         self._snapshots: deque[tuple[float, FleetSnapshot]] = deque([(0.0, FleetSnapshot())])
 
     def put_instance(self, instance: ListedInstance, now_ms: float) -> None:
-        """List an instance, or change its entry."""
+        """Add an instance to the list, or update its entry."""
         self._instances[instance.id] = instance
         self._record(now_ms)
 
     def put_server(self, server: ListedServer, now_ms: float) -> None:
-        """List a backend server, or change its entry."""
+        """Add a backend server to the list, or update its entry."""
         self._servers[server.id] = server
         self._record(now_ms)
 
     def remove_instance(self, instance_id: InstanceId, now_ms: float) -> None:
-        """Take an instance off the list."""
+        """Remove an instance from the list."""
         self._instances.pop(instance_id, None)
         self._record(now_ms)
 
     def remove_server(self, server_id: ServerId, now_ms: float) -> None:
-        """Take a backend server off the list."""
+        """Remove a backend server from the list."""
         self._servers.pop(server_id, None)
         self._record(now_ms)
 
     def at(self, now_ms: float) -> FleetSnapshot:
-        """Give what the lists show now: their state ``lag_ms`` ago."""
+        """Return what a read at a time shows: the state ``lag_ms`` before."""
         as_of_ms = now_ms - self.lag_ms
         while len(self._snapshots) > 1 and self._snapshots[1][0] <= as_of_ms:
             self._snapshots.popleft()
--- a/citrondyke/standin/part_table.py
+++ b/citrondyke/standin/part_table.py
@@ -1,4 +1,4 @@
-"""The rows of the store's stand-in: parts, conditions, a feed with a bounded history."""
+"""In-memory rows of the store stand-in, with parts, conditional writes and a change feed."""
 
 from __future__ import annotations
 
@@ -21,17 +21,17 @@
 
 
 class PartTable(PartitionedTable):
-    """Rows changed by conditional transactions within one part, all in memory."""
+    """In-memory rows that are changed by conditional transactions within one part."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty table."""
         self.version = 0
         self._rows: SortedDict = SortedDict()
         self._history: list[PartRow] = []
         self._history_start_version = 0
 
     def transact(self, transaction: PartTransaction) -> PartCommitted | PartConflict:
-        """Write all or nothing."""
+        """Apply all writes if all conditions hold, otherwise none."""
         part = transaction.part
         expected = [(each.table, part, each.key) for each in transaction.conditions]
         present = tuple(self._rows[row_key] for row_key in expected if row_key in self._rows)
@@ -49,7 +49,7 @@
     def read(
         self, table: str, part: str, from_key: str = '', limit: int = 500
     ) -> Listing | PlatformFailure:
-        """Read rows of a part from a key on."""
+        """Read the rows of a part, starting at a key."""
         rows = []
         for row_key in self._rows.irange(minimum=(table, part, from_key)):
             if row_key[:2] != (table, part):
@@ -58,21 +58,24 @@
         return Listing(tuple(rows[:limit]), len(rows) > limit, self.version)
 
     def list_parts(self, table: str, after: str = '') -> list[str] | PlatformFailure:
-        """List parts behind one."""
+        """List the parts after a given one."""
         parts = {row_key[1] for row_key in self._rows if row_key[0] == table and row_key[1] > after}
         return sorted(parts)[:MAX_PARTS_PER_PAGE]
 
     def follow(
         self, table: str, after_version: int, wait_ms: float
     ) -> ChangeBatch | PlatformFailure:
-        """Give the changes of a table behind a version; the caller does the waiting."""
+        """Return the changes of a table after a version without waiting for new ones.
+
+        :param wait_ms: ignored; waiting is left to the caller.
+        """
         if after_version < self._history_start_version:
             return HISTORY_LOST
         rows = [row for row in self._history if row.table == table and row.version > after_version]
         return ChangeBatch(tuple(rows), self.version)
 
     def forget_history(self) -> None:
-        """Drop all of the history."""
+        """Drop the whole change history."""
         self._history = []
         self._history_start_version = self.version
 
--- a/citrondyke/standin/platform_app.py
+++ b/citrondyke/standin/platform_app.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in over HTTP: table service, object store, lists."""
+"""HTTP stand-in for the platform: table service, object store and fleet lists."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 __all__ = ('PlatformApp', 'PlatformCounts', 'platform_app')
 
-#: Longer than any client's timeout.
+#: Longer than the timeout of any client.
 HANG_S = 60.0
 SERVICES = ('table', 'objects', 'lists')
 
 
 class PlatformCounts(msgspec.Struct, frozen=True):
-    """What the platform was asked so far."""
+    """Counts of the calls that the platform received."""
 
     transactions_count: int
     conflicts_count: int
@@ -40,10 +40,10 @@
 
 
 class PlatformApp:
-    """The three services and the doors that switch their faults."""
+    """The three services of the platform and the endpoints that control their faults."""
 
     def __init__(self, clock: Clock) -> None:
-        """Start with no rows, objects or entries."""
+        """Create a platform without rows, objects or list entries."""
         self.table = Table()
         self.lists = LaggingLists()
         self.faults = {name: FaultSwitch() for name in SERVICES}
@@ -131,7 +131,7 @@
             )
         )
 
-    def _with_fault(self, service: str, act: Callable[[], bytes]) -> bytes:
+    def _with_fault(self, service: str, action: Callable[[], bytes]) -> bytes:
         switch = self.faults[service]
         mode = switch.take()
         if mode is FaultMode.DOWN:
@@ -142,7 +142,7 @@
             return b''
         if mode is FaultMode.SLOW:
             gevent.sleep(switch.delay_ms / 1e3)
-        answer = act()
+        answer = action()
         if mode is FaultMode.LOST_REPLY:
             abort_connection(bottle.request.environ)
         return answer
@@ -195,7 +195,7 @@
 
 
 def platform_app(clock: Clock) -> tuple[bottle.Bottle, PlatformApp]:
-    """Make the stand-in and its WSGI application."""
+    """Create the stand-in and its WSGI application."""
     platform = PlatformApp(clock)
     app = bottle.Bottle()
     app.post('/v1/transact', callback=platform.transact)
--- a/citrondyke/standin/platform_server.py
+++ b/citrondyke/standin/platform_server.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's backend servers, which answers as a test tells it to."""
+"""Stand-in for a backend server of the platform, whose answers a test controls."""
 
 from __future__ import annotations
 
@@ -34,57 +34,58 @@
 
 
 def _ignore_crash() -> None:
-    """Stand where nobody is told."""
+    """Do nothing; the default of ``on_crash``."""
 
 
 class AnswerMode(Enum):
-    """How the next request is answered."""
+    """How a request is answered."""
 
     SERVE = 'serve'
     REFUSE = 'refuse'
     FAIL = 'fail'
     IMPOSSIBLE = 'impossible'
-    #: The request is run, and the connection reset without an answer.
+    #: Run the request, then reset the connection without an answer.
     CUT = 'cut'
-    #: The request is run and nothing comes.
+    #: Run the request and send nothing.
     SILENT = 'silent'
-    #: The answer, and a second one behind it.
+    #: Send the answer and a second one after it.
     EXTRA = 'extra'
-    #: An answer with another request's id.
+    #: Send an answer with the id of another request.
     WRONG_ID = 'wrong_id'
-    #: A success without the server's mark.
+    #: Send a success without the seal header of the server.
     UNSIGNED = 'unsigned'
-    #: No length; the end of the connection ends it.
+    #: Send an answer without a length, which ends when the connection is closed.
     UNFRAMED = 'unframed'
-    #: No length, and a reset in the middle.
+    #: Send an answer without a length and reset the connection before its end.
     UNFRAMED_CUT = 'unframed_cut'
-    #: A stream that breaks off in the middle of an event.
+    #: Reset the connection of a stream in the middle of an event.
     CUT_IN_EVENT = 'cut_in_event'
-    #: A stream that falls silent after some events.
+    #: Stop sending after some events of a stream, with the connection open.
     STALL = 'stall'
-    #: A stream whose events wait until the server is told to go on.
+    #: Pause a stream after some events until ``resume_streams`` is set.
     HOLD = 'hold'
 
 
 class ServerRun(msgspec.Struct):
-    """One request that the server ran."""
+    """A request that the server ran."""
 
     request_id: str
     method: bytes
     target: bytes
     headers: dict[bytes, bytes]
     body: bytes
-    is_cut: bool = False
-    act: AnswerMode = AnswerMode.SERVE
-    #: By the steady clock.
+    #: Whether the caller closed the connection before the end of the answer.
+    is_aborted: bool = False
+    answer_mode: AnswerMode = AnswerMode.SERVE
+    #: Start of the run, by the monotonic clock.
     began_s: float = 0.0
 
 
 class PlatformServer:
-    """Runs requests and remembers them; streams have ``events_count`` events of ids from 1."""
+    """Runs requests and records them; a stream has ``events_count`` events with ids from 1."""
 
     def __init__(self, server_id: str, events_count: int = 6) -> None:
-        """Start listening on loopback."""
+        """Start listening on a free loopback port."""
         self.server_id = server_id
         self.events_count = events_count
         self.answer_modes: deque[AnswerMode] = deque()
@@ -93,12 +94,12 @@
         self.event_gap_ms = 1.0
         self.answer_ms = 0.0
         self.resume_streams = gevent.event.Event()
-        #: Bodies of requests under which it ends as it begins to run them.
+        #: Bodies of requests that crash the server when their run starts.
         self.crash_bodies: set[bytes] = set()
-        #: Bodies of requests whose connections it resets; it lives on.
+        #: Bodies of requests whose connections are reset without a crash of the server.
         self.reset_bodies: set[bytes] = set()
         self.has_crashed = False
-        #: Called when it has ended.
+        #: Called after a crash.
         self.on_crash: Callable[[], object] = _ignore_crash
         self._open: set[socket.socket] = set()
         self._server = StreamServer(('127.0.0.1', 0), self._on_connection)
@@ -106,11 +107,11 @@
         self.port: int = self._server.server_port
 
     def stop(self) -> None:
-        """Listen no more."""
+        """Stop listening."""
         self._server.stop()
 
     def crash(self) -> None:
-        """End as a crash does: every connection is reset, and new ones are refused."""
+        """Simulate a crash: reset all connections and refuse new ones."""
         self.has_crashed = True
         self._server.stop(timeout=0)
         for sock in list(self._open):
@@ -124,7 +125,7 @@
             while self._one_request(http, sock):
                 http.start_next_cycle()
         except (OSError, h11.ProtocolError):
-            # The other end closed; what it was sent is in ``runs``.
+            # The caller closed the connection; the requests that ran are in ``runs``.
             return
         finally:
             self._open.discard(sock)
@@ -154,19 +155,21 @@
     ) -> bool:
         headers = {bytes(name): bytes(value) for name, value in request.headers}
         answer_mode = self.answer_modes.popleft() if self.answer_modes else AnswerMode.SERVE
-        own = [(ATTEMPT_HEADER, headers.get(ATTEMPT_HEADER, b'')), (LOAD_HEADER, b'1,0,8')]
+        unsigned = [(ATTEMPT_HEADER, headers.get(ATTEMPT_HEADER, b'')), (LOAD_HEADER, b'1,0,8')]
         if headers.get(EXPECT_SERVER_HEADER, self.server_id.encode()) != self.server_id.encode():
-            return self._send_complete(http, sock, 421, [*own, (b'instance-id', b'other')], b'')
+            return self._send_complete(
+                http, sock, 421, [*unsigned, (b'instance-id', b'other')], b''
+            )
         if answer_mode is AnswerMode.REFUSE:
             self.refused_count += 1
-            return self._send_complete(http, sock, 503, [*own, (NOT_RUN_HEADER, b'1')], b'')
+            return self._send_complete(http, sock, 503, [*unsigned, (NOT_RUN_HEADER, b'1')], b'')
         run = ServerRun(
             headers.get(ATTEMPT_HEADER, b'').decode(),
             bytes(request.method),
             bytes(request.target),
             headers,
             body,
-            act=answer_mode,
+            answer_mode=answer_mode,
             began_s=time.monotonic(),
         )
         self.runs.append(run)
@@ -174,7 +177,7 @@
         if body in self.crash_bodies:
             self.crash()
             return False
-        signed = [*own, (SEAL_HEADER, f'seal-{self.server_id}-{len(self.runs)}'.encode())]
+        signed = [*unsigned, (SEAL_HEADER, f'seal-{self.server_id}-{len(self.runs)}'.encode())]
         if answer_mode is AnswerMode.CUT or body in self.reset_bodies:
             reset(sock)
             return False
@@ -189,15 +192,15 @@
                 http, sock, 200, [(ATTEMPT_HEADER, b'other'), signed[-1]], b'other'
             )
         if answer_mode is AnswerMode.UNSIGNED:
-            return self._send_complete(http, sock, 200, own, b'unsigned')
+            return self._send_complete(http, sock, 200, unsigned, b'unsigned')
         if answer_mode in (AnswerMode.UNFRAMED, AnswerMode.UNFRAMED_CUT):
             return self._send_unframed(sock, signed, is_cut=answer_mode is AnswerMode.UNFRAMED_CUT)
         if b'stream' in run.target:
             return self._send_stream(http, sock, signed, run, answer_mode)
-        kept = self._send_complete(http, sock, 200, signed, b'answer to ' + body)
+        keeps_connection = self._send_complete(http, sock, 200, signed, b'answer to ' + body)
         if answer_mode is AnswerMode.EXTRA:
             sock.sendall(b'HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nextra')
-        return kept
+        return keeps_connection
 
     def _send_stream(
         self,
@@ -223,7 +226,7 @@
             try:
                 sock.sendall(http.send(h11.Data(data=data)) or b'')
             except OSError:
-                run.is_cut = True
+                run.is_aborted = True
                 raise
             gevent.sleep(self.event_gap_ms / 1e3)
         sock.sendall(http.send(h11.EndOfMessage()) or b'')
@@ -259,5 +262,5 @@
     def _wait_for_close(sock: socket.socket, run: ServerRun) -> bool:
         sock.settimeout(30.0)
         if not sock.recv(1):
-            run.is_cut = True
+            run.is_aborted = True
         return False
--- a/citrondyke/standin/service_app.py
+++ b/citrondyke/standin/service_app.py
@@ -1,4 +1,4 @@
-"""A plain service's stand-in that counts what it ran."""
+"""HTTP stand-in for a plain service, which counts its runs."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class ServiceApp:
-    """Runs whatever it is sent, once for each time it is sent."""
+    """Runs each request as often as it is sent."""
 
     def __init__(self, run_ms: float) -> None:
-        """Start with nothing run.
+        """Create a service without any runs.
 
-        :param run_ms: how long one run takes.
+        :param run_ms: duration of one run.
         """
         self.faults = BackendFaults()
         self._run_ms = run_ms
@@ -55,7 +55,7 @@
         )
 
     def runs(self) -> bytes:
-        """Answer ``GET /control/runs``: how often each key was run."""
+        """Answer ``GET /control/runs``: the number of runs of each key."""
         return msgspec.json.encode(self._runs)
 
     def set_faults(self) -> bytes:
@@ -65,7 +65,7 @@
 
 
 def service_app(run_ms: float = 5.0) -> tuple[bottle.Bottle, ServiceApp]:
-    """Make the stand-in and its WSGI application."""
+    """Create the stand-in and its WSGI application."""
     service = ServiceApp(run_ms)
     app = bottle.Bottle()
     app.get('/load', callback=service.load)
--- a/citrondyke/standin/store_app.py
+++ b/citrondyke/standin/store_app.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's store over its HTTP protocol, with faults by request."""
+"""Stand-in for the store of the platform with its HTTP protocol and injectable faults."""
 
 from __future__ import annotations
 
@@ -30,24 +30,24 @@
 
 
 class StoreFaults(msgspec.Struct):
-    """What goes wrong at the store."""
+    """Faults of the store."""
 
-    #: Callers' addresses that are refused; ``*`` for all.
+    #: Addresses of callers whose calls are rejected with 503; ``*`` for all.
     refused_ips: set[str] = msgspec.field(default_factory=set)
-    #: Instead of a refusal the call hangs.
+    #: Let these calls hang instead of rejecting them at once.
     is_silent: bool = False
-    #: Share of transactions that take effect and are not answered.
+    #: Share of transactions that take effect but are not answered in time, from 0 to 1.
     lost_reply_share: float = 0.0
-    #: Reads and feeds show the rows as of this version.
+    #: Version at which reads and feeds appear frozen; ``None`` for current rows.
     stale_at: int | None = None
     slow_ms: float = 0.0
 
 
 class StoreApp:
-    """Rows, feeds and objects as WSGI."""
+    """WSGI application that serves rows, change feeds and objects."""
 
     def __init__(self, seed: int = 1) -> None:
-        """Start empty and without faults."""
+        """Create an empty store without faults."""
         self.table = PartTable()
         self.objects: dict[str, bytes] = {}
         self.faults = StoreFaults()
@@ -56,17 +56,17 @@
         self._changed = Event()
 
     def put(self, table: str, key: str, value: bytes) -> int:
-        """Write a row as the operator or a server does."""
+        """Write a row, as an operator or a server does; return its version."""
         answer = self._transact(PartTransaction('', puts=(RowPut(table, key, value),)))
         assert isinstance(answer, PartCommitted)
         return answer.version
 
     def remove(self, table: str, key: str) -> None:
-        """Delete a row as a server's lapse does."""
+        """Delete a row, as happens when the entry of a server expires."""
         self._transact(PartTransaction('', removals=(RowRemoval(table, key),)))
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
-        """Answer one call."""
+        """Answer a call."""
         self.calls_count += 1
         body = environ['wsgi.input'].read()
         faults = self.faults
--- a/citrondyke/standin/table.py
+++ b/citrondyke/standin/table.py
@@ -1,4 +1,4 @@
-"""The rows of the table service's stand-in, without any I/O."""
+"""In-memory rows of the table service stand-in."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class Table:
-    """Rows in key order, changed by conditional transactions."""
+    """Rows in key order, which are changed by conditional transactions."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty table."""
         self._rows: SortedDict = SortedDict()
         self._version = 0
         self.transactions_count = 0
@@ -30,7 +30,7 @@
         self.rows_read_count = 0
 
     def transact(self, transaction: Transaction) -> Committed | Conflict:
-        """Write all or nothing."""
+        """Apply all writes if all checks hold, otherwise none."""
         self.transactions_count += 1
         failed_keys = tuple(
             check.key
@@ -50,14 +50,14 @@
         return Committed(self._version)
 
     def read(self, keys: Sequence[RowKey]) -> list[Row]:
-        """Read rows; missing ones are left out."""
+        """Read rows by key, leaving out missing ones."""
         self.reads_count += 1
         rows = [self._rows[key] for key in keys if key in self._rows]
         self.rows_read_count += len(rows)
         return rows
 
     def scan(self, prefix: str, after: str, limit: int) -> list[Row]:
-        """Read rows in key order."""
+        """Read rows with a key prefix in key order, starting after a key."""
         self.scans_count += 1
         found: list[Row] = []
         start = max(prefix, after)
--- a/tests/test_gateway/test_callers/test_callers_forwarding.py
+++ b/tests/test_gateway/test_callers/test_callers_forwarding.py
@@ -145,7 +145,7 @@
         gevent.spawn(exchange, sock, '/order/a', b'x')
         wait_until_seen(lambda: runs(fleet, 'app'), 'the request at a server')
     (server,) = served_by(fleet, 'app')
-    wait_until_seen(lambda: server.runs[0].is_cut, 'the end of the work')
+    wait_until_seen(lambda: server.runs[0].is_aborted, 'the end of the work')
     state = fleet.instances[0].book.state(server.server_id)  # type: ignore[arg-type]
     assert state is not None
     wait_until_seen(lambda: state.own.online == 0, 'the capacity to be free')
--- a/tests/test_soak/test_soak_promises.py
+++ b/tests/test_soak/test_soak_promises.py
@@ -70,7 +70,7 @@
 def run_of(
     request_id: str, answer_mode: AnswerMode = AnswerMode.SERVE, began_s: float = 0.0
 ) -> ServerRun:
-    return ServerRun(request_id, b'POST', b'/', {}, b'', act=answer_mode, began_s=began_s)
+    return ServerRun(request_id, b'POST', b'/', {}, b'', answer_mode=answer_mode, began_s=began_s)
 
 
 def judged(
--- a/tests/test_soak/witness.py
+++ b/tests/test_soak/witness.py
@@ -169,7 +169,7 @@
         if Counter(listed) != Counter(job.item_ids):
             self.complain(f'{job.job_id}: listed {len(listed)} of {len(job.item_ids)} items')
         for result in job.results.values():
-            ends = Counter(run.act for run in runs.get(result['id'], []))
+            ends = Counter(run.answer_mode for run in runs.get(result['id'], []))
             may_fail = ends[AnswerMode.FAIL] >= 3 or ends[AnswerMode.IMPOSSIBLE] > 0
             if result['state'] != 'completed' and not may_fail:
                 self.complain(f'{job.job_id}: {result["id"]} is {result["state"]}')
