--- a/citrondyke/cmd/ctl/accounts.py
+++ b/citrondyke/cmd/ctl/accounts.py
@@ -54,9 +54,9 @@
         'rate/s',
         'burst',
         'used in window',
-        'rejected in window',
-        'reservations kept, taken, lapsed',
-        'since start',
+        'refused in window',
+        'places kept, taken, lapsed',
+        'since starts',
     )
     table = Table(*columns, title='client accounts', title_justify='left')
     for report in reports:
@@ -81,7 +81,7 @@
 
 def suspects_table(suspects: Sequence[SuspectState]) -> Iterator[Table]:
     """Show suspected and blocked requests, and why."""
-    columns = ('content', 'standing', 'servers exited', 'trials')
+    columns = ('content', 'standing', 'servers that ended under it', 'trials')
     table = Table(*columns, title='suspected requests', title_justify='left')
     for suspect in suspects:
         ended = f'{suspect.servers_ended:g}'
--- a/citrondyke/cmd/ctl/losses.py
+++ b/citrondyke/cmd/ctl/losses.py
@@ -56,7 +56,7 @@
         title=f'{report.requests_count} requests, {report.items_count} items of batch jobs',
         title_justify='left',
     )
-    columns = ['cause', 'route', 'count', *(['before'] if before else []), 'example id']
+    columns = ['cause', 'route', 'count', *(['before'] if before else []), 'an id to explain']
     for column in columns:
         table.add_column(column, justify='right' if column in ('count', 'before') else 'left')
     counts_before = before.counts() if before else {}
--- a/citrondyke/cmd/ctl/tables.py
+++ b/citrondyke/cmd/ctl/tables.py
@@ -164,7 +164,7 @@
 
 def outcome_table(outcome: TraceOutcome) -> Iterator[Table]:
     """Show the outcome of a replayed trace."""
-    table = _table('outcome', 'what', 'value')
+    table = _table('outcome', 'what', 'came to')
     table.add_row('chats', str(outcome.chats))
     table.add_row('first token in time', str(outcome.chats_in_time))
     table.add_row('orders', str(outcome.orders))
