--- a/citrondyke/operator/__init__.py
+++ b/citrondyke/operator/__init__.py
@@ -1,3 +1,3 @@
-"""What operators see and change."""
+"""Reports, metrics and log analysis for operators."""
 
 from __future__ import annotations
--- a/citrondyke/operator/account_report.py
+++ b/citrondyke/operator/account_report.py
@@ -1,4 +1,4 @@
-"""What instances say of client accounts and of suspected requests, put together for an operator."""
+"""Merges the reports of instances about client accounts and poison suspects."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 class AccountState(msgspec.Struct, frozen=True, kw_only=True):
-    """An account by one instance."""
+    """State of an account at one instance."""
 
     id: str
     rate_per_s: float
     burst: float
-    #: Requests here since its start, by what was said of the limit.
+    #: Requests at this instance since its start, by the verdict of the limit check.
     verdicts: dict[str, int] = {}
     #: ``None`` where another instance counts the account.
     steward: StewardCount | None = None
 
 
 class SuspectState(msgspec.Struct, frozen=True, kw_only=True):
-    """A request under which servers have ended, by one instance."""
+    """A poison suspect at one instance: request content under which servers exited."""
 
-    #: Digest of what is asked for.
+    #: Digest of the request content.
     content: str
     standing: str
     servers_ended: float
@@ -43,7 +43,7 @@
 
 
 class InstanceState(msgspec.Struct, frozen=True, kw_only=True):
-    """What one instance says."""
+    """State of accounts and suspects at one instance."""
 
     instance: str
     config_version: int
@@ -52,24 +52,25 @@
 
 
 class AccountReport(msgspec.Struct, frozen=True, kw_only=True):
-    """An account by all instances that answered."""
+    """State of an account, merged over all instances that answered."""
 
     id: str
     rate_per_s: float
     burst: float
-    #: In the last window; ``None`` where its steward did not answer.
+    #: Counts of the last window; ``None`` when the steward of the account did not answer.
     uses: int | None
     refused_in_window: int | None
-    #: Places that its steward keeps now, and what became of others since it counts.
+    #: Reservations that its steward holds now, and those used and lapsed since it became the
+    #: steward.
     places_kept: int | None
     places_taken: int | None
     places_lapsed: int | None
-    #: Since the instances' starts.
+    #: Counts since the start of each instance.
     verdicts: dict[str, int]
 
 
 def merge_states(states: Iterable[InstanceState]) -> list[AccountReport]:
-    """Put accounts together; limits are those of the newest configuration."""
+    """Merge the states of accounts; use the limits of the newest configuration."""
     newest: dict[str, AccountState] = {}
     verdicts: dict[str, dict[str, int]] = {}
     stewards: dict[str, StewardCount] = {}
--- a/citrondyke/operator/explanation.py
+++ b/citrondyke/operator/explanation.py
@@ -1,4 +1,4 @@
-"""From an id to the course of events and its cause."""
+"""Explains the outcome of a request, job or item from the log lines about its id."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 __all__ = ('Explanation', 'explain')
 
-#: Changes of what an instance believed that lie this close to a request are shown with it.
+#: State changes of an instance within this time of a request are shown with it.
 CONTEXT_S = 3.0
 ID_FIELDS = ('request_id', 'job_id', 'item_id', 'content')
 CONTEXT_EVENTS = frozenset(
@@ -33,21 +33,21 @@
 
 
 class Explanation(msgspec.Struct):
-    """What the logs tell of one id."""
+    """Log lines about one id, and the cause of the outcome."""
 
     wanted: str
     course: list[LogEvent]
-    #: What the instances that took part believed, and when that changed.
+    #: Changes of the state of the instances that were involved.
     around: list[LogEvent]
     cause: str
-    #: Lines that would be there if everything had been logged.
+    #: Lines that are expected but were not logged.
     missing: list[str]
 
 
 def explain(wanted: str, logs: LogEvents) -> Explanation:
-    """Join the lines about an id.
+    """Collect the lines about an id and derive the cause of its outcome.
 
-    :raises UnknownIdError: when there are none.
+    :raises UnknownIdError: when no line has this id.
     """
     course = [
         event for event in logs.events if any(event.get(field) == wanted for field in ID_FIELDS)
@@ -66,7 +66,7 @@
     for kind, count in sorted(logs.left_out.items()):
         missing.append(f'{count} lines {kind} were left out under load')
     if logs.unreadable_count:
-        missing.append(f'{logs.unreadable_count} lines are cut or no JSON')
+        missing.append(f'{logs.unreadable_count} lines are truncated or not JSON')
     return Explanation(wanted, course, around, cause, missing)
 
 
--- a/citrondyke/operator/histogram.py
+++ b/citrondyke/operator/histogram.py
@@ -1,4 +1,4 @@
-"""A histogram that holds only what was seen."""
+"""A histogram that stores only its non-empty buckets."""
 
 from __future__ import annotations
 
@@ -9,49 +9,49 @@
 
 RELATIVE_ACCURACY = 0.02
 _MAPPING = LogarithmicMapping(RELATIVE_ACCURACY)
-#: What is shorter counts as this long.
+#: Shorter times are counted as this one.
 SHORTEST_MS = 0.01
 
 
 class HistogramData(msgspec.Struct, frozen=True):
-    """A histogram as it is sent: counts by bucket number."""
+    """Serialized form of a histogram: counts by bucket number."""
 
     counts: dict[int, int]
     sum_ms: float
 
 
 class SparseHistogram:
-    """Counts by logarithmic bucket, each within 2 % of its values; mergeable."""
+    """Mergeable histogram with logarithmic buckets, accurate to 2 % of a value."""
 
     __slots__ = ('_count', '_counts', '_sum_ms')
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty histogram."""
         self._counts: dict[int, int] = {}
         self._count = 0
         self._sum_ms = 0.0
 
     @property
     def count(self) -> int:
-        """Count the values."""
+        """Return the number of values."""
         return self._count
 
     def add(self, value_ms: float) -> None:
-        """Take in a value."""
+        """Add a value."""
         key = _MAPPING.key(max(SHORTEST_MS, value_ms))
         self._counts[key] = self._counts.get(key, 0) + 1
         self._count += 1
         self._sum_ms += value_ms
 
     def merge(self, data: HistogramData) -> None:
-        """Take in another histogram."""
+        """Add the counts of another histogram."""
         for key, count in data.counts.items():
             self._counts[key] = self._counts.get(key, 0) + count
             self._count += count
         self._sum_ms += data.sum_ms
 
     def quantile_ms(self, share: float) -> float:
-        """Give the value that ``share`` of all values do not exceed."""
+        """Return the value that a ``share`` of all values does not exceed; 0 when empty."""
         rank = share * (self._count - 1)
         seen = 0
         for key in sorted(self._counts):
@@ -61,9 +61,9 @@
         return 0.0
 
     def buckets(self) -> list[tuple[float, int]]:
-        """List the buckets by rising value, as value and count."""
+        """Return the buckets in ascending order, as pairs of value and count."""
         return [(float(_MAPPING.value(key)), self._counts[key]) for key in sorted(self._counts)]
 
     def data(self) -> HistogramData:
-        """Give it as it is sent."""
+        """Return the serialized form."""
         return HistogramData(dict(self._counts), self._sum_ms)
--- a/citrondyke/operator/item_history.py
+++ b/citrondyke/operator/item_history.py
@@ -1,4 +1,4 @@
-"""Where the time of one item of a batch job went."""
+"""Attributes the time of a batch item to causes, from the log lines of its job."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 __all__ = ('item_loss_cause',)
 
-#: What follows a run that ended so, until the next one begins.
+#: Cause of the wait between a run that ended in this way and the next one.
 WAIT_CAUSES = {
     'gave_way': LossCause.ITEM_PREEMPTED,
     'broken': LossCause.ITEM_FAILED,
@@ -23,59 +23,62 @@
 
 
 class _TimeByCause(msgspec.Struct):
-    """Seconds by what they went to."""
+    """Seconds spent on each cause."""
 
     spent_s: dict[LossCause, float]
     is_finished: bool = False
-    #: When the result was durable, if it was.
+    #: Time at which the result became durable; ``None`` if it did not.
     durable_s: float | None = None
 
 
 def item_loss_cause(
-    item_id: str, accepted: LogEvent, course: list[LogEvent], target_ms: float
+    item_id: str, accepted: LogEvent, history: list[LogEvent], target_ms: float
 ) -> LossCause | None:
-    """Name what took most of an item's time; ``None`` where it was durable in time.
+    """Return the cause that took most of an item's time; ``None`` if it was durable in time.
 
-    :param accepted: the line of its job's acceptance.
-    :param course: the lines of its job, in order.
+    :param accepted: log line of the acceptance of its job.
+    :param history: log lines of its job, in order of time.
     """
-    where = _measure_time(item_id, accepted, course)
-    if where.durable_s is not None and (where.durable_s - accepted.time_s) * 1e3 <= target_ms:
+    breakdown = _measure_time(item_id, accepted, history)
+    if (
+        breakdown.durable_s is not None
+        and (breakdown.durable_s - accepted.time_s) * 1e3 <= target_ms
+    ):
         return None
-    if where.durable_s is None and where.is_finished and target_ms == float('inf'):
-        # Made durable in a commit whose line is not there; without a target it is no loss.
+    if breakdown.durable_s is None and breakdown.is_finished and target_ms == float('inf'):
+        # The line of the commit is missing. Without a target, a finished item is not a loss.
         return None
-    return max(where.spent_s, key=lambda cause: where.spent_s[cause])
+    return max(breakdown.spent_s, key=lambda cause: breakdown.spent_s[cause])
 
 
-def _measure_time(item_id: str, accepted: LogEvent, course: list[LogEvent]) -> _TimeByCause:
-    where = _TimeByCause({LossCause.ITEM_FOR_CAPACITY: 0.0})
-    spent = where.spent_s
-    at_s = accepted.time_s
-    waiting = LossCause.ITEM_FOR_CAPACITY
+def _measure_time(item_id: str, accepted: LogEvent, history: list[LogEvent]) -> _TimeByCause:
+    breakdown = _TimeByCause({LossCause.ITEM_FOR_CAPACITY: 0.0})
+    spent = breakdown.spent_s
+    last_s = accepted.time_s
+    wait_cause = LossCause.ITEM_FOR_CAPACITY
     finished_s = None
-    for event in course:
+    for event in history:
         if event.event == 'job.taken_over' and finished_s is None:
-            # From the last that is known of the owner before on.
-            _add(spent, LossCause.ITEM_OWNER_LOST, event.time_s - at_s)
-            at_s, waiting = event.time_s, LossCause.ITEM_FOR_CAPACITY
+            # The owner counts as lost since the last line about the item.
+            _add(spent, LossCause.ITEM_OWNER_LOST, event.time_s - last_s)
+            last_s, wait_cause = event.time_s, LossCause.ITEM_FOR_CAPACITY
         elif event.event == 'item.run' and event.get('item_id') == item_id:
-            began_s = event.time_s - float(event.get('took_ms') or 0.0) / 1e3
-            _add(spent, waiting, began_s - at_s)
-            _add(spent, LossCause.ITEM_RUNNING, event.time_s - max(at_s, began_s))
-            at_s = event.time_s
-            end = str(event.get('end'))
-            waiting = WAIT_CAUSES.get(end, LossCause.ITEM_FOR_CAPACITY)
-            if end in ('completed', 'impossible'):
-                finished_s = at_s
-                where.is_finished = True
+            start_s = event.time_s - float(event.get('took_ms') or 0.0) / 1e3
+            _add(spent, wait_cause, start_s - last_s)
+            _add(spent, LossCause.ITEM_RUNNING, event.time_s - max(last_s, start_s))
+            last_s = event.time_s
+            run_end = str(event.get('end'))
+            wait_cause = WAIT_CAUSES.get(run_end, LossCause.ITEM_FOR_CAPACITY)
+            if run_end in ('completed', 'impossible'):
+                finished_s = last_s
+                breakdown.is_finished = True
         elif _is_commit(event) and finished_s is not None:
             _add(spent, LossCause.ITEM_COMMIT, event.time_s - finished_s)
-            where.durable_s = event.time_s
-            return where
-    if finished_s is None and course:
-        _add(spent, waiting, course[-1].time_s - at_s)
-    return where
+            breakdown.durable_s = event.time_s
+            return breakdown
+    if finished_s is None and history:
+        _add(spent, wait_cause, history[-1].time_s - last_s)
+    return breakdown
 
 
 def _is_commit(event: LogEvent) -> bool:
--- a/citrondyke/operator/loss_causes.py
+++ b/citrondyke/operator/loss_causes.py
@@ -1,4 +1,4 @@
-"""Puts each lost or late request and item down to a cause, by the logs of all instances."""
+"""Assigns a cause to each lost or late request and item, from the logs of all instances."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 
 __all__ = ('find_losses',)
 
-#: Part of its target that a request was expected to wait, from which on the place is the cause.
+#: If the expected wait of a late request was at least this share of its target, it was late for
+#: lack of capacity.
 LATE_WAIT_SHARE = 0.25
 CAUSES_BY_END = {
     'turned_away': LossCause.REJECTED,
@@ -39,25 +40,25 @@
 
 
 def find_losses(logs: LogEvents, targets_ms: Mapping[str, float], window_s: float) -> LossReport:
-    """Go over all requests and items.
+    """Find the causes of all losses of requests and items.
 
-    :param targets_ms: by route: until the first answer, or from a job's acceptance until its
-        items are durable; ``*`` stands for all other routes of requests. What is late on routes
-        without one is not told.
-    :param window_s: length of the windows that losses are counted in.
+    :param targets_ms: target by route: until the first answer of a request, or from the
+        acceptance of a job until its items are durable; ``*`` applies to requests on all other
+        routes. Late requests and items on routes without a target are not reported.
+    :param window_s: length of the windows in which losses are counted.
     """
     from_s = logs.events[0].time_s if logs.events else 0.0
-    found = _Losses(LossReport(from_s, window_s))
-    _record_requests(logs.events, targets_ms, found)
-    _record_items(logs.events, targets_ms, found)
-    report = found.report
+    losses = _Losses(LossReport(from_s, window_s))
+    _record_requests(logs.events, targets_ms, losses)
+    _record_items(logs.events, targets_ms, losses)
+    report = losses.report
     report.losses.sort(key=lambda loss: -loss.count)
     report.missing += [
         f'{count} lines {kind} were left out under load'
         for kind, count in sorted(logs.left_out.items())
     ]
     if logs.unreadable_count:
-        report.missing.append(f'{logs.unreadable_count} lines are cut or no JSON')
+        report.missing.append(f'{logs.unreadable_count} lines are truncated or not JSON')
     return report
 
 
@@ -82,26 +83,26 @@
 
 
 def _record_requests(
-    events: list[LogEvent], targets_ms: Mapping[str, float], found: _Losses
+    events: list[LogEvent], targets_ms: Mapping[str, float], losses: _Losses
 ) -> None:
     requests: dict[str, _Request] = {}
     for event in events:
         request_id = str(event.get('request_id') or '')
         if event.event in REJECTION_EVENTS:
-            found.report.requests_count += 1
-            found.record(LossCause.NOT_ACCEPTED, '', event.time_s, request_id)
+            losses.report.requests_count += 1
+            losses.record(LossCause.NOT_ACCEPTED, '', event.time_s, request_id)
         elif event.event == 'request.sent':
             requests.setdefault(request_id, _Request()).sent = event
         elif event.event == 'request.end':
             requests.setdefault(request_id, _Request()).end = event
         elif event.event == 'job.refused':
-            found.record(LossCause.JOB_REJECTED, '', event.time_s, str(event.get('job_id')))
-    found.report.requests_count += len(requests)
+            losses.record(LossCause.JOB_REJECTED, '', event.time_s, str(event.get('job_id')))
+    losses.report.requests_count += len(requests)
     for request_id, request in requests.items():
         cause = _request_loss_cause(request, targets_ms)
         last = request.end or request.sent
         if cause is not None and last is not None:
-            found.record(cause, str(last.get('route') or ''), last.time_s, request_id)
+            losses.record(cause, str(last.get('route') or ''), last.time_s, request_id)
 
 
 def _request_loss_cause(request: _Request, targets_ms: Mapping[str, float]) -> LossCause | None:
@@ -121,28 +122,28 @@
     return LossCause.LATE_AT_SERVER
 
 
-def _record_items(events: list[LogEvent], targets_ms: Mapping[str, float], found: _Losses) -> None:
+def _record_items(events: list[LogEvent], targets_ms: Mapping[str, float], losses: _Losses) -> None:
     accepted: dict[str, LogEvent] = {}
-    lines: dict[str, list[LogEvent]] = {}
+    events_by_job: dict[str, list[LogEvent]] = {}
     for event in events:
         job_id = str(event.get('job_id') or '')
         if event.event == 'job.accepted' and not event.get('is_repeat'):
             accepted.setdefault(job_id, event)
         elif event.event in ('item.run', 'job.taken_over', 'job.commit', 'job.ended'):
-            lines.setdefault(job_id, []).append(event)
-    for job_id, start in accepted.items():
-        course = lines.get(job_id, [])
-        count = int(start.get('items') or 0)
-        found.report.items_count += count
-        if any(event.event == 'job.ended' for event in course):
-            # Nothing more was owed; which items came before is told by their results only.
+            events_by_job.setdefault(job_id, []).append(event)
+    for job_id, acceptance in accepted.items():
+        history = events_by_job.get(job_id, [])
+        count = int(acceptance.get('items') or 0)
+        losses.report.items_count += count
+        if any(event.event == 'job.ended' for event in history):
+            # The caller ended the job. Only its results show which items had finished before.
             continue
-        route = str(start.get('route') or '')
+        route = str(acceptance.get('route') or '')
         target_ms = targets_ms.get(route, float('inf'))
-        items = {str(event.get('item_id')) for event in course if event.event == 'item.run'}
+        items = {str(event.get('item_id')) for event in history if event.event == 'item.run'}
         for item_id in sorted(items):
-            cause = item_loss_cause(item_id, start, course, target_ms)
+            cause = item_loss_cause(item_id, acceptance, history, target_ms)
             if cause is not None:
-                found.record(cause, route, start.time_s + target_ms / 1e3, item_id)
+                losses.record(cause, route, acceptance.time_s + target_ms / 1e3, item_id)
         for _ in range(count - len(items)):
-            found.record(LossCause.ITEM_NEVER_RAN, route, start.time_s, job_id)
+            losses.record(LossCause.ITEM_NEVER_RAN, route, acceptance.time_s, job_id)
--- a/citrondyke/operator/loss_report.py
+++ b/citrondyke/operator/loss_report.py
@@ -1,4 +1,4 @@
-"""What was lost, by cause, as a record that two runs are compared by."""
+"""Losses by cause, as a record by which two runs can be compared."""
 
 from __future__ import annotations
 
@@ -12,29 +12,29 @@
 class LossCause(Enum):
     """Why a request or an item of a batch job was lost or late."""
 
-    #: No place was to be expected in time.
+    #: No capacity was expected to be free in time.
     REJECTED = 'turned away'
-    #: Its account had had what its limit allows, or nobody could say.
+    #: The limit of its account was used up, or could not be checked.
     OVER_LIMIT = 'over the limit of its account'
-    #: Each server that was asked turned it away, or none took work.
+    #: Every server that it was sent to rejected it, or no server accepted requests.
     NO_SERVER = 'no server took it'
-    #: No route, too many connections, an improper head.
+    #: It had no route or an invalid head, or there were too many connections.
     NOT_ACCEPTED = 'not taken by the instance'
-    #: It broke off, or stayed silent, at a server.
+    #: Its connection to a server was aborted, or the server did not respond.
     ABORTED = 'broke off at a server'
-    #: Servers had ended under the same work; it was not sent on.
+    #: Servers exited under requests of the same content; it was not sent again.
     STOPPED = 'stopped as servers end under it'
-    #: A server's own failure was passed on.
+    #: The failure response of a server was forwarded.
     SERVER_FAILED = 'failed at a server'
     TIMED_OUT = 'timed out'
     CALLER_DISCONNECTED = 'its caller left'
-    #: The lines of its instance end in the middle of it.
+    #: The log of its instance ends before the end of the request.
     INSTANCE_LOST = 'its instance was lost'
-    #: Late, and sent to more than one server.
+    #: Late, and sent more than once.
     LATE_RESENT = 'late: sent again'
-    #: Late, and a wait was expected when it was sent.
+    #: Late, and a wait for capacity was expected when it was sent.
     LATE_FOR_CAPACITY = 'late: waited for a place'
-    #: Late though a place was expected to be free.
+    #: Late although free capacity was expected.
     LATE_AT_SERVER = 'late: slow at its server'
     JOB_REJECTED = 'job not accepted'
     ITEM_NEVER_RAN = 'item never ran'
@@ -47,19 +47,19 @@
 
 
 class Loss(msgspec.Struct):
-    """One cause on one route."""
+    """Losses of one cause on one route."""
 
     cause: LossCause
     route: str
     count: int = 0
-    #: Counts by the number of the window, from the first line on.
+    #: Counts by the number of the window, from the first log line.
     by_window: dict[int, int] = {}
-    #: One id, to be explained.
+    #: Id of one of the requests, jobs or items, to be explained.
     example: str = ''
 
 
 class LossReport(msgspec.Struct):
-    """All losses of a span of time."""
+    """All losses of a period."""
 
     #: Seconds since 1970.
     from_s: float
@@ -67,9 +67,9 @@
     requests_count: int = 0
     items_count: int = 0
     losses: list[Loss] = []
-    #: What the logs do not tell.
+    #: Lines that are missing from the logs.
     missing: list[str] = []
 
     def counts(self) -> dict[tuple[str, LossCause], int]:
-        """Give the counts by route and cause."""
+        """Return the counts by route and cause."""
         return {(loss.route, loss.cause): loss.count for loss in self.losses}
--- a/citrondyke/operator/request_metrics.py
+++ b/citrondyke/operator/request_metrics.py
@@ -1,4 +1,4 @@
-"""What an instance measures of its callers' requests."""
+"""Metrics of an instance about the requests of its callers."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 
 
 class Quantity(Enum):
-    """What a histogram shows."""
+    """Quantity that a histogram shows."""
 
     FIRST_TOKEN = 'first_token'
-    #: Mean gap between the tokens of one answer.
+    #: Mean time between the tokens of an answer.
     TOKEN_GAP = 'token_gap'
     TOTAL = 'total'
 
 
 class RequestSample(msgspec.Struct, frozen=True, kw_only=True):
-    """One request that ended."""
+    """One finished request."""
 
     tenant_id: TenantId
     class_name: ClassName
-    #: Code of the failure, or ``ok``.
+    #: Error code, or ``ok``.
     outcome: str
     total_ms: float
     first_token_ms: float | None = None
     tokens_count: int = 0
-    #: Whether the class's target was met; ``None`` where it does not apply.
+    #: Whether the target of the class was met; ``None`` if it does not apply.
     is_kept: bool | None = None
 
 
 class MetricsReport(msgspec.Struct, frozen=True):
-    """All measures of one instance, as sent to operators."""
+    """All metrics of one instance, as sent to operators."""
 
     by_class: dict[str, dict[str, HistogramData]]
     by_tenant: dict[str, dict[str, HistogramData]]
@@ -51,12 +51,13 @@
 
 
 class RequestMetrics:
-    """Histograms by class and by tenant, with a bound on memory."""
+    """Histograms by class and by tenant, with bounded memory."""
 
     def __init__(self, tenants_limit: int) -> None:
-        """Start empty.
+        """Create empty histograms.
 
-        :param tenants_limit: tenants with histograms of their own.
+        :param tenants_limit: maximum number of tenants with histograms of their own; the least
+            recently used one is dropped.
         """
         self.outcomes: Counter[str] = Counter()
         self.kept: Counter[str] = Counter()
@@ -67,7 +68,7 @@
         self._by_tenant: OrderedDict[str, dict[Quantity, SparseHistogram]] = OrderedDict()
 
     def add(self, sample: RequestSample) -> None:
-        """Take in a request."""
+        """Add a finished request."""
         self.outcomes[f'{sample.class_name}/{sample.outcome}'] += 1
         if sample.is_kept is not None:
             (self.kept if sample.is_kept else self.missed)[sample.class_name] += 1
@@ -83,7 +84,7 @@
                 _add_value(histograms, Quantity.TOKEN_GAP, spread_ms / (sample.tokens_count - 1))
 
     def report(self, *, with_tenants: bool) -> MetricsReport:
-        """Give everything as sent to operators."""
+        """Return all metrics as sent to operators."""
         return MetricsReport(
             by_class=_histogram_data(self._by_class),
             by_tenant=_histogram_data(self._by_tenant) if with_tenants else {},
--- a/citrondyke/operator/statsd_reporter.py
+++ b/citrondyke/operator/statsd_reporter.py
@@ -1,4 +1,4 @@
-"""Sends counts to a statsd server."""
+"""Sends metrics to a statsd server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class StatsdReporter:
-    """Reports what changed, once in a while, so that its cost does not grow with the traffic."""
+    """Sends counter increments at an interval, so that its cost does not grow with traffic."""
 
     def __init__(
         self,
@@ -26,9 +26,9 @@
         metrics: RequestMetrics,
         gauges: Callable[[], dict[str, float]],
     ) -> None:
-        """Report nothing before ``start``.
+        """Create a reporter, which sends nothing before ``start``.
 
-        :param gauges: gives the levels to report.
+        :param gauges: returns the current values of the gauges by name.
         """
         self._settings = settings
         self._metrics = metrics
@@ -36,7 +36,7 @@
         self._reported: Counter[str] = Counter()
 
     def start(self) -> None:
-        """Begin, where an address is set."""
+        """Begin to report, if the settings have an address."""
         if self._settings.ip:
             gevent.spawn(self._run)
 
@@ -47,8 +47,8 @@
             with client.pipeline() as pipe:
                 for name, count in self._metrics.outcomes.items():
                     pipe.incr(f'requests.{_clean(name)}', count - self._reported[name])
-                for name, level in self._gauges().items():
-                    pipe.gauge(name, level)
+                for name, value in self._gauges().items():
+                    pipe.gauge(name, value)
             self._reported = Counter(self._metrics.outcomes)
 
 
--- a/citrondyke/operator/terminal.py
+++ b/citrondyke/operator/terminal.py
@@ -1,4 +1,4 @@
-"""Draws what operators see in a terminal."""
+"""Draws histograms in a terminal."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def histogram_table(title: str, histogram: SparseHistogram) -> Table:
-    """Draw a histogram as bars, with its usual quantiles in the title."""
+    """Draw a histogram as bars, with its 50 %, 95 % and 99 % quantiles in the title."""
     quantiles = ', '.join(
         f'p{share * 100:g} {histogram.quantile_ms(share):.1f} ms' for share in (0.5, 0.95, 0.99)
     )
@@ -25,19 +25,19 @@
     table.add_column('requests', justify='right')
     table.add_column('')
     rows = _group_buckets(histogram.buckets())
-    most = max((count for _, count in rows), default=1)
+    max_count = max((count for _, count in rows), default=1)
     for value_ms, count in rows:
-        table.add_row(f'{value_ms:.1f}', str(count), '█' * max(1, count * BAR_CHARS // most))
+        table.add_row(f'{value_ms:.1f}', str(count), '█' * max(1, count * BAR_CHARS // max_count))
     return table
 
 
 def _group_buckets(buckets: list[tuple[float, int]]) -> list[tuple[float, int]]:
-    """Join neighbouring buckets until they fit the screen."""
-    group = -(-len(buckets) // MAX_ROWS) or 1
+    """Merge adjacent buckets until there are at most ``MAX_ROWS``."""
+    group_size = -(-len(buckets) // MAX_ROWS) or 1
     return [
         (
-            buckets[min(start + group, len(buckets)) - 1][0],
-            sum(c for _, c in buckets[start : start + group]),
+            buckets[min(start + group_size, len(buckets)) - 1][0],
+            sum(count for _, count in buckets[start : start + group_size]),
         )
-        for start in range(0, len(buckets), group)
+        for start in range(0, len(buckets), group_size)
     ]
--- a/tests/test_operator/__init__.py
+++ b/tests/test_operator/__init__.py
@@ -1,3 +1,3 @@
-"""Tests of what operators see and change."""
+"""Tests of reports, metrics and log analysis for operators."""
 
 from __future__ import annotations
--- a/tests/test_operator/test_operator_config.py
+++ b/tests/test_operator/test_operator_config.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere and never goes back."""
+"""An accepted configuration takes effect at all instances and is never reverted."""
 
 from __future__ import annotations
 
@@ -36,9 +36,9 @@
 
 
 @pytest.mark.fleet(instances=3, engines=0, services=())
-def test_racing_operators_get_one_acceptance_each_version(fleet: Fleet) -> None:
-    # Operators at three instances change the configuration on top of the same version at the
-    # same moment. One is accepted; the others are told which entry was changed, and by whom.
+def test_one_of_several_concurrent_changes_is_accepted(fleet: Fleet) -> None:
+    # Operators at three instances concurrently change the same version of the configuration.
+    # One change is accepted; the errors of the others name the changed entry and its operator.
     with ThreadPoolExecutor(6) as pool:
         answers = list(
             pool.map(
@@ -61,23 +61,25 @@
 
 
 @pytest.mark.fleet(instances=3, engines=0, services=())
-def test_accepted_change_spreads_though_the_table_is_down(fleet: Fleet) -> None:
-    # The table service goes down right after it took a change. Peers hear of it from the
-    # instance that accepted it, one that was frozen meanwhile included once it wakes up; and a
-    # restarted instance takes no request before it has read the log itself.
+def test_accepted_change_reaches_peers_while_the_table_is_down(fleet: Fleet) -> None:
+    # The table service goes down right after it stored a change. Peers receive the change from
+    # the instance that accepted it, including one that was frozen meanwhile. A restarted
+    # instance accepts no request before it has read the log itself.
     fleet.program('instance-2').freeze()
     assert propose(fleet, 'instance-0', 1, class_edit('a')).status == 200
     fleet.fault('table', 'down')
     wait_until(lambda: version(fleet, 'instance-1') == 2, 'version 2 at a peer')
     fleet.program('instance-2').wake()
-    wait_until(lambda: version(fleet, 'instance-2') == 2, 'version 2 at the woken one')
-    refused = propose(fleet, 'instance-0', 2, class_edit('b'))
-    assert (refused.status, refused.error['run']) == (503, 'not_run')
+    wait_until(lambda: version(fleet, 'instance-2') == 2, 'version 2 at the resumed instance')
+    rejected = propose(fleet, 'instance-0', 2, class_edit('b'))
+    assert (rejected.status, rejected.error['run']) == (503, 'not_run')
     fleet.program('instance-1').kill()
     fleet.start_instance('instance-1')
     restarted = fleet.caller('instance-1')
-    # From its first answer on, however long the process takes to begin.
-    first = wait_until(lambda: restarted.try_call('GET', '/health/ready'), 'the restarted one')
+    # Waits for the first answer, since the process may take long to start.
+    first = wait_until(
+        lambda: restarted.try_call('GET', '/health/ready'), 'an answer of the restarted instance'
+    )
     assert first.status == 503
     time.sleep(1.0)
     later = restarted.try_call('GET', '/health/ready')
@@ -89,12 +91,12 @@
 
 
 @pytest.mark.fleet(instances=3, engines=0, services=())
-def test_versions_never_go_back(fleet: Fleet) -> None:
-    # Versions are watched at every instance while changes are made, replies are lost, and
-    # instances freeze and restart. No instance ever shows an older version after a newer one.
+def test_versions_never_decrease(fleet: Fleet) -> None:
+    # Versions are polled while changes are made, replies are lost, and instances freeze and
+    # restart. No instance shows an older version after a newer one.
     seen: dict[str, int] = {}
 
-    def look() -> None:
+    def check_versions() -> None:
         for n in (0, 1, 2):
             name = f'instance-{n}'
             if n == 1:
@@ -108,12 +110,12 @@
     for n in range(8):
         fleet.fault('table', 'lost_reply', calls_left=2)
         answer = propose(fleet, 'instance-0', accepted, class_edit(f'c{n}'))
-        look()
+        check_versions()
         fleet.fault('table', 'none')
         if answer.status == 200:
             accepted = answer.json['version']
         else:
-            accepted = wait_until(lambda: version(fleet, 'instance-0'), 'a version')
+            accepted = wait_until(lambda: version(fleet, 'instance-0'), 'the current version')
         if n == 3:
             fleet.program('instance-1').freeze()
         if n == 5:
@@ -121,10 +123,12 @@
             fleet.program('instance-2').kill()
             fleet.start_instance('instance-2')
             fleet.wait_ready('instance-2')
-        look()
-    # A change that was in doubt may have taken effect without its operator knowing, so that what
-    # an instance shows now may not be the last version; the log in the table service has it.
-    history = wait_until(lambda: fleet.operator().get(f'{CONFIG}/history?after=0').json, 'the log')
+        check_versions()
+    # A change with an uncertain outcome may have taken effect although its operator got an error.
+    # An instance may therefore not show the last version yet; the log in the table service does.
+    history = wait_until(
+        lambda: fleet.operator().get(f'{CONFIG}/history?after=0').json, 'the history'
+    )
     last = history[-1]['version']
     assert last >= accepted
     for n in range(3):
@@ -132,15 +136,15 @@
 
 
 @pytest.mark.fleet(instances=1, engines=0, services=())
-def test_wrong_changes_are_refused_with_their_field(fleet: Fleet) -> None:
-    bad = [
+def test_error_for_invalid_change_names_the_field(fleet: Fleet) -> None:
+    invalid = [
         ({'name': 'class/none', 'after': None}, 'class/none'),
         ({'name': 'class/x', 'after': class_edit('y')['after']}, 'class/x'),
         ({'name': 'class/calls', 'after': None}, 'tenant/'),
     ]
-    for edit, named in bad:
+    for edit, expected_name in invalid:
         answer = propose(fleet, 'instance-0', 1, edit)
         assert (answer.status, answer.error['code']) == (400, 'invalid_field')
-        assert named in answer.error['message']
+        assert expected_name in answer.error['message']
     assert fleet.caller().call('GET', CONFIG).status == 401
     assert version(fleet, 'instance-0') == 1
--- a/tests/test_operator/test_operator_evidence.py
+++ b/tests/test_operator/test_operator_evidence.py
@@ -1,4 +1,4 @@
-"""The records that a regulator is shown: complete, reconciled, and not to be altered unseen."""
+"""Audit records for a regulator: complete, reconciled, and protected against alteration."""
 
 from __future__ import annotations
 
@@ -27,9 +27,9 @@
 
 
 @pytest.mark.fleet(instances=2, engines=1)
-def test_report_reconciles_accepted_with_outcomes(fleet: Fleet) -> None:
-    # Calls and a job at two instances; one is replaced in the middle of it. The report adds up
-    # to what callers saw, with no fault, and asking another instance gives the same.
+def test_report_reconciles_accepted_requests_with_outcomes(fleet: Fleet) -> None:
+    # Two instances serve calls and a job, and one of them is restarted. The report matches the
+    # outcomes that callers saw, contains no fault, and is the same at both instances.
     job_id = fleet.submit(fleet.caller(), chat_lines(60), '/v1/chat/completions')
     for n in range(10):
         assert fleet.caller(f'instance-{n % 2}').chat(f'ask {n}', stream=True).status == 200
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_altered_and_removed_records_are_found(fleet: Fleet) -> None:
+def test_altered_and_removed_records_are_reported(fleet: Fleet) -> None:
     caller = fleet.caller()
     for count in (1, 2, 3):
         caller.chat('hello')
@@ -69,23 +69,25 @@
     assert fault_kinds(fleet) == set()
     keys = sealed_keys(fleet)
     path = f'/objects/{quote(keys[1])}'
-    good = fleet.platform.get(path).body
+    original = fleet.platform.get(path).body
     other = fleet.platform.get(f'/objects/{quote(keys[0])}').body
-    fleet.platform.call('PUT', path, good[:-1] + b'x')
+    fleet.platform.call('PUT', path, original[:-1] + b'x')
     assert fault_kinds(fleet)
     for key in (keys[1], sealed_keys(fleet)[-1]):
-        place = f'/objects/{quote(key)}'
-        whole = fleet.platform.get(place).body
-        text = zstandard.decompress(whole if key != keys[1] else good)
+        key_path = f'/objects/{quote(key)}'
+        stored = fleet.platform.get(key_path).body
+        text = zstandard.decompress(stored if key != keys[1] else original)
         forged = zstandard.compress(text.replace(b'"coastal"', b'"another"'))
-        fleet.platform.call('PUT', place, forged)
-        wait_until(lambda: 'altered' in fault_kinds(fleet), f'the change of {key}')
-        fleet.platform.call('PUT', place, good if key == keys[1] else whole)
+        fleet.platform.call('PUT', key_path, forged)
+        wait_until(
+            lambda: 'altered' in fault_kinds(fleet), f'the alteration of {key} to be reported'
+        )
+        fleet.platform.call('PUT', key_path, original if key == keys[1] else stored)
     fleet.platform.call('PUT', path, other)
     assert fault_kinds(fleet)
     fleet.platform.call('DELETE', path)
     assert 'missing' in fault_kinds(fleet)
-    fleet.platform.call('PUT', path, good)
+    fleet.platform.call('PUT', path, original)
     assert fault_kinds(fleet) == set()
     newest = f'/objects/{quote(sealed_keys(fleet)[-1])}'
 
@@ -93,13 +95,13 @@
         fleet.platform.call('DELETE', newest)
         return 'missing' in fault_kinds(fleet)
 
-    wait_until(newest_is_missed, 'the newest object to be missed by the lease row')
+    wait_until(newest_is_missed, 'the newest object to be reported missing by the lease row')
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_gaps_are_never_silent(fleet: Fleet) -> None:
-    # The object store is away for longer than the buffer lasts, and then the instance is killed
-    # with records in its memory. Both holes are told in the report.
+def test_lost_records_are_reported(fleet: Fleet) -> None:
+    # The object store is down until the buffer of records overflows. Later the instance is killed
+    # with records in memory. The report shows both gaps.
     caller = fleet.caller()
     caller.chat('first')
     wait_until(lambda: sealed_keys(fleet), 'an object')
@@ -107,9 +109,9 @@
     for n in range(60):
         caller.chat(f'ask {n}', 1)
     fleet.fault('objects', 'none')
-    wait_until(lambda: 'dropped' in fault_kinds(fleet), 'the dropped records to be told')
+    wait_until(lambda: 'dropped' in fault_kinds(fleet), 'the dropped records to be reported')
     fleet.program('instance-0').kill()
     fleet.start_instance('instance-0')
     fleet.wait_ready('instance-0')
     fleet.caller().chat('after')
-    wait_until(lambda: 'after_crash' in fault_kinds(fleet), 'the crash to be told')
+    wait_until(lambda: 'after_crash' in fault_kinds(fleet), 'the crash to be reported')
--- a/tests/test_operator/test_operator_explain.py
+++ b/tests/test_operator/test_operator_explain.py
@@ -1,4 +1,4 @@
-"""From the id of a failed request to its cause, by the logs alone."""
+"""Explanation of a failed request or job from its id and the logs."""
 
 from __future__ import annotations
 
@@ -24,8 +24,9 @@
     return {'time': f'{time_s:.3f}', 'event': kind, **fields}
 
 
-def test_course_is_joined_over_instances(tmp_path: Path) -> None:
-    # A job is accepted at one instance and finished by another; the lines of both are one course.
+def test_lines_of_several_instances_are_joined(tmp_path: Path) -> None:
+    # A job is accepted at one instance and finished by another; the explanation has the lines of
+    # both.
     first = write(
         tmp_path / 'edge-1.log',
         event('job.accepted', 10.0, job_id='j', items=2),
@@ -49,7 +50,7 @@
     assert '1 runs of items ended as broken' in item.cause
 
 
-def test_request_turned_away_names_the_load_that_decided(tmp_path: Path) -> None:
+def test_explanation_of_a_rejected_request_names_the_load(tmp_path: Path) -> None:
     file = write(
         tmp_path / 'edge-1.log',
         event(
@@ -69,7 +70,7 @@
     assert '320.0 ms' in cause
 
 
-def test_request_cut_at_a_server_names_server_and_failure(tmp_path: Path) -> None:
+def test_explanation_of_an_aborted_request_names_server_and_failure(tmp_path: Path) -> None:
     file = write(
         tmp_path / 'edge-1.log',
         event(
@@ -89,7 +90,7 @@
     assert 'cut: closed' in cause
 
 
-def test_stale_configuration_is_named_with_its_age(tmp_path: Path) -> None:
+def test_explanation_without_a_route_names_the_age_of_the_configuration(tmp_path: Path) -> None:
     file = write(
         tmp_path / 'edge-1.log',
         event(
@@ -108,9 +109,9 @@
     assert '4100 ms' in cause
 
 
-def test_request_of_a_killed_instance_is_told_by_what_is_missing(tmp_path: Path) -> None:
-    # The instance was killed in the middle of the request: its last line is cut, and its next
-    # start shows when.
+def test_request_of_a_killed_instance_is_explained_by_missing_lines(tmp_path: Path) -> None:
+    # The instance was killed during the request: its last line is truncated, and the next start
+    # of the instance shows the latest time of the kill.
     file = write(
         tmp_path / 'edge-1.log',
         event('request.sent', 1.0, request_id='r', server_id='i-1'),
@@ -120,17 +121,17 @@
         lines.write('{"time":"4.1","event":"request.e')
     found = explain('r', read_log_events([file]))
     assert 'started again at 4.000' in found.cause
-    assert found.missing == ['request.end', '1 lines are cut or no JSON']
+    assert found.missing == ['request.end', '1 lines are truncated or not JSON']
 
 
-def test_refused_job_names_who_refused_it_and_why(tmp_path: Path) -> None:
+def test_explanation_of_a_rejected_job_names_instance_and_reason(tmp_path: Path) -> None:
     file = write(tmp_path / 'edge-1.log', event('job.refused', 1.0, job_id='j', reason='in_doubt'))
     found = explain('j', read_log_events([file]))
-    assert 'edge-1 did not take it: in_doubt' in found.cause
+    assert 'edge-1 rejected it: in_doubt' in found.cause
     assert found.missing == []
 
 
-def test_lines_left_out_under_load_are_named(tmp_path: Path) -> None:
+def test_lines_left_out_under_load_are_reported_missing(tmp_path: Path) -> None:
     file = write(
         tmp_path / 'edge-1.log',
         event('request.end', 1.0, request_id='r', end='timed_out'),
@@ -140,7 +141,7 @@
     assert found.missing == ['send.failed', '30 lines send.failed were left out under load']
 
 
-def test_wrong_files_and_unknown_ids_are_told(tmp_path: Path) -> None:
+def test_unreadable_files_and_unknown_ids_raise_errors(tmp_path: Path) -> None:
     file = write(tmp_path / 'edge-1.log', event('instance.started', 1.0))
     with pytest.raises(UnknownIdError, match='in none of 1 events'):
         explain('r', read_log_events([file]))
@@ -152,9 +153,9 @@
         read_log_events([empty])
 
 
-def test_content_joins_attempts_that_have_ids_of_their_own(tmp_path: Path) -> None:
-    # Two attempts of one caller end two servers each; the third is stopped. Only their content
-    # is common to them.
+def test_content_joins_attempts_with_different_ids(tmp_path: Path) -> None:
+    # A server exits under each of two attempts, and a third attempt is stopped. The attempts have
+    # only their content in common.
     file = write(
         tmp_path / 'edge-1.log',
         event('send.failed', 1.0, request_id='r1', content='c', outcome='unknown'),
@@ -167,15 +168,17 @@
     )
     logs = read_log_events([file])
     found = explain('c', logs)
-    assert '2 servers ended under it, with 2 attempts. 1 attempts were stopped' in found.cause
+    assert '2 servers exited under it, in 2 attempts. 1 attempts were stopped' in found.cause
     assert [each.event for each in found.around] == ['server.ended']
-    assert '3.0 servers had ended under the same work, c' in explain('r3', logs).cause
+    assert (
+        '3.0 servers had exited under requests of the same content, c' in explain('r3', logs).cause
+    )
 
 
 @pytest.mark.parametrize(
     ('fields', 'cause'),
     [
-        ({'reason': 'unknown_key', 'status': 401}, 'a key of nobody, by configuration 7.'),
+        ({'reason': 'unknown_key', 'status': 401}, 'an unknown key, according to configuration 7.'),
         ({'reason': 'no_key', 'status': 503, 'confirmed_age_ms': 9_000}, 'confirmed it 9000 ms'),
     ],
 )
@@ -189,9 +192,15 @@
 
 @pytest.mark.parametrize(
     ('verdict', 'cause'),
-    [('over', 'had had its 5 a second and 2 at once, as edge-9'), ('unknown', 'Nobody could say')],
+    [
+        (
+            'over',
+            'used up its limit of 5 requests per second with bursts of 2, according to edge-9',
+        ),
+        ('unknown', 'No instance could check'),
+    ],
 )
-def test_refusal_by_the_limit_of_an_account_is_explained(
+def test_rejection_by_the_limit_of_an_account_is_explained(
     tmp_path: Path, verdict: str, cause: str
 ) -> None:
     line = event(
@@ -212,7 +221,7 @@
     assert not found.missing
 
 
-def test_send_to_a_server_in_doubt_tells_by_whose_evidence(tmp_path: Path) -> None:
+def test_send_to_a_degraded_server_names_the_observed_failures(tmp_path: Path) -> None:
     file = write(
         tmp_path / 'edge-1.log',
         event(
@@ -222,4 +231,4 @@
         event('request.end', 1.6, request_id='r', end='server_failure', took_ms=9.0),
     )
     cause = explain('r', read_log_events([file])).cause
-    assert 'in doubt there for 0.5 s, by 2 failures that 2 instances saw' in cause
+    assert 'degraded there for 0.5 s, after 2 failures seen by 2 instances' in cause
--- a/tests/test_operator/test_operator_logs.py
+++ b/tests/test_operator/test_operator_logs.py
@@ -1,4 +1,4 @@
-"""What goes to logs and to statsd."""
+"""Log lines and statsd metrics."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
         return [line for line in lines if line['message'] == 'request ended']
 
     (line,) = wait_until(logged, 'the request to be logged')
-    wanted = {
+    expected = {
         'instance': 'instance-0',
         'zone': 'zone-1',
         'tenant': 'coastal',
@@ -29,20 +29,20 @@
         'request_id': answer.headers['X-Request-Id'],
         'outcome': 'ok',
     }
-    assert {name: line[name] for name in wanted} == wanted
+    assert {name: line[name] for name in expected} == expected
 
 
 @pytest.mark.fleet(instances=1, engines=1)
-def test_counts_and_levels_reach_statsd(fleet: Fleet) -> None:
+def test_counters_and_gauges_reach_statsd(fleet: Fleet) -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(('127.0.0.1', fleet.statsd_port))
         server.settimeout(30)
         assert fleet.caller().chat('hello').status == 200
-        heard = b''
+        received = b''
 
         def has_all() -> bool:
-            nonlocal heard
-            heard += server.recv(65_536) + b'\n'
-            return b'requests.calls.ok:1|c' in heard and b'config_version:1|g' in heard
+            nonlocal received
+            received += server.recv(65_536) + b'\n'
+            return b'requests.calls.ok:1|c' in received and b'config_version:1|g' in received
 
-        wait_until(has_all, 'the count and a level')
+        wait_until(has_all, 'the counter and a gauge')
--- a/tests/test_operator/test_operator_losses.py
+++ b/tests/test_operator/test_operator_losses.py
@@ -1,4 +1,4 @@
-"""Each lost or late request and item has one cause."""
+"""Each lost or late request and item is reported with one cause."""
 
 from __future__ import annotations
 
@@ -51,11 +51,11 @@
         ([line(1.0, 'job.refused', job_id='j')], LossCause.JOB_REJECTED),
     ],
 )
-def test_request_has_its_cause(events: list[LogEvent], cause: LossCause) -> None:
+def test_lost_request_has_one_cause(events: list[LogEvent], cause: LossCause) -> None:
     assert causes(*events) == {cause: 1}
 
 
-def test_request_in_time_is_no_loss() -> None:
+def test_request_within_its_target_is_not_a_loss() -> None:
     assert causes(sent(), ended('done', first_ms=299.0)) == {}
 
 
@@ -93,17 +93,19 @@
         ([], LossCause.ITEM_NEVER_RAN),
     ],
 )
-def test_late_item_has_what_took_most_of_its_time(events: list[LogEvent], cause: LossCause) -> None:
+def test_cause_of_a_late_item_is_what_took_most_of_its_time(
+    events: list[LogEvent], cause: LossCause
+) -> None:
     assert causes(accepted(), *events) == {cause: 1}
 
 
-def test_item_in_time_and_items_of_an_ended_job_are_no_loss() -> None:
+def test_items_in_time_or_of_an_ended_job_are_not_losses() -> None:
     assert causes(accepted(), run(9.0, 'completed', 8_000.0), commit(9.9)) == {}
     assert causes(accepted(3), line(2.0, 'job.ended', job_id='j')) == {}
 
 
 def test_two_runs_are_compared(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    # An operator keeps the record of one day and looks at what changed with the next version.
+    # An operator stores the record of one version and compares it with that of the next.
     log = tmp_path / 'i.log'
     fields = {'request_id': 'a', 'route': 'calls', 'end': 'turned_away'}
     log.write_bytes(msgspec.json.encode({'time': '1.0', 'event': 'request.end', **fields}))
@@ -117,11 +119,14 @@
 
 
 @pytest.mark.parametrize(
-    'words', [[], ['no.log'], ['a.log', '--target', 'x'], ['a.log', '--before', 'a.log']]
+    'arguments', [[], ['no.log'], ['a.log', '--target', 'x'], ['a.log', '--before', 'a.log']]
 )
-def test_wrong_call_is_told(tmp_path: Path, words: list[str]) -> None:
+def test_invalid_arguments_are_reported(tmp_path: Path, arguments: list[str]) -> None:
     (tmp_path / 'a.log').write_text('{"time": "1", "event": "x"}\n')
-    places = [str(tmp_path / word) if word.endswith('.log') else word for word in words]
+    paths = [
+        str(tmp_path / argument) if argument.endswith('.log') else argument
+        for argument in arguments
+    ]
     with pytest.raises(CtlError) as failure:
-        app(['losses', *places], result_action='return_value')
+        app(['losses', *paths], result_action='return_value')
     assert failure.value.exit_code is ExitCode.WRONG_CALL
