--- a/citrondyke/__init__.py
+++ b/citrondyke/__init__.py
@@ -1,4 +1,4 @@
-"""Online and batch inference on one fleet."""
+"""Online and batch inference on a shared fleet of servers."""
 
 from __future__ import annotations
 
--- a/citrondyke/daemon.py
+++ b/citrondyke/daemon.py
@@ -1,4 +1,4 @@
-"""One instance as a process: decisions, driver and doors put together."""
+"""Daemon process of one instance, composed of decisions, driver and endpoints."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 
 log = logbook.Logger(__name__)
 
-#: Pause between two looks whether the last calls are answered.
+#: Interval of the checks whether the last requests are finished.
 DRAIN_POLL_S = 0.05
 
 
 class Daemon:
-    """Runs one instance until it is told to stop."""
+    """Runs one instance until a stop is requested."""
 
     def __init__(self, settings: DaemonSettings) -> None:
-        """Put the parts together; nothing listens before ``start``."""
+        """Create the components; nothing listens before ``start``."""
         self._settings = settings
         self._clock = SystemClock()
         own = settings.instance
@@ -69,7 +69,7 @@
         self._has_failed = False
 
     def start(self) -> None:
-        """Listen and begin everything that the instance does by itself."""
+        """Start to listen and run the instance's own tasks."""
         self._peers.start(self.instance)
         self._server.start()
         self._driver.spawn(self.instance.run())
@@ -77,13 +77,13 @@
         log.info('listening', extra={'port': self._settings.instance.http_port})
 
     def request_stop(self) -> None:
-        """Begin a planned stop; ``run_until_stopped`` returns at its end."""
+        """Request a planned stop; ``run_until_stopped`` returns when it is complete."""
         self._stopping.set()
 
     def run_until_stopped(self) -> bool:
-        """Serve until a planned stop is asked for, then stop without cutting a call off.
+        """Serve until a stop is requested, then drain running requests and stop.
 
-        :returns: whether it was a planned stop.
+        :returns: whether the stop was planned, rather than caused by a failure.
         """
         self._stopping.wait()
         if self._has_failed:
@@ -96,11 +96,11 @@
         self._stopping.set()
 
     def _leave(self) -> None:
-        """Leave in the order in which nobody is cut off.
+        """Stop in an order that aborts no request.
 
-        The health check says so first and peers hear of it; calls that the balancer still sends
-        are served; then running calls and batch items finish; the lease goes back last, so that
-        nobody takes this instance's work over before it is down.
+        First the health check fails and peers are notified, while requests that the load balancer
+        still sends are served. Then running requests and batch items finish. The lease is released
+        last, so that no instance takes over this instance's work before it is down.
         """
         stop = self._settings.stop
         log.info('leaving')
--- a/citrondyke/ids.py
+++ b/citrondyke/ids.py
@@ -1,4 +1,4 @@
-"""The identifiers that pass between the parts."""
+"""Types of identifiers that are used in several packages."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 AvailabilityZone = NewType('AvailabilityZone', str)
 ClassName = NewType('ClassName', str)
-#: Counts accepted configuration changes from 1; 0 is the empty configuration.
+#: Number of the accepted configuration change, from 1; 0 for the empty configuration.
 ConfigVersion = NewType('ConfigVersion', int)
-#: Names what a request asks for, whichever attempt brings it.
+#: Digest of the content of a request, equal for all attempts with this content.
 ContentDigest = NewType('ContentDigest', str)
 InstanceId = NewType('InstanceId', str)
 JobId = NewType('JobId', str)
@@ -37,13 +37,13 @@
 RouteName = NewType('RouteName', str)
 RowKey = NewType('RowKey', str)
 ServerId = NewType('ServerId', str)
-#: One life of one backend server, which may start again under its id.
+#: Incarnation of a backend server, which may restart under the same id.
 ServerIncarnation = NewType('ServerIncarnation', str)
 ServiceName = NewType('ServiceName', str)
-#: One life of one instance: ``<instance>#<epoch>``.
+#: Incarnation of an instance: ``<instance>#<epoch>``.
 SessionId = NewType('SessionId', str)
-#: What a request is for: a model's name, or ``service:<name>``.
+#: Target of a request: name of a model, or ``service:<name>``.
 TargetName = NewType('TargetName', str)
 TenantId = NewType('TenantId', str)
-#: Names one conditional transaction, so that its writer knows it again after a lost reply.
+#: Id of a conditional transaction, by which its writer recognizes it after a lost reply.
 WriteId = NewType('WriteId', str)
--- a/citrondyke/util/__init__.py
+++ b/citrondyke/util/__init__.py
@@ -1,3 +1,3 @@
-"""Helpers that know nothing of serving."""
+"""Helpers that are independent of the domain."""
 
 from __future__ import annotations
--- a/citrondyke/util/clock.py
+++ b/citrondyke/util/clock.py
@@ -1,4 +1,4 @@
-"""Where the time comes from."""
+"""Clocks."""
 
 from __future__ import annotations
 
@@ -9,36 +9,37 @@
 
 
 class Clock(ABC):
-    """The two times that decisions use; handed in, never fetched."""
+    """Clock of decisions, which get it as an argument so that tests can replace it."""
 
     @abstractmethod
     def now_ms(self) -> float:
-        """Give the monotonic time of this process, in milliseconds."""
+        """Return the monotonic time of this process, in milliseconds."""
 
     @abstractmethod
     def epoch_ms(self) -> float:
-        """Give the wall clock's time, in milliseconds since 1970."""
+        """Return the wall clock time, in milliseconds since 1970."""
 
     def fence_ms(self) -> float:
-        """Give a monotonic time that goes on while the machine is suspended, in milliseconds.
+        """Return a monotonic time that advances while the machine is suspended, in milliseconds.
 
-        What another instance takes over after a while must be over here too, also for a machine
-        that was suspended meanwhile; by the steady clock it would go on where it was.
+        What another instance takes over after a timeout must have expired at this instance too,
+        even if its machine was suspended meanwhile. ``now_ms`` does not advance during a suspend,
+        so that by it the old owner would still be valid.
         """
         return self.now_ms()
 
 
 class SystemClock(Clock):
-    """The machine's clocks."""
+    """Clocks of the operating system."""
 
     def now_ms(self) -> float:
-        """Give the monotonic time, in milliseconds."""
+        """Return the monotonic time, in milliseconds."""
         return time.monotonic() * 1e3
 
     def epoch_ms(self) -> float:
-        """Give the wall clock's time, in milliseconds since 1970."""
+        """Return the wall clock time, in milliseconds since 1970."""
         return time.time() * 1e3
 
     def fence_ms(self) -> float:
-        """Give a monotonic time that goes on while the machine is suspended, in milliseconds."""
+        """Return a monotonic time that advances while the machine is suspended, in milliseconds."""
         return time.clock_gettime(time.CLOCK_BOOTTIME) * 1e3
--- a/citrondyke/util/code_bundle.py
+++ b/citrondyke/util/code_bundle.py
@@ -1,11 +1,11 @@
-"""The compiled code of many modules in one file."""
+"""Imports modules from one file with the compiled code of many."""
 
 from __future__ import annotations
 
 import marshal
 import sys
 
-# The machinery itself; the public modules around it import a good deal more.
+# The internal module: the public modules around it import many more.
 from _frozen_importlib import ModuleSpec
 
 TYPE_CHECKING = False
@@ -15,8 +15,8 @@
 
 __all__ = ('BundleFinder', 'open_bundle')
 
-#: Of one module: which root its file lies under, its path below that, whether it is a package,
-#: and its code.
+#: Entry of a module: name of the root folder, path of its file below that, whether it is a
+#: package, and its marshalled code.
 Entry = tuple[str, str, bool, bytes]
 LIBRARY = 'library'
 PACKAGES = 'packages'
@@ -25,14 +25,14 @@
 class BundleFinder:
     """Finds modules in a bundle.
 
-    The way through the file system takes some ten calls of the system for each module, among
-    hundreds of modules; this takes four for all of them.
+    A search in the file system takes about ten system calls for each of hundreds of modules;
+    the bundle takes four for all of them.
     """
 
     def __init__(self, entries: dict[str, Entry], roots: dict[str, str]) -> None:
-        """Find what the entries hold.
+        """Create a finder of the modules in ``entries``.
 
-        :param roots: folders that files of modules lie under, by name.
+        :param roots: root folders of module files, by name.
         """
         self._entries = entries
         self._roots = roots
@@ -40,12 +40,12 @@
     def find_spec(
         self, name: str, path: Sequence[str] | None = None, target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """Find a module; ``None`` leaves it to the file system."""
+        """Return the spec of a module; ``None`` to have it searched in the file system."""
         entry = self._entries.get(name)
         if entry is None:
             return None
-        root, below, is_package, _ = entry
-        file = f'{self._roots[root]}/{below}'
+        root, relative_path, is_package, _ = entry
+        file = f'{self._roots[root]}/{relative_path}'
         spec = ModuleSpec(name, self, origin=file, is_package=is_package)  # type: ignore[arg-type]
         spec.has_location = True
         if is_package:
@@ -53,29 +53,29 @@
         return spec
 
     def create_module(self, spec: ModuleSpec) -> None:
-        """Leave it to the machinery."""
+        """Use the default creation of modules."""
 
     def exec_module(self, module: ModuleType) -> None:
-        """Run a module's code, which is not kept."""
+        """Execute the code of a module and discard it."""
         code = self._entries.pop(module.__name__)[3]
         exec(marshal.loads(code), module.__dict__)
 
     def close(self) -> None:
-        """Find nothing any more; modules that are imported later come from their files."""
+        """Remove the finder; later imports read the files of modules."""
         sys.meta_path.remove(self)
         self._entries.clear()
 
 
 def open_bundle(file: str, roots: dict[str, str]) -> BundleFinder | None:
-    """Import modules from a bundle; ``None`` where there is none for this interpreter.
+    """Import modules from a bundle; return ``None`` if there is none for this interpreter.
 
-    :param roots: folders that files of modules lie under, by name.
+    :param roots: root folders of module files, by name.
     """
     try:
-        with open(file, 'rb') as opened:
-            version, entries = marshal.loads(opened.read())
+        with open(file, 'rb') as stream:
+            version, entries = marshal.loads(stream.read())
     except (OSError, EOFError, ValueError, TypeError):
-        # Without it the start takes longer, and nothing else changes.
+        # Without a bundle only the start takes longer.
         return None
     if version != sys.version:
         return None
--- a/citrondyke/util/decoding.py
+++ b/citrondyke/util/decoding.py
@@ -1,4 +1,4 @@
-"""Decoding of bytes that anybody may have written."""
+"""Decoding of untrusted bytes."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 
 Decoded = TypeVar('Decoded')
 
-#: What the libraries raise besides their own errors: deep nesting, numbers too large for a field,
-#: text that is none. One of them past a handler would end the task that follows a table, and its
-#: instance would go on with what it knew then.
+#: Besides their own errors, the libraries raise these for deep nesting, numbers too large for a
+#: field and invalid text. An unhandled one would end the task that follows a table, and the
+#: instance would continue with stale rows.
 FAILURES = (msgspec.MsgspecError, ValueError, RecursionError, OverflowError, TypeError)
 
 
-def decode_json(raw: bytes, kind: type[Decoded]) -> Decoded:
+def decode_json(raw: bytes, value_type: type[Decoded]) -> Decoded:
     """Decode JSON.
 
-    :raises UnreadableBytesError: when the bytes are not of this kind.
+    :raises UnreadableBytesError: when the bytes do not encode this type.
     """
     try:
-        return msgspec.json.decode(raw, type=kind)
+        return msgspec.json.decode(raw, type=value_type)
     except FAILURES as error:
         raise UnreadableBytesError(f'{type(error).__name__}: {error}') from error
 
 
-def decode_msgpack(raw: bytes, kind: type[Decoded]) -> Decoded:
+def decode_msgpack(raw: bytes, value_type: type[Decoded]) -> Decoded:
     """Decode MessagePack.
 
-    :raises UnreadableBytesError: when the bytes are not of this kind.
+    :raises UnreadableBytesError: when the bytes do not encode this type.
     """
     try:
-        return msgspec.msgpack.decode(raw, type=kind)
+        return msgspec.msgpack.decode(raw, type=value_type)
     except FAILURES as error:
         raise UnreadableBytesError(f'{type(error).__name__}: {error}') from error
 
 
 def decompress(value: bytes, limit_bytes: int) -> bytes:
-    """Decompress a value whose stated size is within a limit.
+    """Decompress a Zstandard frame whose declared size is within a limit.
 
-    :raises UnreadableBytesError: when it is not compressed, or larger.
+    :raises UnreadableBytesError: when the value is not compressed, or larger.
     """
     try:
         if zstandard.frame_content_size(value) > limit_bytes:
-            # The library would allocate whatever size the bytes state.
+            # The library would allocate the declared size, however large it is.
             raise UnreadableBytesError(f'more than {limit_bytes} bytes')
         return zstandard.ZstdDecompressor().decompress(value, max_output_size=limit_bytes)
     except (zstandard.ZstdError, MemoryError) as error:
--- a/citrondyke/util/deprecated.py
+++ b/citrondyke/util/deprecated.py
@@ -1,4 +1,4 @@
-"""A decorator that libraries put on what they will drop."""
+"""Replacement for the ``deprecated`` decorator of ``typing_extensions``."""
 
 from __future__ import annotations
 
@@ -13,5 +13,5 @@
 
 
 def deprecated(_: str, /, **__: Any) -> Callable[[T], T]:
-    """Leave what it is put on as it is, with no warning at its use."""
+    """Return the decorated object unchanged, without warnings at its use."""
     return lambda decorated: decorated
--- a/citrondyke/util/early_sockets.py
+++ b/citrondyke/util/early_sockets.py
@@ -1,8 +1,8 @@
-"""Sockets that listen before the program's parts are imported."""
+"""Sockets that listen before the program is imported."""
 
 from __future__ import annotations
 
-# The extension itself: the module ``socket`` around it takes longer to import than all else here.
+# The extension module: importing ``socket`` around it takes longer than everything else here.
 from _socket import AF_INET, SO_REUSEADDR, SOCK_STREAM, SOL_SOCKET, socket
 
 TYPE_CHECKING = False
@@ -11,22 +11,22 @@
 
 __all__ = ('BACKLOG', 'EarlySockets')
 
-#: New connections that wait to be accepted; beyond it their first packet is dropped and comes
-#: again after a second.
+#: Maximum number of connections that wait to be accepted. Beyond it the kernel drops the first
+#: packet of a connection, which the client sends again after a second.
 BACKLOG = 1_024
 
 
 class EarlySockets:
-    """Listens at once, and hands the sockets on with the connections that wait in them.
+    """Listens at once and passes on the sockets with their pending connections.
 
-    The system turns a caller away only while nobody listens; the end of the process closes what
-    was not handed on.
+    The kernel refuses connections only while no socket listens. The exit of the process closes
+    sockets that were not passed on.
     """
 
     def __init__(self, addresses: Iterable[tuple[str, int]]) -> None:
         """Listen on the addresses that are free.
 
-        One that is not, as a predecessor still has it, is left to whoever binds it later.
+        An address that a previous process still uses is skipped and can be bound later.
         """
         self._by_address: dict[tuple[str, int], socket] = {}
         for address in addresses:
@@ -41,11 +41,11 @@
                 self._by_address[address] = sock
 
     def take(self, ip: str, port: int) -> int | None:
-        """Hand on the descriptor of a socket that listens; ``None`` where there is none."""
+        """Pass on the descriptor of a listening socket; ``None`` if there is none."""
         sock = self._by_address.pop((ip, port), None)
         return None if sock is None else sock.detach()
 
     def close(self) -> None:
-        """Turn away who waits at the addresses that nobody took."""
+        """Close the sockets that were not taken, with their pending connections."""
         while self._by_address:
             self._by_address.popitem()[1].close()
--- a/citrondyke/util/frames.py
+++ b/citrondyke/util/frames.py
@@ -1,4 +1,4 @@
-"""Messages on a stream, each behind its length."""
+"""Length-prefixed messages on a stream."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class _Socket(Protocol):
-    """What gevent's sockets and the standard library's share."""
+    """Methods common to sockets of gevent and of the standard library."""
 
     def recv(self, size: int, /) -> bytes: ...
 
@@ -30,8 +30,8 @@
 def read_frame(sock: _Socket, limit_bytes: int) -> bytes:
     """Receive one message.
 
-    :raises ValueError: when it says that it is larger than the limit.
-    :raises ConnectionError: when the stream ends before it is whole.
+    :raises ValueError: when the declared length exceeds the limit.
+    :raises ConnectionError: when the stream ends before the message is complete.
     """
     (length,) = _LENGTH.unpack(_read_exactly(sock, _LENGTH.size))
     if length > limit_bytes:
@@ -39,12 +39,12 @@
     return _read_exactly(sock, length)
 
 
-def _read_exactly(sock: _Socket, count: int) -> bytes:
+def _read_exactly(sock: _Socket, remaining: int) -> bytes:
     parts: list[bytes] = []
-    while count:
-        part = sock.recv(min(count, READ_BYTES))
+    while remaining:
+        part = sock.recv(min(remaining, READ_BYTES))
         if not part:
             raise ConnectionError
         parts.append(part)
-        count -= len(part)
+        remaining -= len(part)
     return b''.join(parts)
--- a/citrondyke/util/hashing.py
+++ b/citrondyke/util/hashing.py
@@ -1,4 +1,4 @@
-"""Digests and rendezvous weights, all by xxhash or BLAKE2."""
+"""Digests, hashes and rendezvous weights."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 Named = TypeVar('Named', bound=str)
 
-#: Bytes of a digest that identifies content: collisions stay out of reach.
+#: Size of a digest that identifies content; large enough to rule out collisions.
 DIGEST_BYTES = 20
 
 
 def digest_hex(*parts: bytes) -> str:
-    """Digest the parts; their boundaries count."""
+    """Return a digest of the parts that depends on their boundaries."""
     state = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         state.update(len(part).to_bytes(8, 'big'))
@@ -25,18 +25,18 @@
 
 
 def key_hash(secret: str) -> str:
-    """Hash a tenant's or operator's key for storage.
+    """Hash the key of a tenant or an operator for storage.
 
-    The keys are long and random, so that a plain digest cannot be searched backwards.
+    The keys are long and random, so that an unsalted digest cannot be reversed by search.
     """
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
 def rendezvous_weight(name: str, seed: str) -> int:
-    """Give the weight of one candidate for one seed."""
+    """Return the rendezvous weight of a candidate for a seed."""
     return xxhash.xxh3_64_intdigest(f'{seed}\x00{name}'.encode())
 
 
 def content_hash(data: bytes) -> int:
-    """Give a number that equal bytes share."""
+    """Return a 64-bit hash of the content."""
     return xxhash.xxh3_64_intdigest(data)
--- a/citrondyke/util/json_log.py
+++ b/citrondyke/util/json_log.py
@@ -1,4 +1,4 @@
-"""Log records as JSON lines."""
+"""Log handler that writes JSON lines."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 class JsonLinesHandler(logbook.Handler):
     """Writes each record as one line of JSON on standard error."""
 
-    def __init__(self, level: str, constant: dict[str, str]) -> None:
-        """Write from a level on.
+    def __init__(self, level: str, static_fields: dict[str, str]) -> None:
+        """Create a handler of records from a level on.
 
-        :param constant: fields that every line carries.
+        :param static_fields: fields of every line.
         """
         super().__init__(logbook.lookup_level(level))
-        self._constant = constant
+        self._static_fields = static_fields
 
     def emit(self, record: LogRecord) -> None:
-        """Write one record."""
+        """Write a record."""
         line: dict[str, Any] = {
             'time': record.time.isoformat(),
             'level': record.level_name,
             'logger': record.channel,
             'message': record.message,
-            **self._constant,
+            **self._static_fields,
             **record.extra,
         }
         if record.formatted_exception:
--- a/citrondyke/util/lazy_import.py
+++ b/citrondyke/util/lazy_import.py
@@ -1,4 +1,4 @@
-"""Modules whose code runs only when something of them is used."""
+"""Imports that run a module's code at its first use only."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def defer_import(name: str, parts: tuple[str, ...] = ()) -> None:
-    """Have a module's code run at the first use of a name in it, not when it is imported.
+    """Defer running a module's code from its import to the first use of a name in it.
 
-    For what a library imports at its start, and this program never uses.
+    This saves time for modules that a library imports but this program never uses.
 
-    :param parts: submodules whose names are given without running the package's code.
+    :param parts: submodules whose names are available without running the package's code.
     """
     if name in sys.modules:
         return
@@ -28,14 +28,14 @@
         module.__path__ = spec.submodule_search_locations
 
     def load(attribute: str) -> object:
-        """Give a name of the module."""
+        """Return an attribute of the module."""
         if attribute.startswith('__'):
             raise AttributeError(attribute)
         for part in parts:
             __import__(part)
             if attribute in vars(sys.modules[part]):
                 return vars(sys.modules[part])[attribute]
-        # Once it has run, what it lacks is an error as ever.
+        # After the code has run, a missing name raises an AttributeError as usual.
         if vars(module).pop('__getattr__', None) is not None:
             loader.exec_module(module)
         return getattr(module, attribute)
--- a/citrondyke/util/process_start.py
+++ b/citrondyke/util/process_start.py
@@ -1,6 +1,7 @@
-"""When this process began, as far as it can tell.
+"""Start time of this process, as early as it can be determined.
 
-What the life before this one has promised ends a while after its end, which was before now.
+Leases and promises of the previous incarnation expire within a time after its exit, which was
+before this start.
 """
 
 from __future__ import annotations
@@ -9,5 +10,5 @@
 
 __all__ = ('PROCESS_START_MS',)
 
-#: By the clock that goes on while the machine is suspended.
+#: Time by the clock that advances while the machine is suspended.
 PROCESS_START_MS = time.clock_gettime(time.CLOCK_BOOTTIME) * 1e3
--- a/citrondyke/util/start_steps.py
+++ b/citrondyke/util/start_steps.py
@@ -1,4 +1,4 @@
-"""Times of the steps of a process's start."""
+"""Times of the steps of a process start."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class StartSteps:
-    """Keeps when each step was done, in ms from the first line of the program."""
+    """Records when each step was completed, in ms since the first line of the program."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty record."""
         self.done_ms: dict[str, float] = {}
 
     def record(self, step: str) -> None:
-        """Note that a step is done."""
+        """Record that a step is completed."""
         now_ms = time.clock_gettime(time.CLOCK_BOOTTIME) * 1e3
         self.done_ms[step] = round(now_ms - PROCESS_START_MS, 1)
--- a/citrondyke/util/system_name.py
+++ b/citrondyke/util/system_name.py
@@ -1,4 +1,4 @@
-"""What ``uuid`` asks of the module ``platform``, without its patterns for every other system."""
+"""The part of the module ``platform`` that ``uuid`` uses, without its regular expressions."""
 
 from __future__ import annotations
 
@@ -8,5 +8,5 @@
 
 
 def system() -> str:
-    """Give the name of the operating system."""
+    """Return the name of the operating system."""
     return os.uname().sysname
