--- a/citrondyke/operator/request_history.py
+++ b/citrondyke/operator/request_history.py
@@ -20,7 +20,7 @@
 #: Log events about a change of a server's health, and the health after it.
 HEALTH_TEXTS: dict[str, str | None] = {
     'server.doubted': 'degraded',
-    'server.out': 'ejected',
+    'server.out': 'out',
     'server.back': 'degraded',
     'server.sound': None,
 }
