--- a/citrondyke/decisions/core/commit.py
+++ b/citrondyke/decisions/core/commit.py
@@ -94,7 +94,7 @@
 def commit(
     context: Context, txn: Transaction, until_ms: float
 ) -> Workflow[Committed | Conflict | CommitFailure]:
-    """Retry a transaction until there is a result or the time limit is reached.
+    """Retry a transaction until there is a result or the deadline passes.
 
     A reply can be lost after the write took effect. Retrying the same transaction is safe: the
     first write changed the versions that its checks require, so it cannot take effect twice. The
--- a/citrondyke/gateway/jobs/job_endpoint.py
+++ b/citrondyke/gateway/jobs/job_endpoint.py
@@ -30,7 +30,7 @@
 
 log = logbook.Logger(__name__)
 
-#: Time limit for ending a job.
+#: Timeout for ending a job.
 CHANGE_WITHIN_MS = 2_500.0
 RETRY_PAUSE_MS = 60.0
 RETRY_IN_MS = 250.0
--- a/citrondyke/operator/terminal.py
+++ b/citrondyke/operator/terminal.py
@@ -25,9 +25,11 @@
     table.add_column('requests', justify='right')
     table.add_column('')
     rows = _group_buckets(histogram.buckets())
-    max_count = max((count for _, count in rows), default=1)
+    largest_count = max((count for _, count in rows), default=1)
     for value_ms, count in rows:
-        table.add_row(f'{value_ms:.1f}', str(count), '█' * max(1, count * BAR_CHARS // max_count))
+        table.add_row(
+            f'{value_ms:.1f}', str(count), '█' * max(1, count * BAR_CHARS // largest_count)
+        )
     return table
 
 
--- a/citrondyke/platform/settings_file.py
+++ b/citrondyke/platform/settings_file.py
@@ -52,7 +52,7 @@
 
 
 class _Bounds(msgspec.Struct, frozen=True):
-    """Time limits and quotas that the platform enforces."""
+    """Timeouts and quotas that the platform enforces."""
 
     #: Time from SIGTERM until the process is killed, in s.
     grace_s: float = 8.0
@@ -95,7 +95,7 @@
     platform: _Platform
     #: Table of resource limits.
     limits: _Limits = _Limits()
-    #: Table of time limits and quotas.
+    #: Table of timeouts and quotas.
     bounds: _Bounds = _Bounds()
     #: Addresses of the operator interface of some instances; only their IPs are used.
     seeds: tuple[str, ...] = ()
--- a/citrondyke/settings/model.py
+++ b/citrondyke/settings/model.py
@@ -92,7 +92,7 @@
     job_line_bytes: Positive = 1024 * 1024
     #: Maximum number of items in a job file.
     job_items: Positive = 320_000
-    #: Time limit of an online request without a deadline of its own.
+    #: Timeout of an online request without a deadline of its own.
     online_within_ms: PositiveMs = 120_000.0
     #: Maximum number of idle connections kept open to each backend server.
     idle_connections: Positive = 64
@@ -102,7 +102,7 @@
 
 
 class StopSettings(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Time limits of a planned stop."""
+    """Timeouts of a planned stop."""
 
     #: Time for the load balancer to notice that this instance is leaving; requests are still
     #: served meanwhile.
